--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -18,10 +18,12 @@
 pub use interface::*;
 pub use state::Sender;
 
-/// Which text of the decisions this is: two builds with the same number decide alike. It is made from the
-/// sources (FNV-1a), so that nobody has to remember to raise it.
+/// Identifies the source text of the decisions: two builds with the same number decide alike. It is computed
+/// from the sources at compile time (FNV-1a), so it changes by itself.
 pub const FINGERPRINT: u64 = {
-    let mut h = STATE_FORM;
+    let mut h = notchpoint_limits::FINGERPRINT;
+    h = fold(h, include_bytes!("interface.rs"));
+    h = fold(h, include_bytes!("state.rs"));
     h = fold(h, include_bytes!("choice.rs"));
     h = fold(h, include_bytes!("choice/guard.rs"));
     h = fold(h, include_bytes!("choice/notes.rs"));
@@ -33,8 +35,11 @@
     fold(h, include_bytes!("note.rs"))
 };
 
-/// The form in which a [`Sender`]'s state is written: another build can read it if its number is the same.
-pub const STATE_FORM: u64 = {
-    let h = fold(notchpoint_limits::FINGERPRINT, include_bytes!("interface.rs"));
-    fold(h, include_bytes!("state.rs"))
-};
+/// Start value with which the stored encoding gives the number that earlier builds with this form carry.
+const STATE_FORM_START: u64 = 0x6e2b_d629_1d48_a220;
+
+/// Identifies the form in which a [`Sender`]'s state is encoded: another build can read it if its number is
+/// the same. It is computed from a stored encoding of a state with every field and variant
+/// (`state/form.bin`). A test compares that with what this build encodes, so that a changed form fails until
+/// the file, and with it the number, is renewed. Rewording and renaming change neither.
+pub const STATE_FORM: u64 = fold(STATE_FORM_START, include_bytes!("state/form.bin"));
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -569,3 +569,6 @@
         u64::deserialize(from).map(fastrand::Rng::with_seed)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/policy/src/state/tests.rs
@@ -0,0 +1,400 @@
+//! The encoded form of a state and of the events that are handed over with it, held against stored bytes.
+
+use super::*;
+
+/// What stands in `form.bin` at [`crate::STATE_FORM`].
+const STORED: &[u8] = include_bytes!("form.bin");
+/// The number of the form in `form.bin`, as recordings and hand-overs name it.
+const NUMBER: u64 = 0xc682_af35_e168_3869;
+
+/// One value of each variant. A variant without a value fails to compile.
+macro_rules! every {
+    ($type:ty: $($variant:pat => $value:expr),+ $(,)?) => {{
+        let _ = |value: $type| match value { $($variant => ()),+ };
+        vec![$($value),+]
+    }};
+}
+
+fn outcomes() -> Vec<Outcome> {
+    every!(Outcome:
+        Outcome::Served => Outcome::Served,
+        Outcome::Failed => Outcome::Failed,
+        Outcome::Full { wait: _ } => Outcome::Full { wait: Some(301) },
+        Outcome::TimedOut => Outcome::TimedOut,
+        Outcome::ConnectFailed => Outcome::ConnectFailed,
+        Outcome::Reset => Outcome::Reset,
+        Outcome::Spoilt => Outcome::Spoilt,
+        Outcome::Cancelled => Outcome::Cancelled,
+        Outcome::Moot => Outcome::Moot,
+        Outcome::NotSent => Outcome::NotSent,
+    )
+}
+
+fn guards() -> Vec<Guard> {
+    every!(Guard:
+        Guard::Order => Guard::Order,
+        Guard::Slots => Guard::Slots,
+        Guard::Share => Guard::Share,
+        Guard::Window => Guard::Window,
+        Guard::Wait => Guard::Wait,
+        Guard::Rest => Guard::Rest,
+        Guard::Pace => Guard::Pace,
+        Guard::Cold => Guard::Cold,
+        Guard::Breaker => Guard::Breaker,
+        Guard::Drained => Guard::Drained,
+        Guard::Endpoint => Guard::Endpoint,
+        Guard::ClassRest => Guard::ClassRest,
+        Guard::Again => Guard::Again,
+        Guard::Key => Guard::Key,
+        Guard::Repeat => Guard::Repeat,
+        Guard::Spent => Guard::Spent,
+        Guard::Zone => Guard::Zone,
+        Guard::Unproven => Guard::Unproven,
+    )
+}
+
+fn settings(list: ListMode, fade: Fade) -> Settings {
+    let effects = every!(Effect:
+        Effect::Safe => Effect::Safe,
+        Effect::Keyed => Effect::Keyed,
+        Effect::Unsafe => Effect::Unsafe,
+    );
+    let groups = every!(Group:
+        Group::All => Group::All,
+        Group::Zone => Group::Zone,
+        Group::Endpoint => Group::Endpoint,
+    );
+    let class = |(effect, group)| Class {
+        effect,
+        group,
+        memory: 401,
+        wanted: 402,
+        deadline: 403,
+        worth: 4.25,
+        late_share: 0.375,
+        in_order: true,
+    };
+    Settings {
+        slots: 411,
+        max_held: 412,
+        max_attempts: 413,
+        senders: 414,
+        zone: 415,
+        second_copies: true,
+        may_cancel: false,
+        may_probe: true,
+        may_note: false,
+        list,
+        classes: effects.into_iter().zip(groups).map(class).collect(),
+        tenants: vec![416.5, 417.5],
+        over_share_worth: 0.125,
+        kinds: vec![Kind { apart: true, bundle: 418 }, Kind { apart: false, bundle: 419 }],
+        fade,
+        clients_mark: true,
+        start_share: 0.25,
+        cold: 421,
+        fall_multiple: 2.5,
+        fall_after: 422,
+        key_rest: 423,
+        connect_timeout: 424,
+        conn_idle: 425,
+        multiplex: 426,
+        conns_told: true,
+        tick: 427,
+        max_advice: 428,
+    }
+}
+
+fn message() -> Message {
+    Message {
+        id: MessageId(501),
+        class: 502,
+        tenant: Some(503),
+        key: Some("key".into()),
+        dest: DestinationId(504),
+        again: true,
+        expires_in: 505,
+    }
+}
+
+fn entries() -> Vec<Entry> {
+    let phases = every!(Phase:
+        Phase::Live => Phase::Live,
+        Phase::Draining => Phase::Draining,
+        Phase::Gone => Phase::Gone,
+    );
+    let entry =
+        |phase| Entry { endpoint: EndpointId(511), dest: DestinationId(512), zone: 513, kind: 514, phase };
+    phases.into_iter().map(entry).collect()
+}
+
+fn events() -> Vec<Event> {
+    let lists = every!(ListNews:
+        ListNews::Changes(_) => ListNews::Changes(entries()),
+        ListNews::Whole(_) => ListNews::Whole(entries()),
+        ListNews::Restored(_) => ListNews::Restored(entries()),
+        ListNews::Unavailable => ListNews::Unavailable,
+    );
+    let ended = |outcome| Event::Ended {
+        id: MessageId(521),
+        attempt: 522,
+        outcome,
+        over: true,
+        allowance: Some(Allowance { left: 0.75, limit: 5.5 }),
+    };
+    let mut events = every!(Event:
+        Event::Taken(_) => Event::Taken(message()),
+        Event::Resumed { message: _, attempts: _, ran: _ } =>
+            Event::Resumed { message: message(), attempts: 523, ran: Some((524, EndpointId(525))) },
+        Event::Ended { id: _, attempt: _, outcome: _, over: _, allowance: _ } => ended(Outcome::Served),
+        Event::Withdrawn(_) => Event::Withdrawn(MessageId(526)),
+        Event::Wake => Event::Wake,
+        Event::List(_) => Event::List(ListNews::Unavailable),
+        Event::Note { from: _, body: _ } => Event::Note { from: 527, body: vec![1, 2, 3] },
+        Event::Unused(_) => Event::Unused(EndpointId(528)),
+        Event::Closed(_) => Event::Closed(EndpointId(529)),
+        Event::Probed { endpoint: _, outcome: _ } =>
+            Event::Probed { endpoint: EndpointId(531), outcome: Outcome::Reset },
+        Event::Service { endpoint: _, out: _ } => Event::Service { endpoint: EndpointId(532), out: true },
+        Event::Settings(_) => Event::Settings(Box::new(settings(ListMode::Push, Fade::Even))),
+        Event::Zone { zone: _, share: _, tries: _, spared: _ } =>
+            Event::Zone { zone: 533, share: 0.625, tries: true, spared: vec![DestinationId(534)] },
+    );
+    events.extend(lists.into_iter().map(Event::List));
+    events.extend(outcomes().into_iter().map(ended));
+    events
+}
+
+fn actions() -> Vec<Action> {
+    every!(Action:
+        Action::Send { id: _, endpoint: _, timeout: _, within: _, proven_only: _ } => Action::Send {
+            id: MessageId(541),
+            endpoint: EndpointId(542),
+            timeout: 543,
+            within: 544,
+            proven_only: true,
+        },
+        Action::Cancel { id: _, attempt: _ } => Action::Cancel { id: MessageId(545), attempt: 546 },
+        Action::Refuse { id: _, after: _ } => Action::Refuse { id: MessageId(547), after: 548 },
+        Action::Fail { id: _ } => Action::Fail { id: MessageId(549) },
+        Action::WakeAt(_) => Action::WakeAt(551),
+        Action::Watch => Action::Watch,
+        Action::Fetch => Action::Fetch,
+        Action::Probe { endpoint: _ } => Action::Probe { endpoint: EndpointId(552) },
+        Action::Note { to: _, body: _ } => Action::Note { to: Some(553), body: vec![4, 5] },
+        Action::CloseIdle { endpoint: _ } => Action::CloseIdle { endpoint: EndpointId(554) },
+        Action::Log(_) => Action::Log("line".into()),
+    )
+}
+
+fn held() -> Held {
+    Held {
+        class: 601,
+        dest: DestinationId(602),
+        key: Some("held".into()),
+        over_share: true,
+        aim: 603,
+        expires: 604,
+        attempts: vec![605, 606],
+        unsent: 607,
+        out: 608,
+        ran: Some((609, EndpointId(611))),
+        congested: true,
+        done: false,
+        not_before: 612,
+    }
+}
+
+fn call() -> Call {
+    Call {
+        route: (DestinationId(621), Some(EndpointId(622))),
+        endpoint: EndpointId(623),
+        sent: 624,
+        overdue: 625,
+        until: 626,
+        late: 627,
+        stage: 628,
+        idle: 629,
+        open: 631,
+        judged: true,
+        cut: false,
+        chance: true,
+        called_off: false,
+        unheard: 632,
+        lost: true,
+    }
+}
+
+fn late(from: f64) -> Late {
+    let mut next = from;
+    let mut count = || {
+        next += 1.0;
+        next
+    };
+    Late(std::array::from_fn(|_| std::array::from_fn(|_| (count(), count()))))
+}
+
+fn route(health: Health, cut_by: Outcome) -> Route {
+    let mut latency = Latency::default();
+    latency.observe(70_000);
+    latency.observe(20_000);
+    let mut breaks = Breaks::default();
+    breaks.broke();
+    let mut rate = Rate::default();
+    for call in 0..5 {
+        rate.admitted(1_000_000 + call * 200_000);
+    }
+    rate.refused(2_000_000, 1_900_000);
+    rate.sent(2_100_000);
+    Route {
+        window: 7.5,
+        last_cut: Some(701),
+        cut_by: Some(cut_by),
+        pace: 0.8125,
+        full_told: 702,
+        wait_known: 703,
+        wait_from: Some(704),
+        rest_until: 705,
+        told_until: 706,
+        latency,
+        breaks,
+        rate,
+        health,
+        last_ok: 707,
+        fails: 708,
+        failed_at: 709,
+        errors: 711,
+        fulls: 712,
+        credit: 1.5,
+        credit_at: 713,
+        heard: Some((714, 715)),
+        told: 716,
+        out: 717,
+        lost: 718,
+        late: late(720.0),
+    }
+}
+
+fn routes() -> BTreeMap<RouteId, Route> {
+    let healths = every!(Health:
+        Health::Closed => Health::Closed,
+        Health::Open { since: _, until: _, failed: _, trial: _, ramp: _ } =>
+            Health::Open { since: 751, until: 752, failed: true, trial: Some(753), ramp: Some((754, 755)) },
+        Health::Ramp { since: _, gap: _ } => Health::Ramp { since: 756, gap: 757 },
+    );
+    let routes = healths.into_iter().zip(outcomes().into_iter().cycle().skip(2));
+    let ids = (761..).map(|n| (DestinationId(n), Some(EndpointId(n + 10))));
+    ids.zip(routes.map(|(health, cut_by)| route(health, cut_by))).collect()
+}
+
+fn endpoint() -> Endpoint {
+    Endpoint {
+        dest: DestinationId(801),
+        zone: 802,
+        kind: 803,
+        live: true,
+        listed: false,
+        cold_until: 804,
+        out: 805,
+        unheard: 806,
+        idle: vec![807, 808],
+        used: 809,
+        gap: 811,
+        answered: 812,
+        no_room: 813,
+        rests: BTreeMap::from([(None, (814, 815)), (Some(816), (817, 818))]),
+    }
+}
+
+fn dest() -> Dest {
+    Dest {
+        apart: true,
+        bundle: 821,
+        kind: 822,
+        endpoints: vec![EndpointId(823)],
+        queue: vec![MessageId(824), MessageId(825)],
+        idle_safe: (826, 827),
+        rate: 8.5,
+        rate_at: 828,
+    }
+}
+
+fn lean() -> Lean {
+    let mut lean = Lean::whole();
+    lean.turn(0.5, &[DestinationId(831)]);
+    lean.arrived(DestinationId(832), 0.5, || 0.25);
+    lean.try_all([DestinationId(833)].into_iter());
+    lean
+}
+
+/// A state with something in each field. A field that is not named here fails to compile.
+fn sender(list: ListMode, fade: Fade) -> Sender {
+    Sender {
+        set: settings(list, fade),
+        rng: fastrand::Rng::with_seed(901),
+        now: 902,
+        held: BTreeMap::from([(MessageId(903), held())]),
+        live: 904,
+        calls: BTreeMap::from([(905, call())]),
+        next_call: 906,
+        routes: routes(),
+        endpoints: BTreeMap::from([(EndpointId(907), endpoint())]),
+        dests: BTreeMap::from([(DestinationId(908), dest())]),
+        taken_out: BTreeSet::from([EndpointId(909)]),
+        queued: BTreeSet::from([DestinationId(911)]),
+        unlisted: Unlisted {
+            endpoints: BTreeSet::from([EndpointId(912)]),
+            dests: BTreeSet::from([DestinationId(913)]),
+            routes: BTreeSet::from([(DestinationId(914), None)]),
+        },
+        keys: BTreeMap::from([("key".into(), (VecDeque::from([MessageId(915), MessageId(916)]), 917))]),
+        idle_safe: (918, 919),
+        scarce: vec![921, 922],
+        tenants: vec![(9.5, 923), (9.75, 924)],
+        out: actions(),
+        watch_at: 925,
+        wake: Some(926),
+        late: late(930.0),
+        passed: BTreeSet::from([DestinationId(927)]),
+        leans: BTreeMap::from([(928, lean())]),
+    }
+}
+
+/// Two states, so that each variant of the settings is there, and what is handed over or recorded with them.
+fn encoded() -> Vec<u8> {
+    let lists = every!(ListMode:
+        ListMode::Push => ListMode::Push,
+        ListMode::Ask => ListMode::Ask,
+    );
+    let fades = every!(Fade:
+        Fade::Even => Fade::Even,
+        Fade::ByHalf => Fade::ByHalf,
+    );
+    let states: Vec<Sender> = lists.into_iter().zip(fades).map(|(list, fade)| sender(list, fade)).collect();
+    let holds: Vec<Hold> = guards().into_iter().map(|guard| Hold::until(guard, 941)).collect();
+    postcard::to_allocvec(&(states, events(), holds)).expect("plain data")
+}
+
+/// A build reads the state of another one where both name the same number. A changed field, order of fields
+/// or variant would be read as something else: it changes these bytes, and with them the number.
+///
+/// After a change that is meant, `STATE_FORM_FILE=src/state/form.bin` writes the bytes anew, and the number
+/// that the next run prints belongs into [`NUMBER`].
+#[test]
+fn the_encoded_form_of_a_state_is_the_one_that_its_number_names() {
+    let bytes = encoded();
+    if let Ok(file) = std::env::var("STATE_FORM_FILE") {
+        std::fs::write(file, &bytes).expect("a file that can be written");
+    }
+    let differs = bytes.iter().zip(STORED).position(|(now, stored)| now != stored);
+    assert_eq!((bytes.len(), differs), (STORED.len(), None), "the form of the state has changed");
+    assert_eq!(crate::STATE_FORM, NUMBER, "{:#018x}", crate::STATE_FORM);
+}
+
+#[test]
+fn a_state_is_read_again_as_it_was_written() {
+    type All = (Vec<Sender>, Vec<Event>, Vec<Hold>);
+    let all: All = postcard::from_bytes(STORED).expect("the stored form");
+    assert!(all.1 == events() && all.2.len() == guards().len());
+    assert_eq!(postcard::to_allocvec(&all).expect("plain data"), STORED);
+}
