--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -9,15 +9,15 @@
 mod progress;
 
 use crate::copies::copying::Copying;
+use crate::handover::protocol::Frame;
 use crate::input::Input;
 use crate::platform::zoning::Zoning;
-use crate::rare_warning::RareWarning;
-use crate::reasons::Reasons;
+use crate::rate_limited_warning::RateLimitedWarning;
+use crate::reasons::ReasonCounts;
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
 use crate::state::journal::{Journal, Verdict};
 use crate::state::safety::Safety;
-use crate::upgrade::handover::Frame;
 use answer::Answer;
 pub use answer::End;
 use bytes::Bytes;
@@ -120,9 +120,9 @@
     most_idle: usize,
     second_copies: bool,
     /// What fails on this side.
-    trouble: RareWarning,
+    trouble: RateLimitedWarning,
     /// Why what happened.
-    pub reasons: Rc<Reasons>,
+    pub reasons: Rc<ReasonCounts>,
 }
 
 impl Calls {
@@ -158,7 +158,7 @@
             idle: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
             most_idle: Descriptors::new(config).idle,
             second_copies: set.second_copies,
-            trouble: RareWarning::default(),
+            trouble: RateLimitedWarning::default(),
             reasons: Rc::default(),
         });
         let swept = Rc::downgrade(&calls);
@@ -193,14 +193,14 @@
     }
 
     /// An attempt of this message is out.
-    pub fn has_out(&self, id: MessageId) -> bool {
+    pub fn has_open_attempt(&self, id: MessageId) -> bool {
         let all = (id, 0)..=(id, u32::MAX);
         let own = self.cancels.borrow().range(all.clone()).next().is_some();
         own || self.adopted.borrow().range(all).next().is_some()
     }
 
     /// What the list says of an endpoint; connections to one that moved or left are closed.
-    pub fn list(&self, id: EndpointId, target: Option<Target>) {
+    pub fn update_endpoint(&self, id: EndpointId, target: Option<Target>) {
         let old = match target {
             Some(t) => self.targets.borrow_mut().insert(id, t),
             None => self.targets.borrow_mut().remove(&id),
@@ -244,7 +244,7 @@
     }
 
     /// The list names this destination, or did lately.
-    pub fn knows(&self, dest: DestinationId) -> bool {
+    pub fn knows_destination(&self, dest: DestinationId) -> bool {
         self.named.borrow().contains_key(&dest)
     }
 
@@ -356,7 +356,7 @@
             }
         };
         if let Some(Err(CallError::NotSent(why))) = &answer {
-            self.trouble.tell(&format_args!("a connection cannot be made here: {why}"));
+            self.trouble.warn(&format_args!("a connection cannot be made here: {why}"));
         }
         let open = call.connection.borrow_mut().take();
         if let Some(c) = open {
@@ -383,7 +383,7 @@
             if doubtful {
                 // Before its end is recorded: a verdict stands until the notice has been told.
                 self.journal.borrow_mut().verdict(item.id, Verdict::Dead);
-                let _ = self.inputs.send(Input::Doubtful(item.id));
+                let _ = self.inputs.send(Input::DeliveryUncertain(item.id));
             }
             self.report(endpoint, &item, end);
         }
@@ -424,7 +424,7 @@
     /// Records how an attempt ended, and tells the node.
     fn ended(&self, endpoint: EndpointId, (id, attempt): AttemptId, end: End) {
         let outcome = end.outcome;
-        self.reasons.attempted(outcome);
+        self.reasons.count_attempt(outcome);
         tracing::debug!("message {:016x}, attempt {attempt} at {endpoint:?}: {outcome:?}", id.0);
         let mut journal = self.journal.borrow_mut();
         let sent =
--- a/crates/daemon/src/calls/error.rs
+++ b/crates/daemon/src/calls/error.rs
@@ -1,6 +1,6 @@
 //! Why a call has no answer.
 
-use crate::io::is_local;
+use crate::io::is_local_error;
 use std::io;
 
 /// Why a call came to nothing. How far its request got tells whether it can have run.
@@ -18,6 +18,6 @@
     /// What an error of `connect` means. Only what the other side, or the way there, said is held against the
     /// endpoint.
     pub(super) fn of_connect(why: io::Error) -> Self {
-        if is_local(&why) { Self::NotSent(why) } else { Self::Unreachable }
+        if is_local_error(&why) { Self::NotSent(why) } else { Self::Unreachable }
     }
 }
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -149,7 +149,7 @@
             recorded.map_err(|why| failed = Some(why)).is_err()
         });
         if let Some(why) = failed {
-            self.trouble.tell(&format_args!("journal: {why}; calls wait until attempts can be recorded"));
+            self.trouble.warn(&format_args!("journal: {why}; calls wait until attempts can be recorded"));
         }
         unrecorded.iter().for_each(|i| self.report(endpoint, i, Outcome::NotSent.into()));
     }
@@ -164,7 +164,7 @@
         let refused = copies.settle(asked).await;
         for item in take(waiting, |i| refused.contains(&(i.id, i.attempt))) {
             self.report(endpoint, &item, Outcome::Moot.into());
-            let _ = self.inputs.send(Input::Parked(item.id));
+            let _ = self.inputs.send(Input::ConsentDenied(item.id));
         }
         waits
     }
--- a/crates/daemon/src/calls/passing.rs
+++ b/crates/daemon/src/calls/passing.rs
@@ -1,8 +1,8 @@
 //! Calls that are out while one process takes over from another.
 
 use super::{Calls, End};
+use crate::handover::protocol::{Frame, Out, Wait};
 use crate::input::Input;
-use crate::upgrade::handover::{Frame, Out, Wait};
 use notchpoint_policy::*;
 use std::time::Duration;
 use tokio::sync::mpsc::UnboundedSender;
@@ -40,7 +40,7 @@
             Some(endpoint) => self.ended(endpoint, (id, attempt), end),
             None => {
                 let End { outcome, over, .. } = end;
-                let _ = self.inputs.send(Input::EndedElsewhere { id, attempt, outcome, over });
+                let _ = self.inputs.send(Input::PredecessorAttemptEnded { id, attempt, outcome, over });
             }
         }
     }
--- a/crates/daemon/src/calls/pool.rs
+++ b/crates/daemon/src/calls/pool.rs
@@ -4,7 +4,7 @@
 use super::error::CallError;
 use super::progress::Progress;
 use crate::input::Input;
-use crate::io::Observed;
+use crate::io::ObservedStream;
 use bytes::Bytes;
 use http_body_util::Full as Body;
 use hyper::client::conn::http1::{self, SendRequest};
@@ -128,10 +128,10 @@
         let stream = connecting.map_err(|_| CallError::Unreachable)?.map_err(CallError::of_connect)?;
         // Without it small writes wait for a while: no reason to do without the connection.
         if let Err(why) = stream.set_nodelay() {
-            self.trouble.tell(&format_args!("TCP_NODELAY: {why}"));
+            self.trouble.warn(&format_args!("TCP_NODELAY: {why}"));
         }
         let progress = Rc::new(Progress::default());
-        let observed = Observed::new(stream.clone(), progress.clone());
+        let observed = ObservedStream::new(stream.clone(), progress.clone());
         let made = http1::Builder::new().max_buf_size(BUFFER).handshake(observed).await;
         let (sender, driver) = made.map_err(|_| CallError::Broken)?;
         // Its end shows at the sender.
--- a/crates/daemon/src/calls/progress.rs
+++ b/crates/daemon/src/calls/progress.rs
@@ -95,7 +95,7 @@
 }
 
 impl Observer for Rc<Progress> {
-    fn read(&self, bytes: &[u8]) {
+    fn on_read(&self, bytes: &[u8]) {
         let complete = self.complete();
         let mut came = self.came.borrow_mut();
         for &byte in bytes {
@@ -107,7 +107,7 @@
         self.news.notify_one();
     }
 
-    fn wrote(&self, mut bytes: &[u8]) {
+    fn on_write(&self, mut bytes: &[u8]) {
         while self.head.get() < 4 {
             let Some((&b, rest)) = bytes.split_first() else { return };
             let seen = self.head.get();
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -20,7 +20,7 @@
         progress.expect(8);
         for part in [&bytes[..cut], &bytes[cut..]] {
             assert!(!progress.complete());
-            progress.wrote(part);
+            progress.on_write(part);
         }
         assert!(progress.complete(), "cut at {cut}");
         progress.expect(0);
@@ -67,7 +67,7 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle };
-        calls.list(ENDPOINT, Some(target));
+        calls.update_endpoint(ENDPOINT, Some(target));
         Self { calls, journal, received, listener, _folder: folder }
     }
 
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,10 +1,10 @@
 //! The command line.
 
-use crate::out::say;
 use crate::sender::{self, Failure};
 use crate::settings::descriptors::Descriptors;
 use crate::settings::operator::{self, Format, Log};
 use crate::state::storage;
+use crate::stdout::print;
 use clap::{Parser, Subcommand};
 use notchpoint_policy::{DestinationId, FINGERPRINT, MessageId, Micros};
 use notchpoint_recorder::explain::{Explainer, Question};
@@ -115,7 +115,7 @@
         Some(Command::Fleet { files, dest }) => fleet_command(&files, dest.map(DestinationId)),
         Some(Command::Check { file }) if file.extension().is_some_and(|e| e == "json") => check_config(&file),
         Some(Command::Check { file }) => operator::read(&file).map_err(Failure::from).and_then(|o| {
-            say(&format!("{0}: {1}\n{0}: {2}\n{0}: {3}\n", file.display(), o.recorder, o.store, o.zones))?;
+            print(&format!("{0}: {1}\n{0}: {2}\n{0}: {3}\n", file.display(), o.recorder, o.store, o.zones))?;
             check_copies(&file, &o)?;
             Ok(ExitCode::SUCCESS)
         }),
@@ -130,7 +130,7 @@
 /// configuration is.
 fn check_copies(file: &Path, operator: &operator::Operator) -> Result<(), Failure> {
     let Some(copies) = &operator.copies else {
-        return Ok(say(&format!("{}: copies off\n", file.display()))?);
+        return Ok(print(&format!("{}: copies off\n", file.display()))?);
     };
     let config = std::env::var_os("BALANCER_CONFIG").and_then(|c| std::fs::read_to_string(c).ok());
     let name = config.and_then(|text| crate::settings::config::read(&text).ok()).map(|c| c.name);
@@ -139,9 +139,9 @@
         let lines: Vec<String> = wrong.iter().map(|w| format!("{}: {w}", file.display())).collect();
         return Err(lines.join("\n").into());
     }
-    say(&format!("{}: {copies}\n", file.display()))?;
+    print(&format!("{}: {copies}\n", file.display()))?;
     for doubt in copies.doubts() {
-        say(&format!("{}: {doubt}\n", file.display()))?;
+        print(&format!("{}: {doubt}\n", file.display()))?;
     }
     Ok(())
 }
@@ -151,12 +151,12 @@
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
     let wrong = crate::settings::check::mistakes(&text);
     if wrong.is_empty() {
-        say(&format!("{name}: sound\n"))?;
+        print(&format!("{name}: sound\n"))?;
         let config = crate::settings::config::read(&text)?;
         let descriptors = Descriptors::new(&config);
-        say(&format!("{name}: {}\n", descriptors.shares(&config)))?;
+        print(&format!("{name}: {}\n", descriptors.shares(&config)))?;
         if let Some(doubt) = descriptors.doubt(&config) {
-            say(&format!("{name}: warning: {doubt}\n"))?;
+            print(&format!("{name}: warning: {doubt}\n"))?;
         }
         return Ok(ExitCode::SUCCESS);
     }
@@ -239,7 +239,7 @@
     if fleet.senders() == 0 {
         return Err("no recording among the files named".into());
     }
-    say(&fleet.text(dest))?;
+    print(&fleet.text(dest))?;
     Ok(ExitCode::from(u8::from(!whole)))
 }
 
@@ -250,11 +250,11 @@
 fn replay_command(file: &Path) -> Result<ExitCode, Failure> {
     let done = play(file, &load(file)?, &mut Nobody)?;
     let (turns, segments, runs, states) = (done.turns, done.segments, done.runs, done.states);
-    say(&format!(
+    print(&format!(
         "{turns} turns equal, in {segments} segments of {runs} processes; {states} states equal\n"
     ))?;
     if let Some(d) = &done.difference {
-        say(&format!("{d}\n"))?;
+        print(&format!("{d}\n"))?;
     }
     Ok(verdict(&done))
 }
@@ -278,9 +278,9 @@
     }
     for e in &all {
         if json {
-            say(&format!("{}\n", serde_json::to_string(e)?))?;
+            print(&format!("{}\n", serde_json::to_string(e)?))?;
         } else {
-            say(&text::write(e))?;
+            print(&text::write(e))?;
         }
     }
     // Of several processes the one with the most to show.
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -5,17 +5,17 @@
 use crate::clients::queue::Queue;
 use crate::clients::seats::{GRACE, LOOK, Seat, Seats, Stage};
 use crate::copies::copying::Copying;
-use crate::input::{Accepted, Input};
-use crate::io::{Observed, Observer};
-use crate::rare_warning::RareWarning;
+use crate::handover::protocol::{ForwardResult, ForwardedRequest};
+use crate::handover::successor::Successor;
+use crate::input::{AcceptedMessage, Input};
+use crate::io::{ObservedStream, Observer};
+use crate::rate_limited_warning::RateLimitedWarning;
 use crate::reasons::{Close, Refusal};
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
 use crate::settings::terms::Terms;
 use crate::state::journal::{Journal, Open};
 use crate::state::safety::Safety;
-use crate::upgrade::handover::{Handed as Passed, Taken};
-use crate::upgrade::successor::Successor;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -100,7 +100,7 @@
     /// Messages that may be recorded, and whose clients have not heard yet.
     pub fn unheard(&self) -> BTreeSet<MessageId> {
         let mut all = self.answering.borrow().clone();
-        all.extend(self.successor.borrow().iter().flat_map(|successor| successor.asked()));
+        all.extend(self.successor.borrow().iter().flat_map(|successor| successor.pending()));
         all
     }
 }
@@ -126,13 +126,13 @@
 }
 
 struct Due {
-    accepted: Accepted,
+    accepted: AcceptedMessage,
     begun: bool,
 }
 
 impl Receipt {
     /// Its client hears of it with the next answer that is written.
-    fn expect(&self, accepted: Accepted) {
+    fn expect(&self, accepted: AcceptedMessage) {
         self.inbound.answering.borrow_mut().insert(accepted.id);
         self.due.borrow_mut().push(Due { accepted, begun: false });
     }
@@ -143,21 +143,21 @@
 }
 
 impl Observer for Rc<Receipt> {
-    fn read(&self, bytes: &[u8]) {
+    fn on_read(&self, bytes: &[u8]) {
         self.seat.read(bytes);
     }
 
-    fn wrote(&self, _: &[u8]) {
+    fn on_write(&self, _: &[u8]) {
         self.due.borrow_mut().iter_mut().for_each(|d| d.begun = true);
     }
 
-    fn flushed(&self) {
+    fn on_flush(&self) {
         if self.seat.stage.get() == Stage::Answering {
             self.seat.answered();
         }
         for due in self.due.borrow_mut().extract_if(.., |d| d.begun) {
             self.is_answered(due.accepted.id);
-            let _ = self.inbound.inputs.send(Input::Taken(due.accepted));
+            let _ = self.inbound.inputs.send(Input::Acknowledged(due.accepted));
         }
     }
 }
@@ -167,7 +167,7 @@
         for due in self.due.take() {
             self.is_answered(due.accepted.id);
             self.inbound.journal.borrow_mut().end(due.accepted.id);
-            let _ = self.inbound.inputs.send(Input::Unheard(due.accepted.id));
+            let _ = self.inbound.inputs.send(Input::Unacknowledged(due.accepted.id));
         }
     }
 }
@@ -186,7 +186,7 @@
 /// Accepts connections, so many at once. Those that find no place wait in the system's queue.
 pub async fn serve(inbound: Rc<Inbound>, listener: Rc<dyn Listener>) {
     let seats = Rc::new(Seats::default());
-    let trouble = RareWarning::default();
+    let trouble = RateLimitedWarning::default();
     if !inbound.looked.get() {
         look_first(&inbound, &*listener).await;
     }
@@ -213,7 +213,7 @@
             }
             Err(why) => {
                 // Out of descriptors or memory: that is not mended by asking again at once.
-                trouble.tell(&format_args!("accept: {why}"));
+                trouble.warn(&format_args!("accept: {why}"));
                 tokio::time::sleep(ACCEPT_AGAIN).await;
                 continue;
             }
@@ -227,7 +227,7 @@
             inside.set(inside.get() + 1);
             let why = connection(inbound.clone(), seat.clone()).await;
             tracing::debug!("client's connection {number} ended: {why:?}");
-            inbound.calls.reasons.closed(why);
+            inbound.calls.reasons.count_close(why);
             // What crosses the end of a resting connection stays unread: its client has to see that.
             if seat.last.get() {
                 seat.end().await;
@@ -269,7 +269,7 @@
                 let mut answer = match answer(&inbound, request, receipt.as_deref()).await {
                     Ok(answer) => answer,
                     Err(status) => {
-                        inbound.calls.reasons.refused(Refusal::Invalid);
+                        inbound.calls.reasons.count_refusal(Refusal::Invalid);
                         plain(status)
                     }
                 };
@@ -289,7 +289,7 @@
     };
     let served = http1::Builder::new()
         .max_buf_size(HEAD)
-        .serve_connection(Observed::new(seat.stream.clone(), receipt), service);
+        .serve_connection(ObservedStream::new(seat.stream.clone(), receipt), service);
     tokio::pin!(served);
     let (mut closing, mut told) = (false, false);
     loop {
@@ -384,7 +384,7 @@
     if inbound.door.ending.get() {
         return Ok(come_back(inbound, Refusal::ShuttingDown));
     }
-    if !inbound.calls.knows(handed.dest) {
+    if !inbound.calls.knows_destination(handed.dest) {
         return Ok(come_back(inbound, Refusal::UnknownDestination));
     }
     let successor = inbound.successor.borrow().clone();
@@ -402,7 +402,7 @@
         return if record.withdraw() {
             Ok(come_back(inbound, Refusal::NotDurable))
         } else {
-            inbound.calls.reasons.refused(Refusal::NotWithdrawn);
+            inbound.calls.reasons.count_refusal(Refusal::NotWithdrawn);
             Err(StatusCode::INTERNAL_SERVER_ERROR)
         };
     }
@@ -422,7 +422,7 @@
     since: Instant,
     receipt: &Receipt,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
-    let passed = Passed {
+    let passed = ForwardedRequest {
         id: handed.id,
         tag,
         tenant: handed.tenant_name.clone(),
@@ -431,10 +431,10 @@
         idempotency_key: handed.idempotency_key.clone(),
         body: body.to_vec(),
     };
-    let class = match successor.take(passed).await {
-        Taken::Yes { class } => class,
-        Taken::ComeBack => return Ok(come_back(inbound, Refusal::Successor)),
-        Taken::Conflict => return Err(StatusCode::CONFLICT),
+    let class = match successor.forward(passed).await {
+        ForwardResult::Recorded { class } => class,
+        ForwardResult::RetryLater => return Ok(come_back(inbound, Refusal::Successor)),
+        ForwardResult::Conflict => return Err(StatusCode::CONFLICT),
     };
     receipt.expect(handed.accepted(class));
     Ok(plain(StatusCode::ACCEPTED))
@@ -442,26 +442,28 @@
 
 /// Records what the process before this one has read, under the same conditions. A process in between may
 /// have done that (`before`) and died with its answer: the record is the same request's then.
-pub async fn take_over(inbound: &Inbound, passed: Passed, before: bool) -> Taken {
+pub async fn take_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
     let place = inbound.terms.borrow().classes.place(&passed.tag);
-    let Some(class) = place.filter(|_| inbound.calls.knows(passed.dest)) else { return Taken::ComeBack };
+    let Some(class) = place.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
+        return ForwardResult::RetryLater;
+    };
     if before && inbound.journal.borrow().get(passed.id).is_some() {
-        return Taken::Yes { class: class as u32 };
+        return ForwardResult::Recorded { class: class as u32 };
     }
-    let Passed { id, tag, tenant, dest, deadline, idempotency_key, body } = passed;
+    let ForwardedRequest { id, tag, tenant, dest, deadline, idempotency_key, body } = passed;
     let mut open = Open::new(&tag, &tenant, dest.0, deadline, body.into());
     open.idempotency_key = idempotency_key;
     match record(inbound, id, open) {
         Ok(true) => {}
-        Ok(false) => return Taken::ComeBack,
-        Err(_) => return Taken::Conflict,
+        Ok(false) => return ForwardResult::RetryLater,
+        Err(_) => return ForwardResult::Conflict,
     }
     let (mark, mut record) = (inbound.safety.mark(), Record { inbound, id: Some(id) });
     if !is_safe(inbound, id, &mark).await {
-        return if record.withdraw() { Taken::ComeBack } else { Taken::Conflict };
+        return if record.withdraw() { ForwardResult::RetryLater } else { ForwardResult::Conflict };
     }
     record.id = None;
-    Taken::Yes { class: class as u32 }
+    ForwardResult::Recorded { class: class as u32 }
 }
 
 /// Whether a record is on all that it is to outlast, once it is.
@@ -489,7 +491,7 @@
 fn record(inbound: &Inbound, id: MessageId, mut open: Open) -> Result<bool, StatusCode> {
     let mut journal = inbound.journal.borrow_mut();
     // An id is new each time. One that is still in use would mix up the ends of two messages.
-    if journal.get(id).is_some() || inbound.calls.has_out(id) {
+    if journal.get(id).is_some() || inbound.calls.has_open_attempt(id) {
         return Err(StatusCode::CONFLICT);
     }
     let is_over = open.deadline <= journal.unix_now();
@@ -586,7 +588,7 @@
 
 /// Refused, with advice on when to come back as far as clients heed it.
 fn come_back(inbound: &Inbound, why: Refusal) -> Response<Full<Bytes>> {
-    inbound.calls.reasons.refused(why);
+    inbound.calls.reasons.count_refusal(why);
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
     let advice = COME_BACK.min(inbound.terms.borrow().set.max_advice);
     if advice > 0
@@ -608,9 +610,9 @@
 }
 
 impl Handed {
-    fn accepted(&self, class: u32) -> Accepted {
+    fn accepted(&self, class: u32) -> AcceptedMessage {
         let Self { id, tenant, dest, again, .. } = *self;
-        Accepted { id, class, tenant, dest, again }
+        AcceptedMessage { id, class, tenant, dest, again }
     }
 }
 
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -48,7 +48,7 @@
         let (inbound, _received) = behind(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
-        inbound.calls.list(EndpointId(1), Some(target));
+        inbound.calls.update_endpoint(EndpointId(1), Some(target));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut client =
             TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a connection");
@@ -93,31 +93,31 @@
             let (id, class, tenant, dest) = (MessageId(id), 0, None, DestinationId(3));
             let open = Open::new("update", "acme", 3, u64::MAX, Bytes::new());
             journal.borrow_mut().take(id, open).expect("room");
-            let accepted = Accepted { id, class, tenant, dest, again: false };
+            let accepted = AcceptedMessage { id, class, tenant, dest, again: false };
             receipt.expect(accepted);
         };
         // The connection ends before anything, or before all of the answer is written.
         for begun in [false, true] {
             let receipt = receive();
             take(&receipt, 1);
-            receipt.flushed();
+            receipt.on_flush();
             if begun {
-                receipt.wrote(b"HTTP/1.1 2");
+                receipt.on_write(b"HTTP/1.1 2");
             }
             drop(receipt);
             assert!(journal.borrow().get(MessageId(1)).is_none());
-            assert!(matches!(received.try_recv(), Ok(Input::Unheard(MessageId(1)))));
+            assert!(matches!(received.try_recv(), Ok(Input::Unacknowledged(MessageId(1)))));
         }
         // Two requests sent without waiting, and both answers flushed at once: neither is forgotten.
         let receipt = receive();
         take(&receipt, 2);
         take(&receipt, 3);
-        receipt.wrote(b"HTTP/1.1 202 Accepted\r\n\r\nHTTP/1.1 202 Accepted\r\n\r\n");
-        receipt.flushed();
+        receipt.on_write(b"HTTP/1.1 202 Accepted\r\n\r\nHTTP/1.1 202 Accepted\r\n\r\n");
+        receipt.on_flush();
         drop(receipt);
         for id in [2, 3] {
             assert!(journal.borrow().get(MessageId(id)).is_some());
-            assert!(matches!(received.try_recv(), Ok(Input::Taken(m)) if m.id == MessageId(id)));
+            assert!(matches!(received.try_recv(), Ok(Input::Acknowledged(m)) if m.id == MessageId(id)));
         }
     });
 }
@@ -170,7 +170,7 @@
             let (inbound, mut received) = behind(folder.path());
             let address = "127.0.0.1:4".parse().expect("an address");
             let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
-            inbound.calls.list(EndpointId(1), Some(target));
+            inbound.calls.update_endpoint(EndpointId(1), Some(target));
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let mut client =
                 TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a connection");
@@ -203,7 +203,7 @@
             drop(client);
             served.await.expect("it ended");
             let said = String::from_utf8(said).expect("text");
-            let taken = matches!(received.try_recv(), Ok(Input::Taken(..)));
+            let taken = matches!(received.try_recv(), Ok(Input::Acknowledged(..)));
             // Promised or not: what is sent on has been promised, and what was not promised is forgotten.
             assert_eq!(taken, said.starts_with("HTTP/1.1 202"), "{said}");
             assert_eq!(inbound.journal.borrow().get(MessageId(0xa1)).is_some(), taken);
@@ -238,7 +238,7 @@
         let (inbound, _received) = behind(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
-        inbound.calls.list(EndpointId(1), Some(target));
+        inbound.calls.update_endpoint(EndpointId(1), Some(target));
         // The platform's socket: it was there before this process.
         let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
         let place = held.local_addr().expect("its address");
--- a/crates/daemon/src/copies/copying.rs
+++ b/crates/daemon/src/copies/copying.rs
@@ -261,7 +261,7 @@
                 Output::Adopted(id) => drop(self.inputs.send(Input::Adopted(MessageId(id.0)))),
                 Output::Lost(id) => {
                     self.journal.borrow_mut().end(MessageId(id.0));
-                    let _ = self.inputs.send(Input::Lost(MessageId(id.0)));
+                    let _ = self.inputs.send(Input::OwnershipLost(MessageId(id.0)));
                 }
                 Output::Say(event) => self.say(&event),
             }
--- a/crates/daemon/src/node.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -3,8 +3,9 @@
 use crate::calls::{Calls, Item, Target};
 use crate::clients::door::{Door, Shut};
 use crate::copies::copying::Copying;
+use crate::endpoint_list::{EndpointList, Member, State, endpoint};
+use crate::handover::protocol::State as Given;
 use crate::input::{Answer, CLOCK_START, Done, Input, Reply};
-use crate::listing::{Listing, Member, State, endpoint};
 use crate::operations::{No, Word};
 use crate::operators::flight::Flight;
 use crate::platform::discovery::Discovery;
@@ -16,7 +17,6 @@
 use crate::state::debts::written_verdict;
 use crate::state::duty::{Change, MOST_OUT};
 use crate::state::journal::{Journal, Open, Verdict};
-use crate::upgrade::handover::State as Given;
 use hyper::StatusCode;
 use notchpoint_policy::*;
 use std::cell::RefCell;
@@ -53,7 +53,7 @@
     });
 }
 
-pub struct Node {
+pub struct DecisionLoop {
     sender: Sender,
     terms: Rc<RefCell<Terms>>,
     kinds: Vec<Kind>,
@@ -106,7 +106,7 @@
 }
 
 /// What a node is made of.
-pub struct Parts {
+pub struct Components {
     pub journal: Rc<RefCell<Journal>>,
     pub terms: Rc<RefCell<Terms>>,
     pub calls: Rc<Calls>,
@@ -120,13 +120,13 @@
     pub inputs: UnboundedReceiver<Input>,
 }
 
-impl Node {
+impl DecisionLoop {
     /// A node that has the list known before, and all messages that an earlier process left open.
     pub fn new(
         config: &Config,
         text: &str,
         (elsewhere, unheard): (BTreeSet<MessageId>, BTreeSet<MessageId>),
-        parts: Parts,
+        parts: Components,
     ) -> Result<Self, SettingsError> {
         let sender = Sender::new(parts.terms.borrow().set.clone(), config.seed)?;
         let mut node = Self::build(sender, config, text, parts);
@@ -140,7 +140,7 @@
 
     /// A node that goes on where another process's was. What the journal holds is that process's as well:
     /// only notices are told again, since who was told is not known.
-    pub fn continued(config: &Config, given: Given, parts: Parts) -> Self {
+    pub fn continued(config: &Config, given: Given, parts: Components) -> Self {
         let unix = parts.journal.borrow().unix_now();
         let gap = unix.saturating_sub(given.unix);
         let mut node = Self::build(given.sender, config, &given.text, parts);
@@ -148,7 +148,7 @@
         let duty = node.journal.borrow().duty().clone();
         node.door.shut(Shut::Operators, duty.standby);
         duty.out.keys().for_each(|&id| node.calls.set_out(id, true));
-        let list = Listing { revision: given.revision, complete: true, members: given.members };
+        let list = EndpointList { revision: given.revision, complete: true, members: given.members };
         node.entries(&list, true);
         node.events = given.events;
         node.events.push(Event::Wake);
@@ -195,9 +195,20 @@
         (given, self.inputs)
     }
 
-    fn build(sender: Sender, config: &Config, text: &str, parts: Parts) -> Self {
-        let Parts { journal, terms, calls, copies, reports, discovery, peers, zoning, flight, door, inputs } =
-            parts;
+    fn build(sender: Sender, config: &Config, text: &str, parts: Components) -> Self {
+        let Components {
+            journal,
+            terms,
+            calls,
+            copies,
+            reports,
+            discovery,
+            peers,
+            zoning,
+            flight,
+            door,
+            inputs,
+        } = parts;
         Self {
             sender,
             terms,
@@ -466,25 +477,25 @@
         let event = match input {
             // Nothing is owed for it, and the record is gone. It is known here only where the folder was read
             // before its client had gone.
-            Input::Unheard(id) => {
+            Input::Unacknowledged(id) => {
                 self.unheard.remove(&id);
                 if !self.attempts.contains_key(&id) {
                     return;
                 }
                 self.withdraw(id)
             }
-            Input::EndedElsewhere { id, attempt, outcome, over } => {
+            Input::PredecessorAttemptEnded { id, attempt, outcome, over } => {
                 match self.ended_elsewhere(id, attempt, outcome, over) {
                     Some(event) => event,
                     None => return,
                 }
             }
-            Input::Orphaned(mut taken) => {
+            Input::PredecessorEnded(mut taken) => {
                 taken.append(&mut self.elsewhere);
                 taken.append(&mut self.unheard);
                 return self.resume(Some(&taken));
             }
-            Input::Configured(config, text) => {
+            Input::ConfigurationChanged(config, text) => {
                 self.unstored = Some((config, text));
                 match self.configure() {
                     Some(event) => event,
@@ -496,17 +507,17 @@
                 None => return,
             },
             Input::Adopted(id) => return self.adopt(id),
-            Input::Lost(id) => self.withdraw(id),
-            Input::Parked(id) => match self.park(id) {
+            Input::OwnershipLost(id) => self.withdraw(id),
+            Input::ConsentDenied(id) => match self.park(id) {
                 Some(event) => event,
                 None => return,
             },
-            Input::Doubtful(id) => return self.reports.push(id, Verdict::Dead),
-            Input::Rested(id) => return self.resume(Some(&BTreeSet::from([id]))),
-            Input::Operator(word, reply) => return self.word(word, reply),
-            Input::GivesWay(wanted) => return self.door.shut(Shut::Zone, wanted),
+            Input::DeliveryUncertain(id) => return self.reports.push(id, Verdict::Dead),
+            Input::PauseElapsed(id) => return self.resume(Some(&BTreeSet::from([id]))),
+            Input::OperatorCommand(word, reply) => return self.word(word, reply),
+            Input::RedirectClients(wanted) => return self.door.shut(Shut::Zone, wanted),
             Input::Event(event) => event,
-            Input::Taken(accepted) => {
+            Input::Acknowledged(accepted) => {
                 self.unheard.remove(&accepted.id);
                 // Taken up from the folder already, and perhaps over.
                 let known = self.attempts.contains_key(&accepted.id);
@@ -516,13 +527,13 @@
                 self.attempts.insert(accepted.id, Attempts::default());
                 Event::Taken(accepted.message(self.left(accepted.id)))
             }
-            Input::Listed(news) => {
+            Input::ListUpdate(news) => {
                 let entries = self.entries(&news, news.complete);
                 Event::List(if news.complete { ListNews::Whole(entries) } else { ListNews::Changes(entries) })
             }
             // It may have ended just before another took its place.
-            Input::Unlisted(number) if !self.discovery.is_current(number) => return,
-            Input::Unlisted(_) => Event::List(ListNews::Unavailable),
+            Input::WatchEnded(number) if !self.discovery.is_current(number) => return,
+            Input::WatchEnded(_) => Event::List(ListNews::Unavailable),
         };
         if let Event::Ended { id, .. } = event {
             let open = self.journal.borrow().get(id).is_some_and(|m| m.verdict.is_none());
@@ -568,13 +579,13 @@
         let inputs = self.calls.inputs();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(rests).await;
-            let _ = inputs.send(Input::Rested(id));
+            let _ = inputs.send(Input::PauseElapsed(id));
         });
         Some(Event::Withdrawn(id))
     }
 
     /// Enters a list where calls are made from, and turns it into the module's form.
-    fn entries(&mut self, news: &Listing, whole: bool) -> Vec<Entry> {
+    fn entries(&mut self, news: &EndpointList, whole: bool) -> Vec<Entry> {
         let entries: Vec<Entry> = news.members.iter().map(|m| self.entry(m)).collect();
         if whole {
             self.members.clear();
@@ -589,14 +600,14 @@
         if whole {
             let named: HashSet<_> = entries.iter().map(|e| e.endpoint).collect();
             let left = self.calls.listed().into_iter().filter(|id| !named.contains(id));
-            left.for_each(|id| self.calls.list(id, None));
+            left.for_each(|id| self.calls.update_endpoint(id, None));
         }
         for (e, m) in entries.iter().zip(&news.members) {
             // The module makes no use of an endpoint whose kind the settings do not name.
             let Some(&Kind { apart, bundle }) = self.kinds.get(e.kind as usize) else { continue };
             let (live, bundle) = (e.phase == Phase::Live, bundle as usize);
             let target = Target { address: m.host_port, dest: e.dest, live, apart, bundle };
-            self.calls.list(e.endpoint, (e.phase != Phase::Gone).then_some(target));
+            self.calls.update_endpoint(e.endpoint, (e.phase != Phase::Gone).then_some(target));
             self.flight.name(e.endpoint, &m.id);
             if let Some(zoning) = &self.zoning {
                 zoning.list(e.endpoint, e.dest, &m.locality, e.phase == Phase::Gone);
@@ -759,7 +770,7 @@
         if self.journal.borrow().get(id).is_none() {
             return;
         }
-        self.calls.reasons.given_up(verdict);
+        self.calls.reasons.count_notice(verdict);
         tracing::debug!("message {:016x} is given up: {verdict:?}", id.0);
         match (&self.copies, verdict) {
             (Some(copies), Verdict::Bounced(_)) if self.is_careful(id) => {
--- a/crates/daemon/src/listing.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -8,7 +8,7 @@
 /// The list, or what changed in it.
 #[derive(Clone, Debug, Default, Deserialize)]
 #[serde(from = "Told")]
-pub struct Listing {
+pub struct EndpointList {
     pub revision: u64,
     pub complete: bool,
     pub members: Vec<Member>,
@@ -23,7 +23,7 @@
     members: Vec<Box<RawValue>>,
 }
 
-impl From<Told> for Listing {
+impl From<Told> for EndpointList {
     /// Members that cannot be read are passed over. A list with some of them counts as incomplete: that a
     /// member could not be read does not mean that it has gone.
     fn from(told: Told) -> Self {
--- a/crates/daemon/src/upgrade.rs
+++ b/crates/daemon/src/handover.rs
@@ -1,5 +1,5 @@
 //! How one process takes over from another.
 
-pub mod handover;
-pub mod passage;
+pub mod protocol;
 pub mod successor;
+pub mod transport;
--- a/crates/daemon/src/upgrade/handover.rs
+++ b/crates/daemon/src/handover/protocol.rs
@@ -5,8 +5,8 @@
 //! the new one opens the store, says [`Frame::Owned`], and owns from then on. What is still open at the old
 //! one, calls and half-read requests, ends there, and every end is told to the owner.
 
-use crate::input::{Accepted, Input};
-use crate::listing::Member;
+use crate::endpoint_list::Member;
+use crate::input::{AcceptedMessage, Input};
 use crate::operations::No;
 use hyper::StatusCode;
 use notchpoint_policy::{
@@ -56,7 +56,7 @@
 
 /// A request that the old process has read and the owner is to record.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Handed {
+pub struct ForwardedRequest {
     pub id: MessageId,
     pub tag: String,
     pub tenant: String,
@@ -69,11 +69,11 @@
 
 /// What the owner says of such a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Taken {
+pub enum ForwardResult {
     /// Recorded, in this place of classes.
-    Yes { class: u32 },
+    Recorded { class: u32 },
     /// No room: the client is told when to come back.
-    ComeBack,
+    RetryLater,
     /// An id that is in use.
     Conflict,
 }
@@ -91,13 +91,13 @@
     /// New: stop waiting for an attempt.
     Cancel { id: MessageId, attempt: u32 },
     /// Old: a request was read whole.
-    Handed { number: u64, handed: Handed },
+    ForwardRequest { number: u64, handed: ForwardedRequest },
     /// New: what became of it.
-    Answer { number: u64, taken: Taken },
+    Answer { number: u64, taken: ForwardResult },
     /// Old: a client can have heard that its message was taken on.
-    Heard(Accepted),
+    Acknowledged(AcceptedMessage),
     /// Old: a client did not hear it, and its message is withdrawn.
-    Unheard(MessageId),
+    Unacknowledged(MessageId),
 }
 
 impl std::fmt::Debug for Frame {
@@ -108,10 +108,10 @@
             Self::Owned => "Owned",
             Self::Ended { .. } => "Ended",
             Self::Cancel { .. } => "Cancel",
-            Self::Handed { .. } => "Handed",
+            Self::ForwardRequest { .. } => "Handed",
             Self::Answer { .. } => "Answer",
-            Self::Heard(_) => "Heard",
-            Self::Unheard(_) => "Unheard",
+            Self::Acknowledged(_) => "Heard",
+            Self::Unacknowledged(_) => "Unheard",
         })
     }
 }
@@ -150,12 +150,12 @@
         Input::Event(Event::Ended { id, attempt, outcome, over, allowance }) => {
             Some(Frame::Ended { id, attempt, outcome, over, allowance })
         }
-        Input::EndedElsewhere { id, attempt, outcome, over } => {
+        Input::PredecessorAttemptEnded { id, attempt, outcome, over } => {
             Some(Frame::Ended { id, attempt, outcome, over, allowance: None })
         }
-        Input::Taken(accepted) => Some(Frame::Heard(accepted)),
-        Input::Unheard(id) => Some(Frame::Unheard(id)),
-        Input::Operator(_, reply) => {
+        Input::Acknowledged(accepted) => Some(Frame::Acknowledged(accepted)),
+        Input::Unacknowledged(id) => Some(Frame::Unacknowledged(id)),
+        Input::OperatorCommand(_, reply) => {
             let why = "another process has taken over: ask at its address";
             reply.give(Err(No::new(StatusCode::SERVICE_UNAVAILABLE, why)));
             None
--- a/crates/daemon/src/upgrade/successor.rs
+++ b/crates/daemon/src/handover/successor.rs
@@ -1,6 +1,6 @@
 //! The process that has taken over, as the old one sees it: what is still read here is recorded there.
 
-use crate::upgrade::handover::{Frame, Handed, Taken};
+use crate::handover::protocol::{ForwardResult, ForwardedRequest, Frame};
 use notchpoint_policy::MessageId;
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,8 +16,8 @@
 
 /// A request that waits for an answer.
 struct Asked {
-    handed: Handed,
-    answer: oneshot::Sender<Taken>,
+    handed: ForwardedRequest,
+    answer: oneshot::Sender<ForwardResult>,
 }
 
 impl Successor {
@@ -27,16 +27,16 @@
 
     /// Has a request recorded. Where nobody answers any more, nothing was promised, and the client is told to
     /// come back. If this is dropped, since the client has gone, the record is withdrawn.
-    pub async fn take(&self, handed: Handed) -> Taken {
+    pub async fn forward(&self, handed: ForwardedRequest) -> ForwardResult {
         let number = self.next.replace(self.next.get() + 1);
         let (answer, answered) = oneshot::channel();
         let mut waiting = Waiting { successor: self, id: handed.id, answered };
-        self.send(Frame::Handed { number, handed: handed.clone() });
+        self.send(Frame::ForwardRequest { number, handed: handed.clone() });
         self.asked.borrow_mut().insert(number, Asked { handed, answer });
-        (&mut waiting.answered).await.unwrap_or(Taken::ComeBack)
+        (&mut waiting.answered).await.unwrap_or(ForwardResult::RetryLater)
     }
 
-    pub fn answered(&self, number: u64, taken: Taken) {
+    pub fn answered(&self, number: u64, taken: ForwardResult) {
         let Some(Asked { handed, answer }) = self.asked.borrow_mut().remove(&number) else { return };
         if answer.send(taken) == Err(taken) {
             self.withdraw(handed.id, taken);
@@ -44,7 +44,7 @@
     }
 
     /// Requests that wait for an answer.
-    pub fn asked(&self) -> BTreeSet<MessageId> {
+    pub fn pending(&self) -> BTreeSet<MessageId> {
         self.asked.borrow().values().map(|asked| asked.handed.id).collect()
     }
 
@@ -58,7 +58,7 @@
     pub fn replaced_by(&self, to: UnboundedSender<Frame>) {
         *self.to.borrow_mut() = to;
         for (&number, asked) in &*self.asked.borrow() {
-            self.send(Frame::Handed { number, handed: asked.handed.clone() });
+            self.send(Frame::ForwardRequest { number, handed: asked.handed.clone() });
         }
     }
 
@@ -71,9 +71,9 @@
         let _ = self.to.borrow().send(frame);
     }
 
-    fn withdraw(&self, id: MessageId, taken: Taken) {
-        if matches!(taken, Taken::Yes { .. }) {
-            self.send(Frame::Unheard(id));
+    fn withdraw(&self, id: MessageId, taken: ForwardResult) {
+        if matches!(taken, ForwardResult::Recorded { .. }) {
+            self.send(Frame::Unacknowledged(id));
         }
     }
 }
@@ -82,7 +82,7 @@
 struct Waiting<'a> {
     successor: &'a Successor,
     id: MessageId,
-    answered: oneshot::Receiver<Taken>,
+    answered: oneshot::Receiver<ForwardResult>,
 }
 
 impl Drop for Waiting<'_> {
--- a/crates/daemon/src/upgrade/passage.rs
+++ b/crates/daemon/src/handover/transport.rs
@@ -1,7 +1,7 @@
 //! Moves the frames of a hand-over between two processes. What they mean is in `handover.rs`.
 
+use crate::handover::protocol::{Frame, HELLO, State, greeted, hello};
 use crate::io::{read_exactly, write_all};
-use crate::upgrade::handover::{Frame, HELLO, State, greeted, hello};
 use notchpoint_seam::{Listener, Network, Stream, net::accept};
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -1,6 +1,6 @@
 //! What the parts of the program tell the node. It stands apart, so that no part imports the node.
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use crate::operations::{No, Word};
 use crate::settings::config::Config;
 use notchpoint_policy::{DestinationId, Event, Message, MessageId, Micros, Outcome};
@@ -16,7 +16,7 @@
 /// A message that was taken on. What is left of its time stands in its record alone: counted here as well, it
 /// would run from a later moment behind a slow disk or on its way from another process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Accepted {
+pub struct AcceptedMessage {
     pub id: MessageId,
     /// By position, as the tenant.
     pub class: u32,
@@ -26,7 +26,7 @@
     pub again: bool,
 }
 
-impl Accepted {
+impl AcceptedMessage {
     /// What the decisions are told of it.
     pub fn message(&self, expires_in: Micros) -> Message {
         let Self { id, class, tenant, dest, again } = *self;
@@ -39,18 +39,18 @@
 pub enum Input {
     Event(Event),
     /// A message was taken on, and its client can have heard it.
-    Taken(Accepted),
-    Listed(Listing),
+    Acknowledged(AcceptedMessage),
+    ListUpdate(EndpointList),
     /// The watch with this number failed or ended.
-    Unlisted(u64),
+    WatchEnded(u64),
     /// A new configuration, checked whole, and its text.
-    Configured(Box<Config>, String),
+    ConfigurationChanged(Box<Config>, String),
     /// A configuration that the store did not take is to be tried again.
     RetryConfiguration,
     /// The client of a message that was recorded did not hear of it; the record is gone.
-    Unheard(MessageId),
+    Unacknowledged(MessageId),
     /// An attempt that was out in an earlier life has ended.
-    EndedElsewhere {
+    PredecessorAttemptEnded {
         id: MessageId,
         attempt: u32,
         outcome: Outcome,
@@ -58,21 +58,21 @@
         over: bool,
     },
     /// The process before this one has ended: what it had recorded and not told of is taken up.
-    Orphaned(BTreeSet<MessageId>),
+    PredecessorEnded(BTreeSet<MessageId>),
     /// A message that another sender had promised is this one's, and stands in the journal.
     Adopted(MessageId),
     /// A message is another sender's: nothing is owed for it here, and its record is gone.
-    Lost(MessageId),
+    OwnershipLost(MessageId),
     /// An attempt of this message was not made, since others did not consent: it rests.
-    Parked(MessageId),
+    ConsentDenied(MessageId),
     /// A message was answered so late that its answer may not count.
-    Doubtful(MessageId),
+    DeliveryUncertain(MessageId),
     /// A message has rested.
-    Rested(MessageId),
+    PauseElapsed(MessageId),
     /// Clients are sent elsewhere, or again here: the zone in which this sender stands was left.
-    GivesWay(bool),
+    RedirectClients(bool),
     /// An operator's word, and where it is answered once it holds.
-    Operator(Word, Reply),
+    OperatorCommand(Word, Reply),
 }
 
 /// What a word came to.
--- a/crates/daemon/src/io.rs
+++ b/crates/daemon/src/io.rs
@@ -25,7 +25,7 @@
 
 /// Whether an error of `connect` is of this machine, which lacks a socket, a port, memory or a route: all
 /// that Linux documents for `socket` and `connect` but what the other side, or the way there, has said.
-pub fn is_local(why: &io::Error) -> bool {
+pub fn is_local_error(why: &io::Error) -> bool {
     !matches!(
         why.kind(),
         ErrorKind::ConnectionRefused
@@ -121,20 +121,20 @@
 
 pub trait Observer {
     /// These bytes came from the peer, and are handed on.
-    fn read(&self, bytes: &[u8]);
+    fn on_read(&self, bytes: &[u8]);
     /// These bytes were handed to the system.
-    fn wrote(&self, bytes: &[u8]);
+    fn on_write(&self, bytes: &[u8]);
     /// Nothing is left unwritten.
-    fn flushed(&self) {}
+    fn on_flush(&self) {}
 }
 
 /// Nobody looks on.
 impl Observer for () {
-    fn read(&self, _: &[u8]) {}
-    fn wrote(&self, _: &[u8]) {}
+    fn on_read(&self, _: &[u8]) {}
+    fn on_write(&self, _: &[u8]) {}
 }
 
-pub struct Observed<O> {
+pub struct ObservedStream<O> {
     stream: Rc<dyn Stream>,
     observer: O,
     reading: Rest,
@@ -144,7 +144,7 @@
 /// One direction of a connection rests for this while its operations fail.
 type Rest = Option<Pin<Box<Sleep>>>;
 
-impl<O> Observed<O> {
+impl<O> ObservedStream<O> {
     pub fn new(stream: Rc<dyn Stream>, observer: O) -> Self {
         Self { stream, observer, reading: None, writing: None }
     }
@@ -175,7 +175,7 @@
     }
 }
 
-impl<O: Observer + Unpin> Read for Observed<O> {
+impl<O: Observer + Unpin> Read for ObservedStream<O> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -186,23 +186,23 @@
         let Self { stream, reading, .. } = &mut *self;
         let ready = |cx: &mut Context<'_>| stream.poll_read_ready(cx);
         let n = ready!(attempt(cx, reading, ready, || stream.try_read(&mut block[..room])))?;
-        self.observer.read(&block[..n]);
+        self.observer.on_read(&block[..n]);
         buf.put_slice(&block[..n]);
         Poll::Ready(Ok(()))
     }
 }
 
-impl<O: Observer + Unpin> Write for Observed<O> {
+impl<O: Observer + Unpin> Write for ObservedStream<O> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         let Self { stream, writing, .. } = &mut *self;
         let ready = |cx: &mut Context<'_>| stream.poll_write_ready(cx);
         let n = ready!(attempt(cx, writing, ready, || stream.try_write(buf)))?;
-        self.observer.wrote(&buf[..n]);
+        self.observer.on_write(&buf[..n]);
         Poll::Ready(Ok(n))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
-        self.observer.flushed();
+        self.observer.on_flush();
         Poll::Ready(Ok(()))
     }
 
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -4,10 +4,10 @@
 use crate::clients::door::{Door, Shut};
 use crate::copies::copying::Copying;
 use crate::input::{Input, Reply};
-use crate::io::Observed;
+use crate::io::ObservedStream;
 use crate::operations::{self, Asked, No, Word};
 use crate::platform::zoning::Zoning;
-use crate::reasons::Reasons;
+use crate::reasons::ReasonCounts;
 use crate::settings::descriptors::OPERATORS;
 use crate::state::safety::Safety;
 use bytes::Bytes;
@@ -57,7 +57,7 @@
 pub struct Shown {
     pub copies: Option<Rc<Copying>>,
     pub zoning: Option<Rc<Zoning>>,
-    pub reasons: Rc<Reasons>,
+    pub reasons: Rc<ReasonCounts>,
 }
 
 struct Desk {
@@ -150,7 +150,7 @@
     let served = http1::Builder::new()
         .keep_alive(false)
         .max_buf_size(HEAD)
-        .serve_connection(Observed::new(stream, ()), service);
+        .serve_connection(ObservedStream::new(stream, ()), service);
     let _ = served.await;
 }
 
@@ -191,7 +191,7 @@
         _ => "active",
     };
     let mut said = serde_json::json!({ "ok": true, "name": desk.name, "state": state });
-    said["reasons"] = desk.shown.reasons.shown();
+    said["reasons"] = desk.shown.reasons.to_json();
     if let Some(copies) = &desk.shown.copies {
         said["copies"] = copies.status();
     }
@@ -206,7 +206,7 @@
     let late =
         || No::new(StatusCode::SERVICE_UNAVAILABLE, "the sender did not come to it in time; ask again");
     let (reply, answered) = oneshot::channel();
-    let _ = desk.inputs.send(Input::Operator(word, Reply(reply)));
+    let _ = desk.inputs.send(Input::OperatorCommand(word, Reply(reply)));
     let done = timeout(NODE_WITHIN, answered).await.map_err(|_| late())?.map_err(|_| late())??;
     if !desk.safety.reached(&done.mark, SAFE_WITHIN).await {
         return Err(late());
--- a/crates/daemon/src/platform/discovery.rs
+++ b/crates/daemon/src/platform/discovery.rs
@@ -5,11 +5,11 @@
 //! attempt that began before the service could be reached takes [`ANSWER`], and the module's rest after it
 //! as much at most. Either way the attempt that succeeds begins a second before at the latest.
 
+use crate::endpoint_list::EndpointList;
 use crate::input::Input;
-use crate::io::{Observed, is_local};
-use crate::listing::Listing;
+use crate::io::{ObservedStream, is_local_error};
 use crate::platform::values::{Piece, Values};
-use crate::rare_warning::RareWarning;
+use crate::rate_limited_warning::RateLimitedWarning;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
@@ -88,7 +88,7 @@
         let number = self.number.get() + 1;
         self.number.set(number);
         let task = tokio::task::spawn_local(async move {
-            let trouble = RareWarning::default();
+            let trouble = RateLimitedWarning::default();
             loop {
                 let ended = follow(&*net, address, &revision, &inputs).await;
                 match ended {
@@ -97,7 +97,7 @@
                         "discovery: the watch fell silent, or a value was spoilt; watching anew"
                     ),
                     Err(Failure::Local(why)) => {
-                        trouble.tell(&format_args!("discovery: a connection cannot be made here: {why}"));
+                        trouble.warn(&format_args!("discovery: a connection cannot be made here: {why}"));
                         sleep(LOCAL_REST).await;
                     }
                     Err(Failure::Watch(why)) => {
@@ -106,7 +106,7 @@
                     }
                 }
             }
-            let _ = inputs.send(Input::Unlisted(number));
+            let _ = inputs.send(Input::WatchEnded(number));
         });
         if let Some(old) = self.watch.borrow_mut().replace(task.abort_handle()) {
             old.abort();
@@ -144,9 +144,9 @@
 ) -> Result<Silent, Failure> {
     let begun = Instant::now();
     let stream = timeout(CONNECTING, net.connect(address)).await?;
-    let stream = stream.map_err(|why| if is_local(&why) { Failure::Local(why) } else { why.into() })?;
+    let stream = stream.map_err(|why| if is_local_error(&why) { Failure::Local(why) } else { why.into() })?;
     let _ = stream.set_nodelay(); // Without it small writes wait, and still arrive.
-    let (mut sender, driver) = http1::handshake(Observed::new(stream, ())).await?;
+    let (mut sender, driver) = http1::handshake(ObservedStream::new(stream, ())).await?;
     let driver = tokio::task::spawn_local(driver);
     let _closed_with_the_watch = AbortOnDrop(driver.abort_handle());
     let request = Request::get(format!("/discovery/hosts?stream=1&index={}", revision.get()))
@@ -178,7 +178,7 @@
                 }
                 Piece::List(news) => news,
                 // Also an empty line answers the watch.
-                Piece::Heartbeat => Listing { revision: known, ..Listing::default() },
+                Piece::Heartbeat => EndpointList { revision: known, ..EndpointList::default() },
                 // The values after it may well be sound.
                 Piece::Spoilt(why) => {
                     tracing::warn!("discovery: a value: {why}; what it told is asked for again");
@@ -194,7 +194,7 @@
             if missing.is_none() {
                 revision.set(known);
             }
-            let _ = inputs.send(Input::Listed(news));
+            let _ = inputs.send(Input::ListUpdate(news));
         }
         cut?;
     }
--- a/crates/daemon/src/platform/reports.rs
+++ b/crates/daemon/src/platform/reports.rs
@@ -1,6 +1,6 @@
 //! Notices to the platform. When they are told is decided in `notices.rs`; here they are posted.
 
-use crate::io::Observed;
+use crate::io::ObservedStream;
 use crate::platform::notices::{Notices, Start};
 use crate::state::journal::{Journal, Verdict};
 use bytes::Bytes;
@@ -149,7 +149,7 @@
             _ => {
                 let stream = self.net.connect(self.address.get()).await?;
                 let _ = stream.set_nodelay(); // Without it small writes wait, and still arrive.
-                let (sender, driver) = http1::handshake(Observed::new(stream, ())).await?;
+                let (sender, driver) = http1::handshake(ObservedStream::new(stream, ())).await?;
                 tokio::task::spawn_local(driver);
                 sender
             }
--- a/crates/daemon/src/platform/values.rs
+++ b/crates/daemon/src/platform/values.rs
@@ -1,6 +1,6 @@
 //! Cuts what comes on a watch into JSON objects, compact or indented, and empty lines: free of I/O and clock.
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 
 /// A longer value is no list.
 pub const LONGEST: usize = 4 << 20;
@@ -8,7 +8,7 @@
 /// A piece of a watch.
 #[derive(Debug)]
 pub enum Piece {
-    List(Listing),
+    List(EndpointList),
     /// An empty line between two values: nothing has changed.
     Heartbeat,
     /// What can be made nothing of, and why.
--- a/crates/daemon/src/platform/zoning.rs
+++ b/crates/daemon/src/platform/zoning.rs
@@ -138,7 +138,7 @@
         let pace = wanted.leave.then(|| Pace::new(*cold));
         let mut machine = self.machine.borrow_mut();
         machine.retune(wanted.rules(self.numbers.fleet as usize), pace, wanted.pinned());
-        let _ = self.inputs.send(Input::GivesWay(wanted.give_way && machine.gives_way()));
+        let _ = self.inputs.send(Input::RedirectClients(wanted.give_way && machine.gives_way()));
     }
 
     fn now(&self) -> u64 {
@@ -235,7 +235,7 @@
             true => tracing::warn!("zones: this sender's zone is left: clients are sent elsewhere"),
             false => tracing::info!("zones: clients may come here again"),
         }
-        let _ = self.inputs.send(Input::GivesWay(wanted));
+        let _ = self.inputs.send(Input::RedirectClients(wanted));
     }
 
     fn carry_out(&self, out: Vec<Output>, post: Option<&Post>) {
--- a/crates/daemon/src/rare_warning.rs
+++ b/crates/daemon/src/rate_limited_warning.rs
@@ -9,14 +9,14 @@
 
 /// Warnings of one kind. Those that come too soon behind another are counted, and told of with the next.
 #[derive(Debug, Default)]
-pub struct RareWarning {
+pub struct RateLimitedWarning {
     last: Cell<Option<Instant>>,
     dropped: Cell<u64>,
 }
 
-impl RareWarning {
+impl RateLimitedWarning {
     /// Writes a warning, or counts it.
-    pub fn tell(&self, what: &dyn Display) {
+    pub fn warn(&self, what: &dyn Display) {
         if self.last.get().is_some_and(|at| at.elapsed() < SPAN) {
             return self.dropped.set(self.dropped.get() + 1);
         }
--- a/crates/daemon/src/reasons.rs
+++ b/crates/daemon/src/reasons.rs
@@ -44,7 +44,7 @@
 
 /// How often what happened for which reason, since the start.
 #[derive(Debug, Default)]
-pub struct Reasons {
+pub struct ReasonCounts {
     refusals: Counts<Refusal>,
     closes: Counts<Close>,
     attempts: Counts<&'static str>,
@@ -55,30 +55,30 @@
     *counts.borrow_mut().entry(key).or_default() += 1;
 }
 
-impl Reasons {
+impl ReasonCounts {
     /// A request was refused.
-    pub fn refused(&self, why: Refusal) {
+    pub fn count_refusal(&self, why: Refusal) {
         count(&self.refusals, why);
     }
 
     /// A client's connection ended.
-    pub fn closed(&self, why: Close) {
+    pub fn count_close(&self, why: Close) {
         count(&self.closes, why);
     }
 
     /// An attempt ended.
-    pub fn attempted(&self, outcome: Outcome) {
+    pub fn count_attempt(&self, outcome: Outcome) {
         count(&self.attempts, outcome_name(outcome));
     }
 
     /// A message was given up.
-    pub fn given_up(&self, verdict: Verdict) {
+    pub fn count_notice(&self, verdict: Verdict) {
         let name = if verdict == Verdict::Dead { "Dead" } else { "Bounced" };
         count(&self.notices, name);
     }
 
     /// All counts, as operators see them.
-    pub fn shown(&self) -> serde_json::Value {
+    pub fn to_json(&self) -> serde_json::Value {
         serde_json::json!({
             "refusals": named(&self.refusals),
             "closes": named(&self.closes),
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -5,15 +5,18 @@
 use crate::clients::inbound::Inbound;
 use crate::clients::queue::Queue;
 use crate::copies::copying::Copying;
+use crate::decision_loop::{Components, DecisionLoop};
+use crate::handover::protocol::{ForwardResult, Frame, Next, State, after_silence, told};
+use crate::handover::successor::Successor;
+use crate::handover::transport::{self, Ends, Found};
 use crate::input::Input;
-use crate::node::{Node, Parts};
 use crate::operators::admin::{self, Admin, Shown};
 use crate::operators::flight::Flight;
 use crate::platform::discovery::Discovery;
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
 use crate::platform::zoning::Zoning;
-use crate::rare_warning::RareWarning;
+use crate::rate_limited_warning::RateLimitedWarning;
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
 use crate::settings::operator::{self, Operator};
@@ -23,9 +26,6 @@
 use crate::state::journal::{Journal, Open};
 use crate::state::safety::Safety;
 use crate::state::storage;
-use crate::upgrade::handover::{Frame, Next, State, Taken, after_silence, told};
-use crate::upgrade::passage::{self, Ends, Found};
-use crate::upgrade::successor::Successor;
 use notchpoint_policy::{MessageId, Micros};
 use notchpoint_seam::{Clock, ConfigSource, Disk, Listener, Network, Signal, World};
 use std::cell::{Cell, RefCell};
@@ -100,7 +100,7 @@
     let told = Rc::new(Told { operator: operator.clone(), ..Told::default() });
     let source = Rc::new(source);
     tokio::task::spawn_local(told.clone().heed(signals, source.clone()));
-    let trouble = RareWarning::default();
+    let trouble = RateLimitedWarning::default();
     let fixed = Fixed { net, clock, disk, accept, operator, operators, told, trouble };
     let own = match fixed.patiently("the configuration", || source()).await {
         Ok(None) => return Ok(()),
@@ -172,7 +172,7 @@
     operators: Rc<Admin>,
     told: Rc<Told>,
     /// What fails while it starts.
-    trouble: RareWarning,
+    trouble: RateLimitedWarning,
 }
 
 impl Fixed {
@@ -193,13 +193,13 @@
 
     /// Opens the place where the next process asks this one to hand over; tried again where it cannot be had.
     fn place_for_hand_over(&self) -> Option<Rc<dyn Listener>> {
-        let place = self.net.listen_within(passage::PLACE);
-        place.inspect_err(|e| self.trouble.tell(&format_args!("no hand-over is possible yet: {e}"))).ok()
+        let place = self.net.listen_within(transport::PLACE);
+        place.inspect_err(|e| self.trouble.warn(&format_args!("no hand-over is possible yet: {e}"))).ok()
     }
 
     /// Asks who serves to hand over.
     async fn ask(&self) -> Before {
-        match passage::ask(&*self.net).await {
+        match transport::ask(&*self.net).await {
             Found::Nobody => Before::Nobody,
             Found::Refused(why) => {
                 tracing::warn!("hand-over: {why}; waiting for the store");
@@ -231,7 +231,7 @@
                     }
                 }
                 Err(notchpoint_store::Error::Io(e)) if startup::may_pass(&e, begun) => {
-                    self.trouble.tell(&format_args!("the folder cannot be opened yet: {e}"));
+                    self.trouble.warn(&format_args!("the folder cannot be opened yet: {e}"));
                 }
                 Err(e) => return Err(storage::explained(e)),
             }
@@ -341,7 +341,7 @@
             calls.watched_by(zoning.clone());
             zoning.begin(peers.as_ref().map(Peers::post));
         }
-        let parts = Parts {
+        let parts = Components {
             flight,
             journal: journal.clone(),
             terms: terms.clone(),
@@ -380,14 +380,14 @@
                 tokio::task::spawn_local(inherit(inbound.clone(), ends, BTreeSet::new()));
                 // One that is silent: the watch is begun anew, from where the other's had come.
                 discovery.watch();
-                Node::continued(&config, *state, parts)
+                DecisionLoop::continued(&config, *state, parts)
             }
             Before::Rest(ends, left) => {
                 calls.adopt(&[], &[], ends.to.clone());
                 tokio::task::spawn_local(inherit(inbound.clone(), ends, left.unheard.clone()));
-                Node::new(&config, &text, (left.out, left.unheard), parts)?
+                DecisionLoop::new(&config, &text, (left.out, left.unheard), parts)?
             }
-            Before::Nobody => Node::new(&config, &text, Default::default(), parts)?,
+            Before::Nobody => DecisionLoop::new(&config, &text, Default::default(), parts)?,
         };
         // What was left open is taken up: only now is the sender ready.
         let listener = match &self.accept {
@@ -417,7 +417,7 @@
             }
             let asking = async {
                 match &asked {
-                    Some(listener) => return Some(passage::asked(&**listener).await),
+                    Some(listener) => return Some(transport::asked(&**listener).await),
                     None if self.accept.is_some() => sleep(PLACE_AGAIN).await,
                     None => pending().await,
                 }
@@ -434,7 +434,7 @@
             let released = journal.borrow_mut().release();
             if let Err(why) = released {
                 tracing::warn!("hand-over: the store cannot be given up: {why}");
-                passage::refuse(&*stream, &why.to_string()).await;
+                transport::refuse(&*stream, &why.to_string()).await;
                 continue;
             }
             accepting.abort();
@@ -445,7 +445,7 @@
             door.given.set(true);
             let (mut state, received) = node.give();
             state.queue_seen_empty = inbound.queue_seen_empty().map(|ago| ago.as_micros() as Micros);
-            let (ends, written) = passage::give(stream, state.clone());
+            let (ends, written) = transport::give(stream, state.clone());
             *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(ends.to.clone())));
             door.close.say();
             self.operators.close();
@@ -509,12 +509,12 @@
             Frame::Ended { id, attempt, outcome, over, allowance } => {
                 inbound.calls.adopted_ended(id, attempt, End { outcome, over, allowance });
             }
-            Frame::Handed { number, handed } => {
+            Frame::ForwardRequest { number, handed } => {
                 let (inbound, to, recorded, id) = (inbound.clone(), to.clone(), taken.clone(), handed.id);
                 let before = unheard.contains(&id);
                 tokio::task::spawn_local(async move {
                     let taken = crate::clients::inbound::take_over(&inbound, handed, before).await;
-                    if matches!(taken, Taken::Yes { .. }) {
+                    if matches!(taken, ForwardResult::Recorded { .. }) {
                         match &mut *recorded.borrow_mut() {
                             Some(ids) => _ = ids.insert(id),
                             // Who asked has ended meanwhile, and its client with it.
@@ -524,14 +524,14 @@
                     let _ = to.send(Frame::Answer { number, taken });
                 });
             }
-            Frame::Heard(accepted) => {
+            Frame::Acknowledged(accepted) => {
                 forget(accepted.id);
-                let _ = inbound.inputs.send(Input::Taken(accepted));
+                let _ = inbound.inputs.send(Input::Acknowledged(accepted));
             }
-            Frame::Unheard(id) => {
+            Frame::Unacknowledged(id) => {
                 forget(id);
                 inbound.journal.borrow_mut().end(id);
-                let _ = inbound.inputs.send(Input::Unheard(id));
+                let _ = inbound.inputs.send(Input::Unacknowledged(id));
             }
             other => tracing::warn!("hand-over: {other:?} came from the process before"),
         }
@@ -539,7 +539,7 @@
     tracing::info!("hand-over: the process before has ended");
     inbound.calls.orphan();
     let taken = taken.take().unwrap_or_default();
-    let _ = inbound.inputs.send(Input::Orphaned(taken));
+    let _ = inbound.inputs.send(Input::PredecessorEnded(taken));
 }
 
 /// What is left of a life whose store and decisions another process has.
@@ -609,7 +609,7 @@
             return None;
         }
         tracing::warn!("hand-over: the new process has ended; this one serves again ({next:?})");
-        let (near, far) = passage::pair();
+        let (near, far) = transport::pair();
         self.told.drain(..).for_each(|frame| drop(near.to.send(frame)));
         let out = state.out.iter().map(|o| o.0).collect();
         let left = Left { out, unheard: self.inbound.unheard() };
@@ -747,7 +747,7 @@
         match terms::read(&text, &life.in_force) {
             Ok(config) => {
                 life.in_force.clone_from(&text);
-                let _ = life.inputs.send(Input::Configured(Box::new(config), text));
+                let _ = life.inputs.send(Input::ConfigurationChanged(Box::new(config), text));
             }
             Err(wrong) => {
                 tracing::warn!("the configuration stays as it was; mistakes in the new one: {}", wrong.len());
--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -1,7 +1,7 @@
 //! Reads `config.json` into what the program and the module need. Unknown keys are passed over, since
 //! settings may gain some; waits are rounded up, deadlines down.
 
-use crate::listing::Listing;
+use crate::endpoint_list::EndpointList;
 use notchpoint_policy::*;
 use serde::Deserialize;
 use std::fmt;
@@ -49,7 +49,7 @@
     pub memory: u64,
     /// Bytes that the lasting folder may hold.
     pub disk: u64,
-    pub known: Listing,
+    pub known: EndpointList,
     pub settings: Settings,
     pub names: Names,
 }
@@ -77,7 +77,7 @@
     seed: serde_json::Value,
     limits: Limits,
     #[serde(default)]
-    known: Listing,
+    known: EndpointList,
     settings: Told,
 }
 
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,7 +1,7 @@
 //! A start that meets an error of a moment waits for it to pass: a process that ends for one is not ready in
 //! time, and its messages wait for the next.
 
-use crate::rare_warning::RareWarning;
+use crate::rate_limited_warning::RateLimitedWarning;
 use std::io::{self, ErrorKind};
 use std::time::Duration;
 use tokio::sync::Notify;
@@ -42,7 +42,7 @@
 /// # Errors
 /// The last one.
 pub async fn patiently<T>(
-    trouble: &RareWarning,
+    trouble: &RateLimitedWarning,
     terminate: &Notify,
     what: &str,
     mut step: impl FnMut() -> io::Result<T>,
@@ -50,7 +50,7 @@
     let begun = Instant::now();
     loop {
         match step() {
-            Err(why) if may_pass(&why, begun) => trouble.tell(&format_args!("{what}: {why}; tried again")),
+            Err(why) if may_pass(&why, begun) => trouble.warn(&format_args!("{what}: {why}; tried again")),
             done => return done.map(Some),
         }
         if !rest(terminate).await {
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -4,7 +4,7 @@
 //! What is written outlasts the process without a sync; where the operator asks for more (`[store]`),
 //! `safety.rs` waits for the sync before anything is promised or sent.
 
-use crate::rare_warning::RareWarning;
+use crate::rate_limited_warning::RateLimitedWarning;
 use crate::settings::classes;
 use crate::state::duty::{self, Change, DUTY, Duty};
 use crate::state::legacy;
@@ -50,7 +50,7 @@
     owed: VecDeque<Batch>,
     /// Told once there are any.
     owing: Rc<Notify>,
-    trouble: RareWarning,
+    trouble: RateLimitedWarning,
     /// Rows of copies, as an earlier process left them, until they are taken.
     copies: Vec<(Vec<u8>, Vec<u8>)>,
     /// Who is told what becomes of messages, where copies are kept.
@@ -117,7 +117,7 @@
             classes,
             owed,
             owing: Rc::default(),
-            trouble: RareWarning::default(),
+            trouble: RateLimitedWarning::default(),
             copies,
             watch,
         };
@@ -354,7 +354,7 @@
     fn append_or_owe(&mut self, batch: Batch) -> bool {
         let written = self.append(&batch, Work::End);
         if let Err(why) = &written {
-            self.trouble.tell(&format_args!("journal: {why}; what could not be written is tried again"));
+            self.trouble.warn(&format_args!("journal: {why}; what could not be written is tried again"));
             self.owed.push_back(batch);
             self.owing.notify_one();
         }
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -1,11 +1,11 @@
 //! The folder that outlasts the process: how it is kept, and the commands that look at one.
 
-use crate::out::say;
 use crate::settings::config::Config;
 use crate::settings::operator::{Durability, Storage};
 use crate::state::duty::DUTY;
 use crate::state::record::{self, CLASSES, COPIES, MESSAGES};
 use crate::state::timeline::TIMELINE;
+use crate::stdout::print;
 use clap::Subcommand;
 use notchpoint_seam::real::Folder;
 use notchpoint_store::format::Record;
@@ -104,17 +104,17 @@
     let report = match inspect::check(&folder(dir)?) {
         Ok(report) => report,
         Err(Error::Refused(why)) => {
-            say(&format!("{name}: damaged: {why}\n"))?;
+            print(&format!("{name}: damaged: {why}\n"))?;
             return Ok(ExitCode::from(1));
         }
         Err(e) => return Err(format!("{name}: {e}").into()),
     };
-    say(&format!("{name}: sound: {}\n", report.notes))?;
+    print(&format!("{name}: sound: {}\n", report.notes))?;
     for (number, keys, bytes) in report.tables.iter().map(|(t, (k, b))| (*t, k, b)) {
-        say(&format!("  {}: {keys} keys, {bytes} bytes\n", table(Table(number))))?;
+        print(&format!("  {}: {keys} keys, {bytes} bytes\n", table(Table(number))))?;
     }
     for (number, len, live) in report.segments {
-        say(&format!("  {}: {len} bytes, {live} in force\n", format::name(number)))?;
+        print(&format!("  {}: {len} bytes, {live} in force\n", format::name(number)))?;
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -151,7 +151,7 @@
             }
         };
         if failed.is_ok() {
-            failed = say(&format!("{line}\n"));
+            failed = print(&format!("{line}\n"));
         }
     })?;
     Ok(failed.map(|()| ExitCode::SUCCESS)?)
@@ -170,15 +170,19 @@
         }
     };
     let saved = inspect::salvage(&from, Rc::new(Folder(to.to_owned())), options, amend)?;
-    say(&format!("{}: {} keys saved\n", to.display(), saved.keys))?;
+    print(&format!("{}: {} keys saved\n", to.display(), saved.keys))?;
     for (number, from, to) in &saved.lost {
-        say(&format!("lost: {}, bytes {from} to {to}\n", format::name(*number)))?;
+        print(&format!("lost: {}, bytes {from} to {to}\n", format::name(*number)))?;
     }
     for (from, to) in &saved.missing {
-        say(&format!("lost: frames {from} to {}\n", to - 1))?;
+        print(&format!("lost: frames {from} to {}\n", to - 1))?;
     }
     for (t, key) in &saved.doubtful {
-        say(&format!("in doubt: {} {}: lost records may have changed or ended it\n", table(*t), shown(key)))?;
+        print(&format!(
+            "in doubt: {} {}: lost records may have changed or ended it\n",
+            table(*t),
+            shown(key)
+        ))?;
     }
     let whole = saved.lost.is_empty() && saved.missing.is_empty();
     Ok(ExitCode::from(u8::from(!whole)))
