--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -11,13 +11,13 @@
 use crate::copies::copying::Copying;
 use crate::handover::protocol::Frame;
 use crate::input::Input;
-use crate::platform::zoning::Zoning;
+use crate::platform::zone_monitor::ZoneMonitor;
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::reasons::ReasonCounts;
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
+use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, Verdict};
-use crate::state::safety::Safety;
 use answer::Answer;
 pub use answer::End;
 use bytes::Bytes;
@@ -108,11 +108,11 @@
     given: Cell<bool>,
     out: Cell<usize>,
     journal: Rc<RefCell<Journal>>,
-    safety: Rc<Safety>,
+    durability: Rc<DurabilityTracker>,
     /// Where copies are kept, their keepers have a word in each attempt.
     copies: Option<Rc<Copying>>,
     /// Where operators want it, what calls come to is watched by zone.
-    zoning: RefCell<Option<Rc<Zoning>>>,
+    zone_monitor: RefCell<Option<Rc<ZoneMonitor>>>,
     inputs: UnboundedSender<Input>,
     connect_timeout: Duration,
     idle: Duration,
@@ -130,7 +130,7 @@
         config: &Config,
         net: Rc<dyn Network>,
         journal: Rc<RefCell<Journal>>,
-        safety: Rc<Safety>,
+        durability: Rc<DurabilityTracker>,
         copies: Option<Rc<Copying>>,
         inputs: UnboundedSender<Input>,
     ) -> Rc<Self> {
@@ -150,9 +150,9 @@
             given: Cell::new(false),
             out: Cell::new(0),
             journal,
-            safety,
+            durability,
             copies,
-            zoning: RefCell::default(),
+            zone_monitor: RefCell::default(),
             inputs,
             connect_timeout: Duration::from_micros(set.connect_timeout),
             idle: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
@@ -173,8 +173,8 @@
     }
 
     /// From now on what attempts come to is told there as well.
-    pub fn watched_by(&self, zoning: Rc<Zoning>) {
-        *self.zoning.borrow_mut() = Some(zoning);
+    pub fn watched_by(&self, zone_monitor: Rc<ZoneMonitor>) {
+        *self.zone_monitor.borrow_mut() = Some(zone_monitor);
     }
 
     /// Where what happens is told.
@@ -382,7 +382,7 @@
             }
             if doubtful {
                 // Before its end is recorded: a verdict stands until the notice has been told.
-                self.journal.borrow_mut().verdict(item.id, Verdict::Dead);
+                self.journal.borrow_mut().record_verdict(item.id, Verdict::Dead);
                 let _ = self.inputs.send(Input::DeliveryUncertain(item.id));
             }
             self.report(endpoint, &item, end);
@@ -397,7 +397,7 @@
             call.settled.set(true);
             // Where its answer may not count its record stays, for the notice.
             if !call.is_nearly_over(DOUBT) {
-                call.waiting.borrow().iter().for_each(|i| _ = self.journal.borrow_mut().end(i.id));
+                call.waiting.borrow().iter().for_each(|i| _ = self.journal.borrow_mut().record_end(i.id));
             }
         }
         call.settled.get()
@@ -427,16 +427,18 @@
         self.reasons.count_attempt(outcome);
         tracing::debug!("message {:016x}, attempt {attempt} at {endpoint:?}: {outcome:?}", id.0);
         let mut journal = self.journal.borrow_mut();
-        let sent =
-            journal.get(id).and_then(|m| m.attempts.iter().find(|a| a.number == attempt)).map(|a| a.at);
+        let sent = journal
+            .get(id)
+            .and_then(|m| m.attempts.iter().find(|a| a.number == attempt))
+            .map(|a| a.started_at);
         let age = sent.map_or(0, |at| journal.unix_now().saturating_sub(at));
         if end.over || outcome == Outcome::Served {
             // One with a verdict ends once that has been told.
             if journal.get(id).is_some_and(|m| m.verdict.is_none()) {
-                journal.end(id);
+                journal.record_end(id);
             }
         } else if outcome.never_ran() {
-            journal.never_ran(id, attempt);
+            journal.record_never_ran(id, attempt);
         }
         if let (Outcome::Full { wait: Some(wait) }, Some(t)) = (outcome, self.targets.borrow().get(&endpoint))
         {
@@ -445,8 +447,8 @@
             let w = waits.entry(t.route(endpoint)).or_insert(until);
             *w = until.max(*w);
         }
-        if let Some(zoning) = &*self.zoning.borrow() {
-            zoning.came(endpoint, outcome, age);
+        if let Some(zone_monitor) = &*self.zone_monitor.borrow() {
+            zone_monitor.record_outcome(endpoint, outcome, age);
         }
         let (over, allowance) = (end.over, end.allowance);
         let _ = self.inputs.send(Input::Event(Event::Ended { id, attempt, outcome, over, allowance }));
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -66,9 +66,9 @@
                 self.record_attempts(endpoint, waiting);
             }
             // An attempt's record comes before its first byte, on whatever it is to outlast.
-            let mark = *recorded.get_or_insert_with(|| self.safety.mark());
-            if !self.safety.is_firm(&mark) {
-                if !self.safety.reached(&mark, SAFE_WITHIN).await {
+            let mark = *recorded.get_or_insert_with(|| self.durability.log_end());
+            if !self.durability.is_durable(&mark) {
+                if !self.durability.wait_until_durable(&mark, SAFE_WITHIN).await {
                     self.release(endpoint, conn).await;
                     return Ok(Answer::Alike(Outcome::NotSent.into()));
                 }
@@ -145,7 +145,7 @@
     fn record_attempts(&self, endpoint: EndpointId, waiting: &RefCell<Vec<Item>>) {
         let mut failed = None;
         let unrecorded = take(waiting, |i| {
-            let recorded = self.journal.borrow_mut().attempt(i.id, i.attempt, endpoint);
+            let recorded = self.journal.borrow_mut().record_attempt(i.id, i.attempt, endpoint);
             recorded.map_err(|why| failed = Some(why)).is_err()
         });
         if let Some(why) = failed {
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -4,7 +4,7 @@
 use super::progress::Progress;
 use super::*;
 use crate::io::Observer;
-use crate::state::journal::{Open, tests::journal};
+use crate::state::journal::{OpenMessage, tests::journal};
 use notchpoint_seam::net::Connecting;
 use notchpoint_seam::real::Sockets;
 use notchpoint_seam::{Datagrams, Listener};
@@ -62,8 +62,8 @@
         config.settings.second_copies = true;
         let journal = Rc::new(RefCell::new(journal(folder.path())));
         let (inputs, received) = unbounded_channel();
-        let safety = Safety::new(journal.clone());
-        let calls = Calls::new(&config, net, journal.clone(), safety, None, inputs);
+        let durability = DurabilityTracker::new(journal.clone());
+        let calls = Calls::new(&config, net, journal.clone(), durability, None, inputs);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle };
@@ -74,8 +74,8 @@
     /// A message that is taken on, to be waited for so long. Its call may begin whenever the machine comes to
     /// it: a test that is about the latest start sets its own.
     fn take(&self, id: u64, deadline: u64, timeout: Duration, body: Bytes) -> Item {
-        let open = Open::new("payment", "acme", 3, deadline, Bytes::new());
-        self.journal.borrow_mut().take(MessageId(id), open).expect("room");
+        let open = OpenMessage::new("payment", "acme", 3, deadline, Bytes::new());
+        self.journal.borrow_mut().accept(MessageId(id), open).expect("room");
         let (id, idempotency_key) = (MessageId(id), String::new());
         Item { id, attempt: 0, timeout, within: LONG, proven_only: false, idempotency_key, body }
     }
@@ -234,7 +234,7 @@
             tokio::time::pause();
             assert_eq!(place.ended().await, (1, Outcome::TimedOut));
             if delivered {
-                place.journal.borrow_mut().end(MessageId(1));
+                place.journal.borrow_mut().record_end(MessageId(1));
             }
             assert_eq!(place.calls.attempts_out(), 1, "the second is waited for");
             assert_eq!(place.ended().await, (2, Outcome::TimedOut));
--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -1,7 +1,7 @@
 //! Where clients come in: connections, their places, and whether the door is open.
 
-pub mod door;
+pub mod accept_queue;
+pub mod admission;
+pub mod connection_table;
 pub mod inbound;
-pub mod queue;
-pub mod requests;
-pub mod seats;
+pub mod request_counter;
--- a/crates/daemon/src/clients/queue.rs
+++ b/crates/daemon/src/clients/accept_queue.rs
@@ -9,14 +9,14 @@
 /// What is known of the queue. Moments are counted from one that lies so long before its owner began to take
 /// connections: what came earlier is not waited for any more.
 #[derive(Debug, Default)]
-pub struct Queue {
+pub struct AcceptQueue {
     /// Who is in it came after this; nothing is known of a queue that was never seen empty.
     empty: Option<Duration>,
     /// It was seen empty, and nobody has been taken from it since: who comes is taken at once.
     watched: bool,
 }
 
-impl Queue {
+impl AcceptQueue {
     /// The moment at which its owner begins to take connections.
     pub const BEGINS: Duration = PATIENCE;
 
@@ -56,7 +56,7 @@
 
     #[test]
     fn who_comes_to_a_watched_queue_has_not_waited_and_those_behind_as_long_as_it_was_not_empty() {
-        let mut queue = Queue::default();
+        let mut queue = AcceptQueue::default();
         assert_eq!(queue.taken(ms(0)), PATIENCE, "inherited: nothing is known of it");
         queue.is_empty(ms(10));
         // Quiet for a minute, then one comes.
--- a/crates/daemon/src/clients/seats.rs
+++ b/crates/daemon/src/clients/connection_table.rs
@@ -1,8 +1,8 @@
 //! The places that clients' connections take: how long each may be held, and who gives way where all are
 //! taken.
 
-use crate::clients::door::Closing;
-use crate::clients::requests::Requests;
+use crate::clients::admission::Signal;
+use crate::clients::request_counter::RequestCounter;
 use crate::io::read_some;
 use notchpoint_seam::Stream;
 use std::cell::{Cell, RefCell};
@@ -55,7 +55,7 @@
 }
 
 /// The place that a connection takes.
-pub struct Seat {
+pub struct ConnectionSlot {
     pub stream: Rc<dyn Stream>,
     opened: Instant,
     /// How long its client may have waited before: at most.
@@ -67,12 +67,12 @@
     pub stage: Cell<Stage>,
     /// Since when nothing was open on it, or a request is.
     since: Cell<Instant>,
-    requests: RefCell<Requests>,
+    requests: RefCell<RequestCounter>,
     /// Its place is another's.
-    given_up: Closing,
+    given_up: Signal,
 }
 
-impl Seat {
+impl ConnectionSlot {
     pub fn new(stream: Rc<dyn Stream>, waited: Duration) -> Self {
         let opened = Instant::now();
         let (asked, stage, since) = (Cell::new(false), Cell::new(Stage::Idle), Cell::new(opened));
@@ -110,7 +110,7 @@
 
     /// Ends it with nothing more read: what crosses that is not this process's, and comes again.
     fn give_up(&self) {
-        self.given_up.say();
+        self.given_up.set();
     }
 
     /// Waits until its place is wanted by another.
@@ -152,7 +152,7 @@
     /// Ends the connection in an orderly way: its writing side first, and all of it once the client has ended
     /// its own, or has had the time for that.
     pub async fn end(&self) {
-        if self.given_up.is_said() {
+        if self.given_up.is_set() {
             return;
         }
         self.enter(Stage::Lingering);
@@ -188,19 +188,19 @@
 
 /// The connections that there are, by their number.
 #[derive(Default)]
-pub struct Seats {
+pub struct ConnectionTable {
     next: Cell<u64>,
-    taken: RefCell<BTreeMap<u64, Rc<Seat>>>,
+    taken: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
     freed: Notify,
 }
 
-impl Seats {
+impl ConnectionTable {
     /// Waits for a place. Where all are taken, the connection that has been idle longest loses its own; one
     /// with a request that is being read or answered never does.
     pub async fn free(&self, most: usize) {
         while self.taken.borrow().len() >= most {
-            if let Some((number, seat)) = self.unused() {
-                seat.give_up();
+            if let Some((number, slot)) = self.unused() {
+                slot.give_up();
                 self.taken.borrow_mut().remove(&number);
                 return;
             }
@@ -208,7 +208,7 @@
         }
     }
 
-    fn unused(&self) -> Option<(u64, Rc<Seat>)> {
+    fn unused(&self) -> Option<(u64, Rc<ConnectionSlot>)> {
         let taken = self.taken.borrow();
         let mut idle: Vec<_> = taken
             .iter()
@@ -219,9 +219,9 @@
         idle.into_iter().find(|(_, s)| s.is_over() || s.is_unused()).map(|(&n, s)| (n, s.clone()))
     }
 
-    pub fn take(&self, seat: &Rc<Seat>) -> u64 {
+    pub fn take(&self, slot: &Rc<ConnectionSlot>) -> u64 {
         let number = self.next.replace(self.next.get() + 1);
-        self.taken.borrow_mut().insert(number, seat.clone());
+        self.taken.borrow_mut().insert(number, slot.clone());
         number
     }
 
--- a/crates/daemon/src/clients/seats/tests.rs
+++ b/crates/daemon/src/clients/connection_table/tests.rs
@@ -9,24 +9,24 @@
     local.block_on(&runtime, async {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let seats = Seats::default();
+        let connections = ConnectionTable::default();
         let mut clients = Vec::new();
         let long_ago = Instant::now() - 3 * UNUSED;
         for age in [0, 1, 2, 3] {
             clients.push(TcpStream::connect(address).await.expect("a connection"));
             let (stream, _) = listener.accept().await.expect("a connection");
-            let seat = Rc::new(Seat::new(Rc::new(stream), Duration::ZERO));
-            seat.since.set(long_ago + Duration::from_millis(age));
-            seats.take(&seat);
+            let slot = Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::ZERO));
+            slot.since.set(long_ago + Duration::from_millis(age));
+            connections.take(&slot);
         }
         // The oldest has a request that was not read, the next one whose answer is under way.
         clients[0].writable().await.expect("open");
         clients[0].try_write(b"P").expect("written");
-        let first = seats.taken.borrow()[&0].clone();
+        let first = connections.taken.borrow()[&0].clone();
         std::future::poll_fn(|cx| first.stream.poll_read_ready(cx)).await.expect("it comes");
-        seats.taken.borrow()[&1].stage.set(Stage::Answering);
-        seats.free(4).await;
-        assert_eq!(seats.taken.borrow().keys().copied().collect::<Vec<_>>(), [0, 1, 3]);
+        connections.taken.borrow()[&1].stage.set(Stage::Answering);
+        connections.free(4).await;
+        assert_eq!(connections.taken.borrow().keys().copied().collect::<Vec<_>>(), [0, 1, 3]);
         clients[2].readable().await.expect("its end");
         assert_eq!(clients[2].try_read(&mut [0; 1]).expect("its end"), 0);
     });
@@ -42,17 +42,18 @@
         let address = listener.local_addr().expect("an address");
         let client = TcpStream::connect(address).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("a connection");
-        let (seats, seat) = (Seats::default(), Rc::new(Seat::new(Rc::new(stream), Duration::ZERO)));
-        seats.take(&seat);
-        seat.stage.set(Stage::Answering);
-        let (ended, begun) = (seat.clone(), Instant::now());
+        let (connections, slot) =
+            (ConnectionTable::default(), Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::ZERO)));
+        connections.take(&slot);
+        slot.stage.set(Stage::Answering);
+        let (ended, begun) = (slot.clone(), Instant::now());
         let ending = tokio::task::spawn_local(async move { ended.end().await });
         client.writable().await.expect("open");
         client.try_write(b"more").expect("written");
-        let gives_way = timeout(Duration::from_secs(20), seats.free(1));
+        let gives_way = timeout(Duration::from_secs(20), connections.free(1));
         gives_way.await.expect("it does not wait for the client's end");
         assert!(begun.elapsed() >= UNUSED, "after the time that an answer takes");
         ending.await.expect("it ended");
-        assert!(seats.taken.borrow().is_empty());
+        assert!(connections.taken.borrow().is_empty());
     });
 }
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -1,9 +1,9 @@
 //! Where clients connect: `GET /up` and `POST /CLASS`.
 
 use crate::calls::Calls;
-use crate::clients::door::Door;
-use crate::clients::queue::Queue;
-use crate::clients::seats::{GRACE, LOOK, Seat, Seats, Stage};
+use crate::clients::accept_queue::AcceptQueue;
+use crate::clients::admission::Admission;
+use crate::clients::connection_table::{ConnectionSlot, ConnectionTable, GRACE, LOOK, Stage};
 use crate::copies::copying::Copying;
 use crate::handover::protocol::{ForwardResult, ForwardedRequest};
 use crate::handover::successor::Successor;
@@ -14,8 +14,8 @@
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
 use crate::settings::terms::Terms;
-use crate::state::journal::{Journal, Open};
-use crate::state::safety::Safety;
+use crate::state::durability::DurabilityTracker;
+use crate::state::journal::{Journal, OpenMessage};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Incoming};
@@ -62,57 +62,57 @@
     /// The settings in force.
     pub terms: Rc<RefCell<Terms>>,
     pub journal: Rc<RefCell<Journal>>,
-    pub safety: Rc<Safety>,
+    pub durability: Rc<DurabilityTracker>,
     /// Where copies are kept, nothing is promised before others have it.
     pub copies: Option<Rc<Copying>>,
     pub calls: Rc<Calls>,
     pub inputs: UnboundedSender<Input>,
     /// Whether clients may come in, and when connections end.
-    pub door: Rc<Door>,
+    pub admission: Rc<Admission>,
     /// Once another process owns the store.
     pub successor: RefCell<Option<Rc<Successor>>>,
     /// What is known of the queue at the clients' socket, by the time since connections are taken.
-    pub queue: RefCell<Queue>,
-    pub taking_since: Instant,
+    pub accept_queue: RefCell<AcceptQueue>,
+    pub accepting_since: Instant,
     /// The event loop has looked at the clients' socket, and who was there then.
-    pub looked: Cell<bool>,
-    pub came_first: RefCell<Option<Rc<dyn Stream>>>,
+    pub is_queue_polled: Cell<bool>,
+    pub first_stream: RefCell<Option<Rc<dyn Stream>>>,
     /// Messages whose 202 is not written yet.
-    pub answering: RefCell<BTreeSet<MessageId>>,
+    pub unanswered: RefCell<BTreeSet<MessageId>>,
     /// Connections at once.
-    pub places: usize,
+    pub max_connections: usize,
     /// Bytes of the bodies that are being read, and how many there may be.
-    pub reading: Cell<usize>,
-    pub most_reading: usize,
+    pub body_bytes: Cell<usize>,
+    pub max_body_bytes: usize,
 }
 
 impl Inbound {
     /// The moment by which the queue counts.
     fn queue_time(&self) -> Duration {
-        Queue::BEGINS + self.taking_since.elapsed()
+        AcceptQueue::BEGINS + self.accepting_since.elapsed()
     }
 
     /// How long ago nobody waited at the clients' socket, if that is known.
     pub fn queue_seen_empty(&self) -> Option<Duration> {
-        self.queue.borrow().seen_empty(self.queue_time())
+        self.accept_queue.borrow().seen_empty(self.queue_time())
     }
 
     /// Messages that may be recorded, and whose clients have not heard yet.
-    pub fn unheard(&self) -> BTreeSet<MessageId> {
-        let mut all = self.answering.borrow().clone();
+    pub fn unacknowledged(&self) -> BTreeSet<MessageId> {
+        let mut all = self.unanswered.borrow().clone();
         all.extend(self.successor.borrow().iter().flat_map(|successor| successor.pending()));
         all
     }
 }
 
 /// As many as descriptors and memory allow.
-pub fn places(config: &Config) -> usize {
+pub fn max_connections(config: &Config) -> usize {
     let fit = usize::try_from(config.memory / PLACES_SHARE / PLACE).unwrap_or(usize::MAX);
     Descriptors::new(config).clients.min(fit).max(1)
 }
 
 /// What bodies may take while they are read: one fits always.
-pub fn most_reading(config: &Config) -> usize {
+pub fn max_body_bytes(config: &Config) -> usize {
     usize::try_from(config.memory / BODIES_SHARE).unwrap_or(usize::MAX).max(BODY)
 }
 
@@ -121,7 +121,7 @@
 /// hand it in again. A client that sends requests without waiting has several answers on the way.
 struct Receipt {
     due: RefCell<Vec<Due>>,
-    seat: Rc<Seat>,
+    slot: Rc<ConnectionSlot>,
     inbound: Rc<Inbound>,
 }
 
@@ -133,18 +133,18 @@
 impl Receipt {
     /// Its client hears of it with the next answer that is written.
     fn expect(&self, accepted: AcceptedMessage) {
-        self.inbound.answering.borrow_mut().insert(accepted.id);
+        self.inbound.unanswered.borrow_mut().insert(accepted.id);
         self.due.borrow_mut().push(Due { accepted, begun: false });
     }
 
     fn is_answered(&self, id: MessageId) {
-        self.inbound.answering.borrow_mut().remove(&id);
+        self.inbound.unanswered.borrow_mut().remove(&id);
     }
 }
 
 impl Observer for Rc<Receipt> {
     fn on_read(&self, bytes: &[u8]) {
-        self.seat.read(bytes);
+        self.slot.read(bytes);
     }
 
     fn on_write(&self, _: &[u8]) {
@@ -152,8 +152,8 @@
     }
 
     fn on_flush(&self) {
-        if self.seat.stage.get() == Stage::Answering {
-            self.seat.answered();
+        if self.slot.stage.get() == Stage::Answering {
+            self.slot.answered();
         }
         for due in self.due.borrow_mut().extract_if(.., |d| d.begun) {
             self.is_answered(due.accepted.id);
@@ -166,7 +166,7 @@
     fn drop(&mut self) {
         for due in self.due.take() {
             self.is_answered(due.accepted.id);
-            self.inbound.journal.borrow_mut().end(due.accepted.id);
+            self.inbound.journal.borrow_mut().record_end(due.accepted.id);
             let _ = self.inbound.inputs.send(Input::Unacknowledged(due.accepted.id));
         }
     }
@@ -174,32 +174,32 @@
 
 /// Gives the event loop the time to look at the clients' socket: before that it says that nobody waits there,
 /// whoever does.
-pub async fn look_first(inbound: &Inbound, listener: &dyn Listener) {
+pub async fn poll_queue_first(inbound: &Inbound, listener: &dyn Listener) {
     let came = timeout(FIRST_LOOK, poll_fn(|cx| listener.poll_accept(cx))).await;
     match came {
-        Ok(stream) => *inbound.came_first.borrow_mut() = stream.ok(),
-        Err(_) => inbound.queue.borrow_mut().is_empty(inbound.queue_time()),
+        Ok(stream) => *inbound.first_stream.borrow_mut() = stream.ok(),
+        Err(_) => inbound.accept_queue.borrow_mut().is_empty(inbound.queue_time()),
     }
-    inbound.looked.set(true);
+    inbound.is_queue_polled.set(true);
 }
 
 /// Accepts connections, so many at once. Those that find no place wait in the system's queue.
 pub async fn serve(inbound: Rc<Inbound>, listener: Rc<dyn Listener>) {
-    let seats = Rc::new(Seats::default());
+    let connections = Rc::new(ConnectionTable::default());
     let trouble = RateLimitedWarning::default();
-    if !inbound.looked.get() {
-        look_first(&inbound, &*listener).await;
+    if !inbound.is_queue_polled.get() {
+        poll_queue_first(&inbound, &*listener).await;
     }
     loop {
-        seats.free(inbound.places).await;
+        connections.free(inbound.max_connections).await;
         let next = poll_fn(|cx| {
             let polled = listener.poll_accept(cx);
             if polled.is_pending() {
-                inbound.queue.borrow_mut().is_empty(inbound.queue_time());
+                inbound.accept_queue.borrow_mut().is_empty(inbound.queue_time());
             }
             polled
         });
-        let first = inbound.came_first.take();
+        let first = inbound.first_stream.take();
         let stream = match first {
             Some(stream) => Ok(stream),
             None => next.await,
@@ -218,22 +218,22 @@
                 continue;
             }
         };
-        let waited = inbound.queue.borrow_mut().taken(inbound.queue_time());
-        let seat = Rc::new(Seat::new(stream, waited));
-        let (inbound, seats) = (inbound.clone(), seats.clone());
-        let number = seats.take(&seat);
+        let waited = inbound.accept_queue.borrow_mut().taken(inbound.queue_time());
+        let slot = Rc::new(ConnectionSlot::new(stream, waited));
+        let (inbound, connections) = (inbound.clone(), connections.clone());
+        let number = connections.take(&slot);
         tokio::task::spawn_local(async move {
-            let inside = &inbound.door.inside;
+            let inside = &inbound.admission.open_connections;
             inside.set(inside.get() + 1);
-            let why = connection(inbound.clone(), seat.clone()).await;
+            let why = connection(inbound.clone(), slot.clone()).await;
             tracing::debug!("client's connection {number} ended: {why:?}");
             inbound.calls.reasons.count_close(why);
             // What crosses the end of a resting connection stays unread: its client has to see that.
-            if seat.last.get() {
-                seat.end().await;
+            if slot.last.get() {
+                slot.end().await;
             }
             inside.set(inside.get() - 1);
-            seats.leave(number);
+            connections.leave(number);
         });
     }
 }
@@ -253,12 +253,12 @@
     )
 }
 
-async fn connection(inbound: Rc<Inbound>, seat: Rc<Seat>) -> Close {
-    if let Err(why) = seat.stream.set_nodelay() {
+async fn connection(inbound: Rc<Inbound>, slot: Rc<ConnectionSlot>) -> Close {
+    if let Err(why) = slot.stream.set_nodelay() {
         // Answers may wait a little; without the connection there would be none.
         tracing::debug!("a client's connection: TCP_NODELAY: {why}");
     }
-    let receipt = Rc::new(Receipt { due: RefCell::default(), seat: seat.clone(), inbound: inbound.clone() });
+    let receipt = Rc::new(Receipt { due: RefCell::default(), slot: slot.clone(), inbound: inbound.clone() });
     let service = {
         let receipt = Rc::downgrade(&receipt);
         let inbound = inbound.clone();
@@ -274,14 +274,14 @@
                     }
                 };
                 // What has been read behind it has its answer too, and the last one says so.
-                if inbound.door.is_closing() && receipt.as_ref().is_none_or(|r| r.seat.has_read_all()) {
+                if inbound.admission.is_closing() && receipt.as_ref().is_none_or(|r| r.slot.has_read_all()) {
                     close_after(&mut answer);
                 }
                 // From here to the answer's last byte nothing waits but the writing.
                 let last = answer.headers().contains_key(CONNECTION);
                 receipt.inspect(|r| {
-                    r.seat.last.set(last);
-                    r.seat.enter(Stage::Answering);
+                    r.slot.last.set(last);
+                    r.slot.enter(Stage::Answering);
                 });
                 Ok::<_, Infallible>(answer)
             }
@@ -289,30 +289,30 @@
     };
     let served = http1::Builder::new()
         .max_buf_size(HEAD)
-        .serve_connection(ObservedStream::new(seat.stream.clone(), receipt), service);
+        .serve_connection(ObservedStream::new(slot.stream.clone(), receipt), service);
     tokio::pin!(served);
     let (mut closing, mut told) = (false, false);
     loop {
         tokio::select! {
             biased;
             // Before anything more is read.
-            () = seat.is_given_up() => return Close::PlaceWanted,
+            () = slot.is_given_up() => return Close::PlaceWanted,
             _ = &mut served => return if told { Close::Drained } else { Close::Finished },
-            () = inbound.door.close.wait(), if !closing => closing = true,
+            () = inbound.admission.close_signal.wait(), if !closing => closing = true,
             // A request that is being read or answered ends the connection itself; what has come in part is
             // never dropped. hyper would, between two requests.
             () = tokio::time::sleep(CLOSING_LOOK), if closing && !told => {
-                if seat.may_end() {
+                if slot.may_end() {
                     told = true;
                     served.as_mut().graceful_shutdown();
                 }
             }
             // Dropping it ends the connection. What happened meanwhile may have moved the end.
-            () = sleep_until(seat.ends_at()) => {
-                let due = seat.ends_at() <= Instant::now();
+            () = sleep_until(slot.ends_at()) => {
+                let due = slot.ends_at() <= Instant::now();
                 // What has come is read first, also of a request that is late: a last byte unread is a
                 // request lost. Who never falls silent ends all the same.
-                if due && (seat.stream.is_quiet() || seat.ends_at() + GRACE <= Instant::now()) {
+                if due && (slot.stream.is_quiet() || slot.ends_at() + GRACE <= Instant::now()) {
                     return Close::TimedOut;
                 }
                 if due {
@@ -336,13 +336,13 @@
     receipt: Option<&Receipt>,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let Some(receipt) = receipt else { return Err(StatusCode::SERVICE_UNAVAILABLE) };
-    receipt.seat.serve();
+    receipt.slot.serve();
     // The client's time runs from when it sent the request, also while that waited to be read.
     let now = Instant::now();
-    let since = now.checked_sub(receipt.seat.sent_ago()).unwrap_or(now);
+    let since = now.checked_sub(receipt.slot.sent_ago()).unwrap_or(now);
     let path = request.uri().path();
     if path == "/up" {
-        return match (request.method(), !inbound.door.is_up()) {
+        return match (request.method(), !inbound.admission.is_up()) {
             (&Method::GET | &Method::HEAD, false) => Ok(plain(StatusCode::OK)),
             (&Method::GET | &Method::HEAD, true) => Err(StatusCode::SERVICE_UNAVAILABLE),
             _ => Ok(not_allowed("GET")),
@@ -369,7 +369,7 @@
         (read_headers(&terms, request.headers(), &name, class), terms.classes.tag(class).to_owned())
     };
     // The body is read even where the headers say no: an answer across a request still being written is lost.
-    let body = match timeout_at(receipt.seat.whole_by(), read_body(inbound, request.into_body())).await {
+    let body = match timeout_at(receipt.slot.whole_by(), read_body(inbound, request.into_body())).await {
         Err(_) => return Ok(last(StatusCode::REQUEST_TIMEOUT)),
         Ok(Err(NotRead::NoRoom)) => {
             let mut answer = come_back(inbound, Refusal::BodiesFull);
@@ -381,7 +381,7 @@
     };
     let handed = handed?;
     // A destination that no list has named lately is refused, not failed: the list may be late.
-    if inbound.door.ending.get() {
+    if inbound.admission.is_shutting_down.get() {
         return Ok(come_back(inbound, Refusal::ShuttingDown));
     }
     if !inbound.calls.knows_destination(handed.dest) {
@@ -392,12 +392,12 @@
         return pass_on(inbound, &successor, handed, tag, body, since, receipt).await;
     }
     let mut open =
-        Open::new(&tag, &handed.tenant_name, handed.dest.0, deadline(inbound, &handed, since), body);
+        OpenMessage::new(&tag, &handed.tenant_name, handed.dest.0, deadline(inbound, &handed, since), body);
     open.idempotency_key.clone_from(&handed.idempotency_key);
     if !record(inbound, handed.id, open)? {
         return Ok(come_back(inbound, Refusal::NoRoom));
     }
-    let (mark, mut record) = (inbound.safety.mark(), Record { inbound, id: Some(handed.id) });
+    let (mark, mut record) = (inbound.durability.log_end(), Record { inbound, id: Some(handed.id) });
     if !is_safe(inbound, handed.id, &mark).await {
         return if record.withdraw() {
             Ok(come_back(inbound, Refusal::NotDurable))
@@ -442,7 +442,7 @@
 
 /// Records what the process before this one has read, under the same conditions. A process in between may
 /// have done that (`before`) and died with its answer: the record is the same request's then.
-pub async fn take_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
+pub async fn record_handed_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
     let place = inbound.terms.borrow().classes.place(&passed.tag);
     let Some(class) = place.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
         return ForwardResult::RetryLater;
@@ -451,14 +451,14 @@
         return ForwardResult::Recorded { class: class as u32 };
     }
     let ForwardedRequest { id, tag, tenant, dest, deadline, idempotency_key, body } = passed;
-    let mut open = Open::new(&tag, &tenant, dest.0, deadline, body.into());
+    let mut open = OpenMessage::new(&tag, &tenant, dest.0, deadline, body.into());
     open.idempotency_key = idempotency_key;
     match record(inbound, id, open) {
         Ok(true) => {}
         Ok(false) => return ForwardResult::RetryLater,
         Err(_) => return ForwardResult::Conflict,
     }
-    let (mark, mut record) = (inbound.safety.mark(), Record { inbound, id: Some(id) });
+    let (mark, mut record) = (inbound.durability.log_end(), Record { inbound, id: Some(id) });
     if !is_safe(inbound, id, &mark).await {
         return if record.withdraw() { ForwardResult::RetryLater } else { ForwardResult::Conflict };
     }
@@ -468,16 +468,20 @@
 
 /// Whether a record is on all that it is to outlast, once it is.
 async fn is_safe(inbound: &Inbound, id: MessageId, mark: &Mark) -> bool {
-    let Some(copies) = &inbound.copies else { return inbound.safety.reached(mark, SAFE_WITHIN).await };
+    let Some(copies) = &inbound.copies else {
+        return inbound.durability.wait_until_durable(mark, SAFE_WITHIN).await;
+    };
     let careful = {
         let (journal, terms) = (inbound.journal.borrow(), inbound.terms.borrow());
         journal.get(id).is_none_or(|open| terms.is_careful(&open.class))
     };
     // Both at once: the keepers' disks are no faster than this one.
-    let (kept, firm) =
-        tokio::join!(copies.promise(id, careful, SAFE_WITHIN), inbound.safety.reached(mark, SAFE_WITHIN));
+    let (kept, firm) = tokio::join!(
+        copies.promise(id, careful, SAFE_WITHIN),
+        inbound.durability.wait_until_durable(mark, SAFE_WITHIN)
+    );
     // What is not written is not promised, and after a restart nobody takes it for promised.
-    kept && firm && (!careful || inbound.journal.borrow_mut().promise(id).is_ok())
+    kept && firm && (!careful || inbound.journal.borrow_mut().confirm(id).is_ok())
 }
 
 /// When the time of a message that its client sent then is up, by the journal's timeline. Held up between the
@@ -488,20 +492,20 @@
 }
 
 /// Records a message; false where there is no room for it, or its time is up.
-fn record(inbound: &Inbound, id: MessageId, mut open: Open) -> Result<bool, StatusCode> {
+fn record(inbound: &Inbound, id: MessageId, mut open: OpenMessage) -> Result<bool, StatusCode> {
     let mut journal = inbound.journal.borrow_mut();
     // An id is new each time. One that is still in use would mix up the ends of two messages.
     if journal.get(id).is_some() || inbound.calls.has_open_attempt(id) {
         return Err(StatusCode::CONFLICT);
     }
     let is_over = open.deadline <= journal.unix_now();
-    if is_over || journal.held() >= inbound.terms.borrow().set.max_held as usize {
+    if is_over || journal.held_count() >= inbound.terms.borrow().set.max_held as usize {
         return Ok(false);
     }
     // Until others have it, a process that ends here has promised nothing.
-    open.sure = inbound.copies.is_none() || !inbound.terms.borrow().is_careful(&open.class);
+    open.is_confirmed = inbound.copies.is_none() || !inbound.terms.borrow().is_careful(&open.class);
     // The record comes before the answer. Without a record there is no promise.
-    Ok(journal.take(id, open).is_ok())
+    Ok(journal.accept(id, open).is_ok())
 }
 
 /// A record whose message is not promised yet: it ends with the request.
@@ -514,7 +518,7 @@
     /// Takes the record back. Where that is not written, the next process would find the message and send it:
     /// its client must not be told that handing it in again is harmless.
     fn withdraw(&mut self) -> bool {
-        self.id.take().is_none_or(|id| self.inbound.journal.borrow_mut().end(id))
+        self.id.take().is_none_or(|id| self.inbound.journal.borrow_mut().record_end(id))
     }
 }
 
@@ -549,10 +553,10 @@
 
 impl Reading<'_> {
     fn add(&mut self, bytes: usize) -> bool {
-        let all = self.inbound.reading.get() + bytes;
-        let fits = all <= self.inbound.most_reading;
+        let all = self.inbound.body_bytes.get() + bytes;
+        let fits = all <= self.inbound.max_body_bytes;
         if fits {
-            self.inbound.reading.set(all);
+            self.inbound.body_bytes.set(all);
             self.bytes += bytes;
         }
         fits
@@ -561,7 +565,7 @@
 
 impl Drop for Reading<'_> {
     fn drop(&mut self) {
-        self.inbound.reading.set(self.inbound.reading.get() - self.bytes);
+        self.inbound.body_bytes.set(self.inbound.body_bytes.get() - self.bytes);
     }
 }
 
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -14,25 +14,25 @@
     let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
     let journal = Rc::new(RefCell::new(crate::state::journal::tests::journal(folder)));
     let (inputs, received) = unbounded_channel();
-    let safety = Safety::new(journal.clone());
+    let durability = DurabilityTracker::new(journal.clone());
     let net = Rc::new(Sockets::default());
     let inbound = Inbound {
-        places: places(&config),
-        most_reading: most_reading(&config),
-        reading: Cell::new(0),
-        calls: Calls::new(&config, net, journal.clone(), safety.clone(), None, inputs.clone()),
+        max_connections: max_connections(&config),
+        max_body_bytes: max_body_bytes(&config),
+        body_bytes: Cell::new(0),
+        calls: Calls::new(&config, net, journal.clone(), durability.clone(), None, inputs.clone()),
         copies: None,
-        safety,
+        durability,
         terms: Rc::new(RefCell::new(Terms::new(&config, &BTreeMap::new(), &BTreeSet::new()).0)),
         journal,
         inputs,
-        door: Rc::default(),
+        admission: Rc::default(),
         successor: RefCell::default(),
-        answering: RefCell::default(),
-        queue: RefCell::new(Queue::new(None)),
-        taking_since: Instant::now(),
-        looked: Cell::new(false),
-        came_first: RefCell::default(),
+        unanswered: RefCell::default(),
+        accept_queue: RefCell::new(AcceptQueue::new(None)),
+        accepting_since: Instant::now(),
+        is_queue_polled: Cell::new(false),
+        first_stream: RefCell::default(),
     };
     (Rc::new(inbound), received)
 }
@@ -53,8 +53,8 @@
         let mut client =
             TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("a connection");
-        let seat = Rc::new(Seat::new(Rc::new(stream), Duration::from_secs(6)));
-        tokio::task::spawn_local(connection(inbound.clone(), seat));
+        let slot = Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::from_secs(6)));
+        tokio::task::spawn_local(connection(inbound.clone(), slot));
         for (id, status) in [("00000000000000a1", "503"), ("00000000000000a2", "202")] {
             let request = format!(
                 "POST /update HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: update\r\n\
@@ -86,13 +86,13 @@
         let address = listener.local_addr().expect("an address");
         let stream: Rc<dyn Stream> = Rc::new(TcpStream::connect(address).await.expect("a connection"));
         let receive = || {
-            let seat = Rc::new(Seat::new(stream.clone(), Duration::ZERO));
-            Rc::new(Receipt { due: RefCell::default(), seat, inbound: inbound.clone() })
+            let slot = Rc::new(ConnectionSlot::new(stream.clone(), Duration::ZERO));
+            Rc::new(Receipt { due: RefCell::default(), slot, inbound: inbound.clone() })
         };
         let take = |receipt: &Receipt, id: u64| {
             let (id, class, tenant, dest) = (MessageId(id), 0, None, DestinationId(3));
-            let open = Open::new("update", "acme", 3, u64::MAX, Bytes::new());
-            journal.borrow_mut().take(id, open).expect("room");
+            let open = OpenMessage::new("update", "acme", 3, u64::MAX, Bytes::new());
+            journal.borrow_mut().accept(id, open).expect("room");
             let accepted = AcceptedMessage { id, class, tenant, dest, again: false };
             receipt.expect(accepted);
         };
@@ -183,17 +183,17 @@
             poll_fn(|cx| stream.poll_read_ready(cx)).await.expect("it has come, and nobody has read it");
             let was_read = Rc::new(Cell::new(false));
             let stream = Rc::new(Crossed { stream, was_read: was_read.clone() });
-            let seat = Rc::new(Seat::new(stream, Duration::ZERO));
-            let seats = Seats::default();
-            seats.take(&seat);
+            let slot = Rc::new(ConnectionSlot::new(stream, Duration::ZERO));
+            let connections = ConnectionTable::default();
+            connections.take(&slot);
             if wanted {
                 tokio::time::sleep(Duration::from_millis(60)).await;
-                seats.free(1).await;
+                connections.free(1).await;
             } else {
-                inbound.door.close.say();
+                inbound.admission.close_signal.set();
             }
             // Nobody else holds it: it is closed with its task.
-            let (behind, ended) = (inbound.clone(), seat);
+            let (behind, ended) = (inbound.clone(), slot);
             let served = tokio::task::spawn_local(async move {
                 connection(behind, ended.clone()).await;
                 ended.end().await;
--- a/crates/daemon/src/clients/requests.rs
+++ b/crates/daemon/src/clients/request_counter.rs
@@ -10,7 +10,7 @@
 
 /// The requests that have come on a connection.
 #[derive(Debug, Default)]
-pub struct Requests {
+pub struct RequestCounter {
     begun: u64,
     served: u64,
     at: Place,
@@ -28,7 +28,7 @@
     Body(usize),
 }
 
-impl Requests {
+impl RequestCounter {
     /// These bytes have been read.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while let Some((&byte, rest)) = bytes.split_first() {
--- a/crates/daemon/src/clients/requests/tests.rs
+++ b/crates/daemon/src/clients/request_counter/tests.rs
@@ -8,7 +8,7 @@
 fn requests_are_counted_from_their_first_byte_however_they_are_cut() {
     let all = [POST, b"\r\n", GET, GET, POST].concat();
     for piece in 1..all.len() {
-        let mut requests = Requests::default();
+        let mut requests = RequestCounter::default();
         all.chunks(piece).for_each(|bytes| requests.read(bytes));
         for served in 0..4 {
             assert!(requests.has_unserved(), "pieces of {piece}, {served} served");
@@ -22,7 +22,7 @@
 
 #[test]
 fn a_body_that_is_still_coming_begins_no_request() {
-    let mut requests = Requests::default();
+    let mut requests = RequestCounter::default();
     requests.read(&POST[..POST.len() - 1]);
     requests.serve();
     assert!(!requests.has_unserved());
--- a/crates/daemon/src/copies/copying.rs
+++ b/crates/daemon/src/copies/copying.rs
@@ -6,8 +6,8 @@
 use crate::input::Input;
 use crate::settings::config::Config;
 use crate::settings::operator::{Copies as Set, WhenShort};
-use crate::state::journal::{Journal, Open, Watched};
-use crate::state::safety::Safety;
+use crate::state::durability::DurabilityTracker;
+use crate::state::journal::{Journal, MessageUpdate, OpenMessage};
 use notchpoint_copies::{
     At, CLOSED, Copies, Event, Frame, Hello, Holder, Id, Input as Told, Output, Peer, Reign, Sender, Stake,
     Tried, View, Wrong,
@@ -49,7 +49,7 @@
 pub struct Copying {
     machine: RefCell<Copies>,
     journal: Rc<RefCell<Journal>>,
-    safety: Rc<Safety>,
+    durability: Rc<DurabilityTracker>,
     net: Rc<dyn Network>,
     inputs: UnboundedSender<Input>,
     started: Instant,
@@ -107,9 +107,9 @@
         config: &Config,
         net: Rc<dyn Network>,
         journal: Rc<RefCell<Journal>>,
-        safety: Rc<Safety>,
+        durability: Rc<DurabilityTracker>,
         inputs: UnboundedSender<Input>,
-        careful: impl Fn(&Open) -> bool,
+        careful: impl Fn(&OpenMessage) -> bool,
     ) -> Result<Rc<Self>, String> {
         let view = view(set, config)?;
         if view.none_apart() {
@@ -138,7 +138,7 @@
             me: machine.holder(),
             machine: RefCell::new(machine),
             journal,
-            safety,
+            durability,
             net,
             inputs,
             started: Instant::now(),
@@ -159,7 +159,7 @@
         });
         let own: Vec<(Id, notchpoint_copies::Record)> = {
             let mut journal = copying.journal.borrow_mut();
-            journal.watch(watch);
+            journal.subscribe(watch);
             journal.iter().map(|(id, open)| (Id(id.0), record(open, careful(open)))).collect()
         };
         own.into_iter().for_each(|(id, record)| copying.tell(Told::Resume { id, record }));
@@ -260,7 +260,7 @@
                 Output::Refused(id, number) => self.consented(id, number, false),
                 Output::Adopted(id) => drop(self.inputs.send(Input::Adopted(MessageId(id.0)))),
                 Output::Lost(id) => {
-                    self.journal.borrow_mut().end(MessageId(id.0));
+                    self.journal.borrow_mut().record_end(MessageId(id.0));
                     let _ = self.inputs.send(Input::OwnershipLost(MessageId(id.0)));
                 }
                 Output::Say(event) => self.say(&event),
@@ -273,7 +273,7 @@
 
     fn push(&self, queues: &RefCell<BTreeMap<Peer, Rc<Queue>>>, peer: Peer, frame: &Frame) {
         if let Some(queue) = queues.borrow().get(&peer) {
-            queue.push(frame, self.safety.mark());
+            queue.push(frame, self.durability.log_end());
         }
     }
 
@@ -455,8 +455,8 @@
     }
 
     fn safe(&self) -> impl AsyncFn(&notchpoint_store::Mark) -> bool + use<> {
-        let safety = self.safety.clone();
-        async move |mark| safety.is_firm(mark) || safety.reached(mark, CONNECTING).await
+        let durability = self.durability.clone();
+        async move |mark| durability.is_durable(mark) || durability.wait_until_durable(mark, CONNECTING).await
     }
 
     fn ended(&self, peer: Peer, why: &std::io::Error) {
@@ -523,7 +523,7 @@
 
     // Time.
 
-    async fn run(self: Rc<Self>, mut watched: UnboundedReceiver<Watched>) {
+    async fn run(self: Rc<Self>, mut watched: UnboundedReceiver<MessageUpdate>) {
         self.tell(Told::Tick);
         let (mut telling, mut last) = (Instant::now() + SHORT, (Instant::now(), String::new()));
         let mut staked = Staked::default();
@@ -533,9 +533,11 @@
             tokio::select! {
                 biased;
                 Some(what) = watched.recv() => self.tell(match what {
-                    Watched::NeverRan(id, number) => Told::NeverRan { id: Id(id.0), number },
-                    Watched::Judged(id, verdict) => Told::Judged { id: Id(id.0), verdict: told(verdict) },
-                    Watched::Over(id) => Told::Over { id: Id(id.0) },
+                    MessageUpdate::AttemptNeverRan(id, number) => Told::NeverRan { id: Id(id.0), number },
+                    MessageUpdate::Verdict(id, verdict) => {
+                        Told::Judged { id: Id(id.0), verdict: told(verdict) }
+                    }
+                    MessageUpdate::Ended(id) => Told::Over { id: Id(id.0) },
                 }),
                 () = sleep_until(self.started + Duration::from_micros(wake)) => self.tell(Told::Tick),
                 () = self.sooner.notified() => {}
--- a/crates/daemon/src/copies/rows.rs
+++ b/crates/daemon/src/copies/rows.rs
@@ -1,14 +1,18 @@
 //! Messages and rows of copies between the journal's form and the decisions'.
 
-use crate::state::journal::{Journal, Open, Row, Verdict};
+use crate::state::journal::{CopyRow, Journal, OpenMessage, Verdict};
 use crate::state::record::Attempt;
 use notchpoint_copies::{Change, Id, Ledger, Record, Tried};
 use notchpoint_policy::{EndpointId, MessageId};
 
 /// A message as copies of it are kept.
-pub fn record(open: &Open, careful: bool) -> Record {
-    let tried =
-        |a: &Attempt| Tried { number: a.number, endpoint: a.endpoint.0, at: a.at, never_ran: a.never_ran };
+pub fn record(open: &OpenMessage, careful: bool) -> Record {
+    let tried = |a: &Attempt| Tried {
+        number: a.number,
+        endpoint: a.endpoint.0,
+        at: a.started_at,
+        never_ran: a.never_ran,
+    };
     Record {
         class: open.class.clone(),
         tenant: open.tenant.clone(),
@@ -16,7 +20,7 @@
         deadline: open.deadline,
         body: open.body.clone(),
         careful,
-        sure: open.sure,
+        sure: open.is_confirmed,
         tried: open.attempts.iter().map(tried).collect(),
         verdict: open.verdict.map(told),
         idempotency_key: open.idempotency_key.clone(),
@@ -24,11 +28,11 @@
 }
 
 /// A copy as the journal holds messages.
-pub fn open(record: &Record) -> Open {
+pub fn open(record: &Record) -> OpenMessage {
     let attempt = |t: &Tried| Attempt {
         number: t.number,
         endpoint: EndpointId(t.endpoint),
-        at: t.at,
+        started_at: t.at,
         never_ran: t.never_ran,
     };
     let mut attempts: Vec<Attempt> = record.tried.iter().map(attempt).collect();
@@ -39,12 +43,12 @@
     });
     let (deadline, body) = (record.deadline, record.body.clone());
     // It was promised by whoever kept copies of it.
-    Open {
+    OpenMessage {
         attempts,
         verdict,
-        sure: true,
+        is_confirmed: true,
         idempotency_key: record.idempotency_key.clone(),
-        ..Open::new(&record.class, &record.tenant, record.dest, deadline, body)
+        ..OpenMessage::new(&record.class, &record.tenant, record.dest, deadline, body)
     }
 }
 
@@ -58,7 +62,7 @@
 /// The folder, as the decisions write to it.
 pub struct Rows<'a>(pub &'a mut Journal);
 
-fn rows(changes: &[Change]) -> impl Iterator<Item = Row<'_>> {
+fn rows(changes: &[Change]) -> impl Iterator<Item = CopyRow<'_>> {
     changes.iter().map(|c| (c.key.as_slice(), c.value.as_deref()))
 }
 
@@ -79,10 +83,10 @@
 
     #[test]
     fn a_message_is_the_same_once_it_was_a_copy() {
-        let mut message = Open::new("payment", "acme", 3, 1_000, vec![7; 9].into());
+        let mut message = OpenMessage::new("payment", "acme", 3, 1_000, vec![7; 9].into());
         message.idempotency_key = "k-1".into();
         for (number, never_ran) in [(0, true), (1, false)] {
-            message.attempts.push(Attempt { number, endpoint: EndpointId(4), at: 9, never_ran });
+            message.attempts.push(Attempt { number, endpoint: EndpointId(4), started_at: 9, never_ran });
         }
         for verdict in [None, Some(Verdict::Dead), Some(Verdict::Bounced(250))] {
             message.verdict = verdict;
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -1,7 +1,7 @@
 //! The one owner of the decision module: hands it what happened, once a tick at most, and does what it says.
 
 use crate::calls::{Calls, Item, Target};
-use crate::clients::door::{Door, Shut};
+use crate::clients::admission::{Admission, DrainReason};
 use crate::copies::copying::Copying;
 use crate::endpoint_list::{EndpointList, Member, State, endpoint};
 use crate::handover::protocol::State as Given;
@@ -11,12 +11,12 @@
 use crate::platform::discovery::Discovery;
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
-use crate::platform::zoning::Zoning;
+use crate::platform::zone_monitor::ZoneMonitor;
 use crate::settings::config::Config;
 use crate::settings::terms::Terms;
-use crate::state::debts::written_verdict;
-use crate::state::duty::{Change, MOST_OUT};
-use crate::state::journal::{Journal, Open, Verdict};
+use crate::state::journal::{Journal, OpenMessage, Verdict};
+use crate::state::operator_marks::{MAX_OUT_OF_SERVICE, MarkChange};
+use crate::state::pending_writes::wait_for_verdict_write;
 use hyper::StatusCode;
 use notchpoint_policy::*;
 use std::cell::RefCell;
@@ -41,13 +41,13 @@
 
 /// Records a verdict, and has the platform told of it once that is safe.
 fn tell_verdict(journal: &Rc<RefCell<Journal>>, reports: &Rc<Reports>, id: MessageId, verdict: Verdict) {
-    let written = journal.borrow_mut().verdict(id, verdict);
+    let written = journal.borrow_mut().record_verdict(id, verdict);
     if written || verdict == Verdict::Dead {
         return reports.push(id, verdict);
     }
     let (journal, reports) = (journal.clone(), reports.clone());
     tokio::task::spawn_local(async move {
-        if let Some(verdict) = written_verdict(&journal, id, verdict).await {
+        if let Some(verdict) = wait_for_verdict_write(&journal, id, verdict).await {
             reports.push(id, verdict);
         }
     });
@@ -76,9 +76,9 @@
     reports: Rc<Reports>,
     discovery: Rc<Discovery>,
     peers: Option<Peers>,
-    zoning: Option<Rc<Zoning>>,
+    zone_monitor: Option<Rc<ZoneMonitor>>,
     flight: Rc<Flight>,
-    door: Rc<Door>,
+    admission: Rc<Admission>,
     inputs: UnboundedReceiver<Input>,
     /// Words that hold after this turn.
     replies: Vec<(Reply, Answer)>,
@@ -114,9 +114,9 @@
     pub reports: Rc<Reports>,
     pub discovery: Rc<Discovery>,
     pub peers: Option<Peers>,
-    pub zoning: Option<Rc<Zoning>>,
+    pub zone_monitor: Option<Rc<ZoneMonitor>>,
     pub flight: Rc<Flight>,
-    pub door: Rc<Door>,
+    pub admission: Rc<Admission>,
     pub inputs: UnboundedReceiver<Input>,
 }
 
@@ -145,9 +145,9 @@
         let gap = unix.saturating_sub(given.unix);
         let mut node = Self::build(given.sender, config, &given.text, parts);
         node.origin = given.at + gap;
-        let duty = node.journal.borrow().duty().clone();
-        node.door.shut(Shut::Operators, duty.standby);
-        duty.out.keys().for_each(|&id| node.calls.set_out(id, true));
+        let marks = node.journal.borrow().operator_marks().clone();
+        node.admission.set_draining(DrainReason::Operators, marks.standby);
+        marks.out_of_service.keys().for_each(|&id| node.calls.set_out(id, true));
         let list = EndpointList { revision: given.revision, complete: true, members: given.members };
         node.entries(&list, true);
         node.events = given.events;
@@ -204,9 +204,9 @@
             reports,
             discovery,
             peers,
-            zoning,
+            zone_monitor,
             flight,
-            door,
+            admission,
             inputs,
         } = parts;
         Self {
@@ -227,9 +227,9 @@
             reports,
             discovery,
             peers,
-            zoning,
+            zone_monitor,
             flight,
-            door,
+            admission,
             inputs,
             replies: Vec::new(),
             attempts: HashMap::new(),
@@ -241,9 +241,9 @@
 
     /// What operators had set holds before anything is taken up or sent.
     fn restore_marks(&mut self) {
-        let duty = self.journal.borrow().duty().clone();
-        self.door.shut(Shut::Operators, duty.standby);
-        for (&endpoint, name) in &duty.out {
+        let marks = self.journal.borrow().operator_marks().clone();
+        self.admission.set_draining(DrainReason::Operators, marks.standby);
+        for (&endpoint, name) in &marks.out_of_service {
             tracing::info!("endpoint {name} is out of service, as operators set it");
             self.calls.set_out(endpoint, true);
             self.events.push(Event::Service { endpoint, out: true });
@@ -266,7 +266,7 @@
                 self.reports.push(id, verdict);
                 continue;
             }
-            let made = open.made();
+            let made = open.attempts_made();
             self.attempts.insert(id, Attempts { made, out: 0 });
             let Some(event) = self.resumed(id, open, made) else {
                 // Its class left the settings, or it was not promised: nothing but its end can come of it.
@@ -277,7 +277,7 @@
         }
     }
 
-    fn resumed(&self, id: MessageId, open: &Open, attempts: u32) -> Option<Event> {
+    fn resumed(&self, id: MessageId, open: &OpenMessage, attempts: u32) -> Option<Event> {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
         let terms = self.terms.borrow();
         let message = Message {
@@ -290,7 +290,8 @@
             expires_in: self.left(id),
         };
         // Its client may not have heard 202, and have handed it in again.
-        let unsure = self.copies.is_some() && !open.sure && self.terms.borrow().is_careful(&open.class);
+        let unsure =
+            self.copies.is_some() && !open.is_confirmed && self.terms.borrow().is_careful(&open.class);
         if unsure {
             return None;
         }
@@ -373,11 +374,11 @@
     ) -> Option<Event> {
         let waited_for = self.elsewhere.remove(&id);
         if over || outcome == Outcome::Served {
-            self.journal.borrow_mut().end(id);
+            self.journal.borrow_mut().record_end(id);
             return Some(self.withdraw(id));
         }
         if outcome.never_ran() {
-            self.journal.borrow_mut().never_ran(id, attempt);
+            self.journal.borrow_mut().record_never_ran(id, attempt);
         }
         if waited_for {
             self.resume(Some(&BTreeSet::from([id])));
@@ -398,7 +399,7 @@
             in_use.extend(journal.iter().filter_map(|(_, m)| terms.classes.place(&m.class)));
             terms.retuned(&config, &in_use)
         };
-        if let Err(why) = self.journal.borrow_mut().keep(&changes) {
+        if let Err(why) = self.journal.borrow_mut().update_classes(&changes) {
             tracing::warn!("the configuration waits for the store: {why}");
             self.unstored = Some((config, text));
             self.retry_configuration();
@@ -410,8 +411,8 @@
             tracing::warn!("some of it waits for the next start: {}", waits.join(", "));
         }
         let changed = terms.set != self.terms.borrow().set;
-        if let Some(zoning) = self.zoning.as_ref().filter(|_| changed) {
-            zoning.warm(&terms.set);
+        if let Some(zone_monitor) = self.zone_monitor.as_ref().filter(|_| changed) {
+            zone_monitor.update_cold_settings(&terms.set);
         }
         let event = changed.then(|| Event::Settings(Box::new(terms.set.clone())));
         *self.terms.borrow_mut() = terms;
@@ -434,13 +435,13 @@
             Word::Enter(name) => self.take_out(name, true),
             Word::Exit(name) => self.take_out(name, false),
         };
-        let mark = || self.journal.borrow().mark();
+        let mark = || self.journal.borrow().log_end();
         self.replies.push((reply, done.map(|what| Done { what, mark: mark() })));
     }
 
     fn stand_by(&mut self, wanted: bool) -> Result<String, No> {
-        self.enter_mark(Change::Standby(wanted))?;
-        self.door.shut(Shut::Operators, wanted);
+        self.enter_mark(MarkChange::Standby(wanted))?;
+        self.admission.set_draining(DrainReason::Operators, wanted);
         Ok(if wanted { "standby" } else { "active" }.into())
     }
 
@@ -449,17 +450,17 @@
         let id = endpoint(name);
         let (was, many) = {
             let journal = self.journal.borrow();
-            let marks = &journal.duty().out;
-            (marks.get(&id).is_some_and(|n| n == name), marks.len() >= MOST_OUT)
+            let marks = &journal.operator_marks().out_of_service;
+            (marks.get(&id).is_some_and(|n| n == name), marks.len() >= MAX_OUT_OF_SERVICE)
         };
         if !was && !self.calls.is_listed(id) {
             return Err(No::new(StatusCode::NOT_FOUND, format!("no endpoint has the id {name}")));
         }
         if out && !was && many {
-            let why = format!("{MOST_OUT} endpoints are out already; put some back first");
+            let why = format!("{MAX_OUT_OF_SERVICE} endpoints are out already; put some back first");
             return Err(No::new(StatusCode::INSUFFICIENT_STORAGE, why));
         }
-        self.enter_mark(Change::Out(id, name.to_owned(), out))?;
+        self.enter_mark(MarkChange::OutOfService(id, name.to_owned(), out))?;
         if was != out {
             self.calls.set_out(id, out);
             self.events.push(Event::Service { endpoint: id, out });
@@ -468,8 +469,8 @@
     }
 
     /// A mark that cannot be written is none: it would not outlast the process.
-    fn enter_mark(&mut self, change: Change) -> Result<(), No> {
-        let written = self.journal.borrow_mut().set(change);
+    fn enter_mark(&mut self, change: MarkChange) -> Result<(), No> {
+        let written = self.journal.borrow_mut().set_mark(change);
         written.map_err(|e| No::new(StatusCode::INSUFFICIENT_STORAGE, format!("the store: {e}")))
     }
 
@@ -515,7 +516,7 @@
             Input::DeliveryUncertain(id) => return self.reports.push(id, Verdict::Dead),
             Input::PauseElapsed(id) => return self.resume(Some(&BTreeSet::from([id]))),
             Input::OperatorCommand(word, reply) => return self.word(word, reply),
-            Input::RedirectClients(wanted) => return self.door.shut(Shut::Zone, wanted),
+            Input::RedirectClients(wanted) => return self.admission.set_draining(DrainReason::Zone, wanted),
             Input::Event(event) => event,
             Input::Acknowledged(accepted) => {
                 self.unheard.remove(&accepted.id);
@@ -572,7 +573,7 @@
             let journal = self.journal.borrow();
             let open = journal.get(id).filter(|o| o.verdict.is_none())?;
             let left = Duration::from_micros(open.deadline.saturating_sub(journal.unix_now()));
-            (REST * (1 << open.made().min(REST_MOST))).min(left.saturating_sub(LAST_WORD))
+            (REST * (1 << open.attempts_made().min(REST_MOST))).min(left.saturating_sub(LAST_WORD))
         };
         self.attempts.get(&id).filter(|a| a.out == 0)?;
         self.attempts.remove(&id);
@@ -609,13 +610,13 @@
             let target = Target { address: m.host_port, dest: e.dest, live, apart, bundle };
             self.calls.update_endpoint(e.endpoint, (e.phase != Phase::Gone).then_some(target));
             self.flight.name(e.endpoint, &m.id);
-            if let Some(zoning) = &self.zoning {
-                zoning.list(e.endpoint, e.dest, &m.locality, e.phase == Phase::Gone);
+            if let Some(zone_monitor) = &self.zone_monitor {
+                zone_monitor.update_endpoint(e.endpoint, e.dest, &m.locality, e.phase == Phase::Gone);
             }
         }
         self.flight.keep_names(|id| self.calls.is_listed(id));
-        if let Some(zoning) = &self.zoning {
-            zoning.keep(|id| self.calls.is_listed(id));
+        if let Some(zone_monitor) = &self.zone_monitor {
+            zone_monitor.retain_endpoints(|id| self.calls.is_listed(id));
         }
         entries
     }
@@ -646,8 +647,8 @@
     fn ran(&self, id: MessageId) -> Option<(Micros, EndpointId)> {
         let journal = self.journal.borrow();
         let (open, now) = (journal.get(id)?, journal.unix_now());
-        let first = open.attempts.iter().filter(|a| !a.never_ran).min_by_key(|a| a.at)?;
-        Some((now.saturating_sub(first.at), first.endpoint))
+        let first = open.attempts.iter().filter(|a| !a.never_ran).min_by_key(|a| a.started_at)?;
+        Some((now.saturating_sub(first.started_at), first.endpoint))
     }
 
     /// The module counts spans from the turn in which it hears of them, and an event may have waited for its
@@ -752,7 +753,7 @@
         attempt: Attempt,
     ) {
         let most = self.calls.bundle(endpoint);
-        let known = |m: &Open| (m.idempotency_key.clone(), m.body.clone());
+        let known = |m: &OpenMessage| (m.idempotency_key.clone(), m.body.clone());
         let (idempotency_key, body) = self.journal.borrow().get(id).map(known).unwrap_or_default();
         let made = self.attempts.entry(id).or_default();
         let Attempt { timeout, within, proven_only } = attempt;
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -1,15 +1,15 @@
 //! The operators' own address. Calls are read by `operations.rs` and answered by the node; here are only
 //! sockets, bounds and times.
 
-use crate::clients::door::{Door, Shut};
+use crate::clients::admission::{Admission, DrainReason};
 use crate::copies::copying::Copying;
 use crate::input::{Input, Reply};
 use crate::io::ObservedStream;
 use crate::operations::{self, Asked, No, Word};
-use crate::platform::zoning::Zoning;
+use crate::platform::zone_monitor::ZoneMonitor;
 use crate::reasons::ReasonCounts;
 use crate::settings::descriptors::OPERATORS;
-use crate::state::safety::Safety;
+use crate::state::durability::DurabilityTracker;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::Incoming;
@@ -56,14 +56,14 @@
 #[derive(Default)]
 pub struct Shown {
     pub copies: Option<Rc<Copying>>,
-    pub zoning: Option<Rc<Zoning>>,
+    pub zone_monitor: Option<Rc<ZoneMonitor>>,
     pub reasons: Rc<ReasonCounts>,
 }
 
 struct Desk {
     name: String,
-    door: Rc<Door>,
-    safety: Rc<Safety>,
+    admission: Rc<Admission>,
+    durability: Rc<DurabilityTracker>,
     shown: Shown,
     inputs: UnboundedSender<Input>,
 }
@@ -73,14 +73,14 @@
     pub fn open(
         &self,
         name: &str,
-        door: &Rc<Door>,
-        safety: &Rc<Safety>,
+        admission: &Rc<Admission>,
+        durability: &Rc<DurabilityTracker>,
         shown: Shown,
         inputs: &UnboundedSender<Input>,
     ) {
-        let (door, safety, inputs) = (door.clone(), safety.clone(), inputs.clone());
+        let (admission, durability, inputs) = (admission.clone(), durability.clone(), inputs.clone());
         let name = name.to_owned();
-        *self.desk.borrow_mut() = Some(Rc::new(Desk { name, door, safety, shown, inputs }));
+        *self.desk.borrow_mut() = Some(Rc::new(Desk { name, admission, durability, shown, inputs }));
     }
 
     /// So many connections at once from now on.
@@ -183,8 +183,12 @@
 }
 
 fn status(desk: &Desk) -> serde_json::Value {
-    let shut = |why| desk.door.is_shut(why);
-    let state = match (desk.door.ending.get(), shut(Shut::Operators), shut(Shut::Zone)) {
+    let draining = |reason| desk.admission.is_draining(reason);
+    let state = match (
+        desk.admission.is_shutting_down.get(),
+        draining(DrainReason::Operators),
+        draining(DrainReason::Zone),
+    ) {
         (true, ..) => "ending",
         (_, true, _) => "standby",
         (_, _, true) => "gives way",
@@ -195,8 +199,8 @@
     if let Some(copies) = &desk.shown.copies {
         said["copies"] = copies.status();
     }
-    if let Some(zoning) = &desk.shown.zoning {
-        said["zones"] = zoning.status();
+    if let Some(zone_monitor) = &desk.shown.zone_monitor {
+        said["zones"] = zone_monitor.status();
     }
     said
 }
@@ -208,7 +212,7 @@
     let (reply, answered) = oneshot::channel();
     let _ = desk.inputs.send(Input::OperatorCommand(word, Reply(reply)));
     let done = timeout(NODE_WITHIN, answered).await.map_err(|_| late())?.map_err(|_| late())??;
-    if !desk.safety.reached(&done.mark, SAFE_WITHIN).await {
+    if !desk.durability.wait_until_durable(&done.mark, SAFE_WITHIN).await {
         return Err(late());
     }
     Ok(serde_json::json!({ "ok": true, "done": done.what }))
--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,9 +1,9 @@
 //! What the platform and other senders tell, and what they are told.
 
 pub mod discovery;
-pub mod notices;
+pub mod note_sender;
+pub mod notice_scheduler;
 pub mod peers;
-pub mod post;
 pub mod reports;
-pub mod values;
-pub mod zoning;
+pub mod watch_parser;
+pub mod zone_monitor;
--- a/crates/daemon/src/platform/discovery.rs
+++ b/crates/daemon/src/platform/discovery.rs
@@ -8,7 +8,7 @@
 use crate::endpoint_list::EndpointList;
 use crate::input::Input;
 use crate::io::{ObservedStream, is_local_error};
-use crate::platform::values::{Piece, Values};
+use crate::platform::watch_parser::{WatchItem, WatchParser};
 use crate::rate_limited_warning::RateLimitedWarning;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
@@ -157,7 +157,7 @@
         return Err(format!("a watch was answered {}", response.status()).into());
     }
     let mut body = response.into_body();
-    let (mut values, mut pieces) = (Values::default(), Vec::new());
+    let (mut values, mut pieces) = (WatchParser::default(), Vec::new());
     let mut alive = Instant::now();
     // What is known by this watch, and since when a value of it is missing: the next watch has to begin
     // before.
@@ -172,15 +172,15 @@
         let cut = values.push(&data, &mut pieces);
         for piece in pieces.drain(..) {
             let news = match piece {
-                Piece::List(news) if !news.complete && news.revision < known => {
+                WatchItem::List(news) if !news.complete && news.revision < known => {
                     tracing::warn!("discovery: changes of {}, which is known", news.revision);
                     continue;
                 }
-                Piece::List(news) => news,
+                WatchItem::List(news) => news,
                 // Also an empty line answers the watch.
-                Piece::Heartbeat => EndpointList { revision: known, ..EndpointList::default() },
+                WatchItem::Heartbeat => EndpointList { revision: known, ..EndpointList::default() },
                 // The values after it may well be sound.
-                Piece::Spoilt(why) => {
+                WatchItem::Spoilt(why) => {
                     tracing::warn!("discovery: a value: {why}; what it told is asked for again");
                     missing.get_or_insert_with(Instant::now);
                     continue;
--- a/crates/daemon/src/platform/post.rs
+++ b/crates/daemon/src/platform/note_sender.rs
@@ -5,15 +5,15 @@
 use std::rc::Rc;
 
 /// A longer datagram is not allowed.
-pub const LONGEST: usize = 256;
+pub const MAX_NOTE_BYTES: usize = 256;
 
-pub struct Post {
+pub struct NoteSender {
     socket: Rc<dyn Datagrams>,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
 }
 
-impl Post {
+impl NoteSender {
     pub fn new(socket: Rc<dyn Datagrams>, peers: Vec<SocketAddr>, all: Option<SocketAddr>) -> Self {
         Self { socket, peers, all }
     }
@@ -21,7 +21,7 @@
     /// A note may be lost, so failing to send one is no matter.
     pub fn send(&self, to: Option<u32>, body: &[u8]) {
         let to = to.map_or(self.all, |n| self.peers.get(n as usize).copied());
-        if let Some(to) = to.filter(|_| body.len() <= LONGEST) {
+        if let Some(to) = to.filter(|_| body.len() <= MAX_NOTE_BYTES) {
             let _ = self.socket.try_send_to(body, to);
         }
     }
--- a/crates/daemon/src/platform/notices.rs
+++ b/crates/daemon/src/platform/notice_scheduler.rs
@@ -55,7 +55,7 @@
 
 /// What is owed, and the posts under way.
 #[derive(Debug)]
-pub struct Notices {
+pub struct NoticeScheduler {
     owed: VecDeque<Owed>,
     posts: BTreeMap<u64, Post>,
     next: u64,
@@ -67,14 +67,14 @@
     usual: Duration,
 }
 
-impl Default for Notices {
+impl Default for NoticeScheduler {
     fn default() -> Self {
         let (owed, posts) = Default::default();
         Self { owed, posts, next: 0, not_before: Moment::ZERO, doubted: 0, failed: 0, usual: Duration::ZERO }
     }
 }
 
-impl Notices {
+impl NoticeScheduler {
     pub fn push(&mut self, id: MessageId, verdict: Verdict, now: Moment) {
         self.owed.push_back(Owed { id, verdict, since: now, due: now });
     }
@@ -164,7 +164,7 @@
     /// Plays until `end`; posts whose number `silent` names get no answer, the others one after 2 ms.
     /// Gives when each notice was told by a post that was answered.
     fn play(pushes: &[u64], end: u64, silent: impl Fn(u64) -> bool) -> (BTreeMap<u64, u64>, usize) {
-        let (mut n, mut told, mut most) = (Notices::default(), BTreeMap::new(), 0);
+        let (mut n, mut told, mut most) = (NoticeScheduler::default(), BTreeMap::new(), 0);
         let mut under_way: Vec<(u64, u64, Vec<u64>)> = Vec::new();
         for t in 0..end {
             if pushes.contains(&t) {
@@ -209,7 +209,7 @@
         let (told, most) = play(&pushes, 5_000, |_| true);
         assert!(told.is_empty());
         assert!(most <= POSTS, "{most} posts at once");
-        let mut n = Notices::default();
+        let mut n = NoticeScheduler::default();
         n.push(MessageId(1), Verdict::Dead, ms(0));
         let posts = (0..10_000).filter(|t| n.start(ms(*t)).is_some()).count();
         assert!(posts <= 20, "{posts} posts in ten seconds");
@@ -217,7 +217,7 @@
 
     #[test]
     fn a_usual_platform_gets_each_notice_once() {
-        let mut n = Notices::default();
+        let mut n = NoticeScheduler::default();
         for t in 0..1_000u64 {
             n.push(MessageId(t), Verdict::Bounced(t), ms(t * 10));
             let s = n.start(ms(t * 10)).expect("due at once");
@@ -230,7 +230,7 @@
 
     #[test]
     fn a_failed_post_is_told_again_and_a_late_answer_does_no_harm() {
-        let mut n = Notices::default();
+        let mut n = NoticeScheduler::default();
         n.push(MessageId(1), Verdict::Dead, ms(0));
         let first = n.start(ms(0)).expect("due");
         n.failed(first.post, ms(1));
@@ -245,7 +245,7 @@
 
     #[test]
     fn a_new_place_is_told_all_at_once() {
-        let mut n = Notices::default();
+        let mut n = NoticeScheduler::default();
         n.push(MessageId(1), Verdict::Dead, ms(0));
         let first = n.start(ms(0)).expect("due");
         assert!(n.start(ms(3)).is_none());
--- a/crates/daemon/src/platform/peers.rs
+++ b/crates/daemon/src/platform/peers.rs
@@ -1,8 +1,8 @@
 //! Notes between senders, by UDP.
 
 use crate::input::Input;
-use crate::platform::post::{LONGEST, Post};
-use crate::platform::zoning::Zoning;
+use crate::platform::note_sender::{MAX_NOTE_BYTES, NoteSender};
+use crate::platform::zone_monitor::ZoneMonitor;
 use crate::settings::config::Config;
 use notchpoint_policy::Event;
 use notchpoint_seam::Network;
@@ -18,7 +18,7 @@
 const AGAIN: Duration = Duration::from_millis(10);
 
 pub struct Peers {
-    post: Rc<Post>,
+    note_sender: Rc<NoteSender>,
     /// Hears for as long as this lives; then the address is free for another process.
     hears: AbortHandle,
 }
@@ -35,13 +35,13 @@
         config: &Config,
         net: &dyn Network,
         inputs: UnboundedSender<Input>,
-        zoning: Option<Rc<Zoning>>,
+        zone_monitor: Option<Rc<ZoneMonitor>>,
     ) -> io::Result<Self> {
         let socket = net.datagrams(address)?;
         let (peers, all) = (config.peers.clone(), config.peers_all);
         let (heard, known) = (socket.clone(), peers.clone());
         let hears = tokio::task::spawn_local(async move {
-            let mut buffer = [0; LONGEST + 1];
+            let mut buffer = [0; MAX_NOTE_BYTES + 1];
             loop {
                 // An error tells of an earlier datagram that found nobody. A lasting one must not spin.
                 let Ok((n, from)) = poll_fn(|cx| heard.poll_recv_from(cx, &mut buffer)).await else {
@@ -49,8 +49,8 @@
                     continue;
                 };
                 // Only senders of the tier are believed.
-                if let Some(from) = known.iter().position(|p| *p == from).filter(|_| n <= LONGEST) {
-                    if zoning.as_ref().is_some_and(|z| z.heard(from, &buffer[..n])) {
+                if let Some(from) = known.iter().position(|p| *p == from).filter(|_| n <= MAX_NOTE_BYTES) {
+                    if zone_monitor.as_ref().is_some_and(|z| z.receive_note(from, &buffer[..n])) {
                         continue;
                     }
                     let (from, body) = (from as u32, buffer[..n].to_vec());
@@ -58,17 +58,17 @@
                 }
             }
         });
-        let post = Rc::new(Post::new(socket, peers, all));
-        Ok(Self { post, hears: hears.abort_handle() })
+        let note_sender = Rc::new(NoteSender::new(socket, peers, all));
+        Ok(Self { note_sender, hears: hears.abort_handle() })
     }
 
     /// Where others of this sender's parts write.
-    pub fn post(&self) -> Rc<Post> {
-        self.post.clone()
+    pub fn note_sender(&self) -> Rc<NoteSender> {
+        self.note_sender.clone()
     }
 
-    /// See [`Post::send`].
+    /// See [`NoteSender::send`].
     pub fn send(&self, to: Option<u32>, body: &[u8]) {
-        self.post.send(to, body);
+        self.note_sender.send(to, body);
     }
 }
--- a/crates/daemon/src/platform/reports.rs
+++ b/crates/daemon/src/platform/reports.rs
@@ -1,7 +1,7 @@
-//! Notices to the platform. When they are told is decided in `notices.rs`; here they are posted.
+//! Notices to the platform. When they are told is decided in `notice_scheduler.rs`; here they are posted.
 
 use crate::io::ObservedStream;
-use crate::platform::notices::{Notices, Start};
+use crate::platform::notice_scheduler::{NoticeScheduler, Start};
 use crate::state::journal::{Journal, Verdict};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -33,7 +33,7 @@
     net: Rc<dyn Network>,
     address: Cell<SocketAddr>,
     relocated: Notify,
-    notices: RefCell<Notices>,
+    notices: RefCell<NoticeScheduler>,
     news: Notify,
     journal: Rc<RefCell<Journal>>,
     started: Instant,
@@ -108,7 +108,7 @@
                             kept = Some(connection);
                             let told = self.notices.borrow_mut().answered(post, now);
                             let mut journal = self.journal.borrow_mut();
-                            told.into_iter().for_each(|id| _ = journal.end(id));
+                            told.into_iter().for_each(|id| _ = journal.record_end(id));
                             if age > LONG {
                                 tracing::warn!("reports: a notice was told after {} ms", age.as_millis());
                             }
--- a/crates/daemon/src/platform/values.rs
+++ b/crates/daemon/src/platform/watch_parser.rs
@@ -3,11 +3,11 @@
 use crate::endpoint_list::EndpointList;
 
 /// A longer value is no list.
-pub const LONGEST: usize = 4 << 20;
+pub const MAX_VALUE_BYTES: usize = 4 << 20;
 
 /// A piece of a watch.
 #[derive(Debug)]
-pub enum Piece {
+pub enum WatchItem {
     List(EndpointList),
     /// An empty line between two values: nothing has changed.
     Heartbeat,
@@ -16,7 +16,7 @@
 }
 
 #[derive(Default)]
-pub struct Values {
+pub struct WatchParser {
     /// The value that has begun.
     pending: Vec<u8>,
     /// Brackets that are open in it.
@@ -30,30 +30,30 @@
     skips: bool,
 }
 
-impl Values {
+impl WatchParser {
     /// Takes what has come.
     ///
     /// # Errors
     /// A value is too long.
-    pub fn push(&mut self, bytes: &[u8], pieces: &mut Vec<Piece>) -> Result<(), String> {
+    pub fn push(&mut self, bytes: &[u8], pieces: &mut Vec<WatchItem>) -> Result<(), String> {
         for &byte in bytes {
             if self.depth == 0 {
                 self.between(byte, pieces)
             } else {
                 self.within(byte, pieces)
             }
-            if self.pending.len() > LONGEST {
-                return Err(format!("a value of over {LONGEST} bytes"));
+            if self.pending.len() > MAX_VALUE_BYTES {
+                return Err(format!("a value of over {MAX_VALUE_BYTES} bytes"));
             }
         }
         Ok(())
     }
 
-    fn between(&mut self, byte: u8, pieces: &mut Vec<Piece>) {
+    fn between(&mut self, byte: u8, pieces: &mut Vec<WatchItem>) {
         match byte {
             b'\n' => {
                 if !std::mem::take(&mut self.used) {
-                    pieces.push(Piece::Heartbeat);
+                    pieces.push(WatchItem::Heartbeat);
                 }
                 self.skips = false;
             }
@@ -65,13 +65,13 @@
             _ => {
                 self.used = true;
                 if !std::mem::replace(&mut self.skips, true) {
-                    pieces.push(Piece::Spoilt("something that is no object".into()));
+                    pieces.push(WatchItem::Spoilt("something that is no object".into()));
                 }
             }
         }
     }
 
-    fn within(&mut self, byte: u8, pieces: &mut Vec<Piece>) {
+    fn within(&mut self, byte: u8, pieces: &mut Vec<WatchItem>) {
         self.pending.push(byte);
         match byte {
             b'\n' => return self.end_line(pieces),
@@ -85,13 +85,13 @@
         }
         if self.depth == 0 {
             let read = serde_json::from_slice(&self.pending);
-            pieces.push(read.map_or_else(|e| Piece::Spoilt(e.to_string()), Piece::List));
+            pieces.push(read.map_or_else(|e| WatchItem::Spoilt(e.to_string()), WatchItem::List));
             self.pending.clear();
         }
     }
 
     /// A line that is a whole list by itself shows that the value before it was cut: no list holds another.
-    fn end_line(&mut self, pieces: &mut Vec<Piece>) {
+    fn end_line(&mut self, pieces: &mut Vec<WatchItem>) {
         // No string goes on over the end of a line.
         (self.in_string, self.escaped) = (false, false);
         let line = &self.pending[self.line..];
@@ -99,7 +99,7 @@
             && line.starts_with(b"{")
             && let Ok(list) = serde_json::from_slice(line)
         {
-            pieces.extend([Piece::Spoilt("a value that was cut".into()), Piece::List(list)]);
+            pieces.extend([WatchItem::Spoilt("a value that was cut".into()), WatchItem::List(list)]);
             self.pending.clear();
             (self.depth, self.used) = (0, false);
             return;
--- a/crates/daemon/src/platform/values/tests.rs
+++ b/crates/daemon/src/platform/watch_parser/tests.rs
@@ -6,17 +6,17 @@
 );
 
 /// What pieces say: the revision of a list and its members, `-` for a heartbeat, `!` for what is spoilt.
-fn said(pieces: &[Piece]) -> String {
-    let say = |p: &Piece| match p {
-        Piece::List(list) => format!("{}:{}", list.revision, list.members.len()),
-        Piece::Heartbeat => "-".into(),
-        Piece::Spoilt(_) => "!".into(),
+fn said(pieces: &[WatchItem]) -> String {
+    let say = |p: &WatchItem| match p {
+        WatchItem::List(list) => format!("{}:{}", list.revision, list.members.len()),
+        WatchItem::Heartbeat => "-".into(),
+        WatchItem::Spoilt(_) => "!".into(),
     };
     pieces.iter().map(say).collect::<Vec<_>>().join(" ")
 }
 
 fn read(chunks: &[&[u8]]) -> String {
-    let (mut values, mut pieces) = (Values::default(), Vec::new());
+    let (mut values, mut pieces) = (WatchParser::default(), Vec::new());
     chunks.iter().for_each(|c| values.push(c, &mut pieces).expect("short"));
     said(&pieces)
 }
@@ -83,12 +83,12 @@
 
 #[test]
 fn what_never_ends_is_bounded() {
-    let (mut values, mut pieces) = (Values::default(), Vec::new());
+    let (mut values, mut pieces) = (WatchParser::default(), Vec::new());
     let block = vec![b'['; 1 << 20];
     let mut push = || values.push(&[b"{".as_slice(), &block].concat(), &mut pieces);
     assert!((0..4).map(|_| push()).any(|r| r.is_err()));
     // What stands between values takes no room at all.
-    let (mut values, mut pieces) = (Values::default(), Vec::new());
+    let (mut values, mut pieces) = (WatchParser::default(), Vec::new());
     (0..8).for_each(|_| values.push(&block, &mut pieces).expect("nothing is kept"));
     assert_eq!(said(&pieces), "!");
 }
--- a/crates/daemon/src/platform/zoning.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -3,7 +3,7 @@
 //! on it here.
 
 use crate::input::Input;
-use crate::platform::post::Post;
+use crate::platform::note_sender::NoteSender;
 use crate::settings::config::Config;
 use crate::settings::operator::Zones as Wanted;
 use notchpoint_policy::{DestinationId, EndpointId, Event, Outcome, Settings};
@@ -24,7 +24,7 @@
 /// Senders that a line of the log names.
 const NAMED: usize = 5;
 
-pub struct Zoning {
+pub struct ZoneMonitor {
     machine: RefCell<Zones>,
     /// What operators want, and what the platform says of cold endpoints; each may come anew.
     wanted: RefCell<(Wanted, Cold)>,
@@ -69,10 +69,14 @@
     Cold { start: set.start_share, span: set.cold, over: set.fall_multiple }
 }
 
-impl Zoning {
+impl ZoneMonitor {
     /// Nothing where operators do not want it. Where the platform lets senders write nothing to one another
     /// it only says what it sees itself, and leaves nothing.
-    pub fn wanted(wanted: &Wanted, config: &Config, inputs: &UnboundedSender<Input>) -> Option<Rc<Self>> {
+    pub fn from_settings(
+        wanted: &Wanted,
+        config: &Config,
+        inputs: &UnboundedSender<Input>,
+    ) -> Option<Rc<Self>> {
         if !wanted.wanted() {
             return None;
         }
@@ -93,7 +97,7 @@
             pace: wanted.leave.then(|| Pace::new(cold)),
             pinned: wanted.pinned(),
         };
-        let zoning = Rc::new(Self {
+        let zone_monitor = Rc::new(Self {
             machine: RefCell::new(Zones::new(set, config.seed, 0)),
             wanted: RefCell::new((wanted.clone(), cold)),
             numbers,
@@ -104,9 +108,9 @@
             inputs: inputs.clone(),
             task: RefCell::default(),
         });
-        config.names.zones.iter().for_each(|name| zoning.name(name));
-        zoning.say_unknown();
-        Some(zoning)
+        config.names.zones.iter().for_each(|name| zone_monitor.name(name));
+        zone_monitor.say_unknown();
+        Some(zone_monitor)
     }
 
     fn say_unknown(&self) {
@@ -116,7 +120,7 @@
     }
 
     /// What operators want from now on.
-    pub fn retune(&self, wanted: &Wanted) {
+    pub fn update_operator_settings(&self, wanted: &Wanted) {
         if self.wanted.borrow().0 == *wanted {
             return;
         }
@@ -127,7 +131,7 @@
     }
 
     /// What the platform says of cold endpoints from now on.
-    pub fn warm(&self, set: &Settings) {
+    pub fn update_cold_settings(&self, set: &Settings) {
         self.wanted.borrow_mut().1 = cold(set);
         self.tune();
     }
@@ -153,7 +157,7 @@
     }
 
     /// What the list says of an endpoint; one that names no zone tells of none.
-    pub fn list(&self, id: EndpointId, dest: DestinationId, zone: &str, gone: bool) {
+    pub fn update_endpoint(&self, id: EndpointId, dest: DestinationId, zone: &str, gone: bool) {
         let mut places = self.places.borrow_mut();
         if gone || zone.is_empty() {
             places.remove(&id);
@@ -164,14 +168,14 @@
     }
 
     /// Only these endpoints are listed.
-    pub fn keep(&self, listed: impl Fn(EndpointId) -> bool) {
+    pub fn retain_endpoints(&self, listed: impl Fn(EndpointId) -> bool) {
         let mut places = self.places.borrow_mut();
         places.retain(|&id, _| listed(id));
         self.machine.borrow_mut().list(places.values().map(|p| p.0).collect());
     }
 
     /// An attempt at an endpoint, begun so long ago, ended.
-    pub fn came(&self, endpoint: EndpointId, outcome: Outcome, age: u64) {
+    pub fn record_outcome(&self, endpoint: EndpointId, outcome: Outcome, age: u64) {
         let came = match outcome {
             // Whoever answers is there, whatever it says.
             Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt => Came::Answered,
@@ -185,7 +189,7 @@
     }
 
     /// Another sender, at this place of the platform's list, wrote. Whether it was of zones.
-    pub fn heard(&self, from: usize, note: &[u8]) -> bool {
+    pub fn receive_note(&self, from: usize, note: &[u8]) -> bool {
         let mut out = Vec::new();
         let from = self.numbers.place(from);
         let taken = self.machine.borrow_mut().heard(self.now(), from, note, &mut out);
@@ -195,7 +199,7 @@
 
     /// Begins to look and to write. What a process before this one had left is called as any, until this one
     /// has heard how far others are.
-    pub fn begin(self: &Rc<Self>, post: Option<Rc<Post>>) {
+    pub fn start(self: &Rc<Self>, note_sender: Option<Rc<NoteSender>>) {
         for zone in 0..self.zones.len() as u32 {
             let _ = self.inputs.send(Input::Event(Event::Zone {
                 zone,
@@ -204,14 +208,14 @@
                 spared: Vec::new(),
             }));
         }
-        let zoning = self.clone();
+        let zone_monitor = self.clone();
         let task = tokio::task::spawn_local(async move {
             loop {
-                let wake = zoning.machine.borrow().wake();
-                sleep_until(zoning.started + Duration::from_micros(wake)).await;
+                let wake = zone_monitor.machine.borrow().wake();
+                sleep_until(zone_monitor.started + Duration::from_micros(wake)).await;
                 let mut out = Vec::new();
-                zoning.machine.borrow_mut().tick(zoning.now(), &mut out);
-                zoning.carry_out(out, post.as_deref());
+                zone_monitor.machine.borrow_mut().tick(zone_monitor.now(), &mut out);
+                zone_monitor.carry_out(out, note_sender.as_deref());
             }
         });
         if let Some(before) = self.task.borrow_mut().replace(task.abort_handle()) {
@@ -238,12 +242,12 @@
         let _ = self.inputs.send(Input::RedirectClients(wanted));
     }
 
-    fn carry_out(&self, out: Vec<Output>, post: Option<&Post>) {
+    fn carry_out(&self, out: Vec<Output>, note_sender: Option<&NoteSender>) {
         for o in out {
             match o {
                 Output::Send(to, body) => {
-                    if let Some(post) = post {
-                        post.send(Some(self.numbers.at(to)), &body);
+                    if let Some(note_sender) = note_sender {
+                        note_sender.send(Some(self.numbers.at(to)), &body);
                     }
                 }
                 Output::Lean { zone, share, tries, spared } => {
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -1,9 +1,9 @@
 //! One real sender: its parts, its start and its end.
 
 use crate::calls::{Calls, End};
-use crate::clients::door::{COMING, Door};
+use crate::clients::accept_queue::AcceptQueue;
+use crate::clients::admission::{Admission, FRONT_DRAIN_TIME};
 use crate::clients::inbound::Inbound;
-use crate::clients::queue::Queue;
 use crate::copies::copying::Copying;
 use crate::decision_loop::{Components, DecisionLoop};
 use crate::handover::protocol::{ForwardResult, Frame, Next, State, after_silence, told};
@@ -15,16 +15,16 @@
 use crate::platform::discovery::Discovery;
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
-use crate::platform::zoning::Zoning;
+use crate::platform::zone_monitor::ZoneMonitor;
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::settings::config::Config;
 use crate::settings::descriptors::Descriptors;
 use crate::settings::operator::{self, Operator};
 use crate::settings::terms::{self, Terms};
 use crate::startup;
-use crate::state::debts;
-use crate::state::journal::{Journal, Open};
-use crate::state::safety::Safety;
+use crate::state::durability::DurabilityTracker;
+use crate::state::journal::{Journal, OpenMessage};
+use crate::state::pending_writes;
 use crate::state::storage;
 use notchpoint_policy::{MessageId, Micros};
 use notchpoint_seam::{Clock, ConfigSource, Disk, Listener, Network, Signal, World};
@@ -233,7 +233,7 @@
                 Err(notchpoint_store::Error::Io(e)) if startup::may_pass(&e, begun) => {
                     self.trouble.warn(&format_args!("the folder cannot be opened yet: {e}"));
                 }
-                Err(e) => return Err(storage::explained(e)),
+                Err(e) => return Err(storage::describe_open_error(e)),
             }
             if !startup::rest(&self.told.terminate).await {
                 return Ok(None);
@@ -251,15 +251,15 @@
         &self,
         config: &Config,
         journal: &Rc<RefCell<Journal>>,
-        safety: &Rc<Safety>,
+        durability: &Rc<DurabilityTracker>,
         terms: &Rc<RefCell<Terms>>,
         inputs: &UnboundedSender<Input>,
         before: &Before,
     ) -> Result<Option<Rc<Copying>>, Failure> {
         let Some(set) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let careful = |open: &Open| terms.borrow().is_careful(&open.class);
-        let (net, journal, safety) = (self.net.clone(), journal.clone(), safety.clone());
-        let copies = Copying::open(set, config, net, journal, safety, inputs.clone(), careful)?;
+        let careful = |open: &OpenMessage| terms.borrow().is_careful(&open.class);
+        let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
+        let copies = Copying::open(set, config, net, journal, durability, inputs.clone(), careful)?;
         copies.listen(set.listen)?;
         // Where clients wait already, they wait no longer than for a slow disk.
         let taking_over = !matches!(before, Before::Nobody);
@@ -303,15 +303,15 @@
         self.operators.limit(descriptors.operators);
         let journal = Rc::new(RefCell::new(journal));
         let terms = Rc::new(RefCell::new(terms(&config, &before, &mut journal.borrow_mut())));
-        let safety = Safety::new(journal.clone());
-        tokio::task::spawn_local(debts::settle(Rc::downgrade(&journal)));
+        let durability = DurabilityTracker::new(journal.clone());
+        tokio::task::spawn_local(pending_writes::retry_pending_writes(Rc::downgrade(&journal)));
         let (inputs, received) = unbounded_channel();
-        let copies = self.copies(&config, &journal, &safety, &terms, &inputs, &before).await?;
+        let copies = self.copies(&config, &journal, &durability, &terms, &inputs, &before).await?;
         let calls = Calls::new(
             &config,
             self.net.clone(),
             journal.clone(),
-            safety.clone(),
+            durability.clone(),
             copies.clone(),
             inputs.clone(),
         );
@@ -324,12 +324,12 @@
         let discovery = Rc::new(discovery);
         let flight = Flight::open(&self.operator.recorder, &config, self.clock.clone())?;
         flight.watch_panics();
-        let door = Rc::new(Door::default());
-        let zoning = Zoning::wanted(&self.operator.zones, &config, &inputs);
-        self.told.begin(&text, &inputs, &flight, zoning.clone());
+        let admission = Rc::new(Admission::default());
+        let zone_monitor = ZoneMonitor::from_settings(&self.operator.zones, &config, &inputs);
+        self.told.begin(&text, &inputs, &flight, zone_monitor.clone());
         let peers = match config.peer_listen.filter(|_| config.settings.may_note) {
             Some(address) => {
-                let bind = || Peers::bind(address, &config, &*self.net, inputs.clone(), zoning.clone());
+                let bind = || Peers::bind(address, &config, &*self.net, inputs.clone(), zone_monitor.clone());
                 match self.patiently("address for notes", bind).await? {
                     Some(peers) => Some(peers),
                     None => return Ok(None),
@@ -337,9 +337,9 @@
             }
             None => None,
         };
-        if let Some(zoning) = &zoning {
-            calls.watched_by(zoning.clone());
-            zoning.begin(peers.as_ref().map(Peers::post));
+        if let Some(zone_monitor) = &zone_monitor {
+            calls.watched_by(zone_monitor.clone());
+            zone_monitor.start(peers.as_ref().map(Peers::note_sender));
         }
         let parts = Components {
             flight,
@@ -350,27 +350,27 @@
             reports: reports.clone(),
             discovery: discovery.clone(),
             peers,
-            zoning: zoning.clone(),
-            door: door.clone(),
+            zone_monitor: zone_monitor.clone(),
+            admission: admission.clone(),
             inputs: received,
         };
         let inbound = Rc::new(Inbound {
-            places: crate::clients::inbound::places(&config),
-            most_reading: crate::clients::inbound::most_reading(&config),
-            reading: Cell::new(0),
+            max_connections: crate::clients::inbound::max_connections(&config),
+            max_body_bytes: crate::clients::inbound::max_body_bytes(&config),
+            body_bytes: Cell::new(0),
             terms,
             journal: journal.clone(),
-            safety: safety.clone(),
+            durability: durability.clone(),
             copies: copies.clone(),
             calls: calls.clone(),
             inputs: inputs.clone(),
-            door: door.clone(),
+            admission: admission.clone(),
             successor: RefCell::default(),
-            answering: RefCell::default(),
-            queue: RefCell::new(Queue::new(self.queue_seen_empty(&before, &journal.borrow()))),
-            taking_since: Instant::now(),
-            looked: Cell::new(false),
-            came_first: RefCell::default(),
+            unanswered: RefCell::default(),
+            accept_queue: RefCell::new(AcceptQueue::new(self.queue_seen_empty(&before, &journal.borrow()))),
+            accepting_since: Instant::now(),
+            is_queue_polled: Cell::new(false),
+            first_stream: RefCell::default(),
         });
         let mut node = match before {
             Before::Given(mut state, ends) => {
@@ -400,15 +400,18 @@
                 }
             }
         };
-        crate::clients::inbound::look_first(&inbound, &*listener).await;
+        crate::clients::inbound::poll_queue_first(&inbound, &*listener).await;
         tracing::info!("listening on {}", listener.local_addr()?);
         let accepting = tokio::task::spawn_local(crate::clients::inbound::serve(inbound.clone(), listener));
-        let watched = door.clone();
-        let watching = tokio::task::spawn_local(async move { watched.watch().await });
-        door.open();
-        let told_of =
-            Shown { copies: copies.clone(), zoning: zoning.clone(), reasons: calls.reasons.clone() };
-        self.operators.open(&config.name, &door, &safety, told_of, &inputs);
+        let watched = admission.clone();
+        let watching = tokio::task::spawn_local(async move { watched.close_idle_after_drain().await });
+        admission.start();
+        let told_of = Shown {
+            copies: copies.clone(),
+            zone_monitor: zone_monitor.clone(),
+            reasons: calls.reasons.clone(),
+        };
+        self.operators.open(&config.name, &admission, &durability, told_of, &inputs);
         self.told.look_again(source);
         let mut asked = None;
         loop {
@@ -441,24 +444,24 @@
             watching.abort();
             drop(asked);
             copies.iter().for_each(|c| c.stop());
-            zoning.iter().for_each(|z| z.stop());
-            door.given.set(true);
+            zone_monitor.iter().for_each(|z| z.stop());
+            admission.is_handed_over.set(true);
             let (mut state, received) = node.give();
             state.queue_seen_empty = inbound.queue_seen_empty().map(|ago| ago.as_micros() as Micros);
             let (ends, written) = transport::give(stream, state.clone());
             *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(ends.to.clone())));
-            door.close.say();
+            admission.close_signal.set();
             self.operators.close();
             tracing::info!("handed over; {} calls end here", calls.out());
             let rest = Rest { inbound, received, told: Vec::new() };
             return Ok(rest.end(&self.told.terminate, state, ends, written).await);
         }
         let told = Instant::now();
-        door.ending.set(true);
+        admission.is_shutting_down.set(true);
         calls.start_until(told + SENDING);
-        let _ = timeout_at(told + COMING, node.run()).await;
+        let _ = timeout_at(told + FRONT_DRAIN_TIME, node.run()).await;
         // Idle connections end between two requests; one that crosses this comes again on a new connection.
-        door.close.say();
+        admission.close_signal.set();
         while told.elapsed() < SENDING && !node.is_done() {
             let _ = timeout_at(Instant::now() + LOOK, node.run()).await;
         }
@@ -466,8 +469,9 @@
         // process.
         // Who has come in is answered first: a connection that ends on a request loses it. Those that wait in
         // the system's queue come in as others leave.
-        let owing = || journal.borrow().is_owing();
-        let open = || calls.out() > 0 || !reports.is_empty() || door.inside.get() > 0 || owing();
+        let owing = || journal.borrow().has_pending_writes();
+        let open =
+            || calls.out() > 0 || !reports.is_empty() || admission.open_connections.get() > 0 || owing();
         let mut quiet = Instant::now();
         while told.elapsed() < LAST && quiet.elapsed() < QUEUE {
             if open() {
@@ -486,10 +490,10 @@
     }
     let (terms, changes) = {
         let used = journal.iter().map(|(_, m)| m.class.as_str()).collect();
-        Terms::new(config, journal.classes(), &used)
+        Terms::new(config, journal.stored_classes(), &used)
     };
     // Without room for them messages would only lose their class to a change of it and a restart at once.
-    if let Err(why) = journal.keep(&changes) {
+    if let Err(why) = journal.update_classes(&changes) {
         tracing::warn!("journal: {why}; classes are known for this process only");
     }
     let deadline = |tag: &str| Some(terms.set.classes.get(terms.classes.place(tag)?)?.deadline);
@@ -513,12 +517,12 @@
                 let (inbound, to, recorded, id) = (inbound.clone(), to.clone(), taken.clone(), handed.id);
                 let before = unheard.contains(&id);
                 tokio::task::spawn_local(async move {
-                    let taken = crate::clients::inbound::take_over(&inbound, handed, before).await;
+                    let taken = crate::clients::inbound::record_handed_over(&inbound, handed, before).await;
                     if matches!(taken, ForwardResult::Recorded { .. }) {
                         match &mut *recorded.borrow_mut() {
                             Some(ids) => _ = ids.insert(id),
                             // Who asked has ended meanwhile, and its client with it.
-                            None => _ = inbound.journal.borrow_mut().end(id),
+                            None => _ = inbound.journal.borrow_mut().record_end(id),
                         }
                     }
                     let _ = to.send(Frame::Answer { number, taken });
@@ -530,7 +534,7 @@
             }
             Frame::Unacknowledged(id) => {
                 forget(id);
-                inbound.journal.borrow_mut().end(id);
+                inbound.journal.borrow_mut().record_end(id);
                 let _ = inbound.inputs.send(Input::Unacknowledged(id));
             }
             other => tracing::warn!("hand-over: {other:?} came from the process before"),
@@ -557,7 +561,8 @@
         // A request whose client has gone meanwhile is recorded over there, and withdrawn by a word from
         // here.
         let waits = self.inbound.successor.borrow().as_ref().is_some_and(|s| s.is_asked());
-        let open = calls.out() > 0 || calls.attempts_out() > 0 || self.inbound.door.inside.get() > 0;
+        let open =
+            calls.out() > 0 || calls.attempts_out() > 0 || self.inbound.admission.open_connections.get() > 0;
         !open && !waits && !calls.has_before()
     }
 
@@ -612,7 +617,7 @@
         let (near, far) = transport::pair();
         self.told.drain(..).for_each(|frame| drop(near.to.send(frame)));
         let out = state.out.iter().map(|o| o.0).collect();
-        let left = Left { out, unheard: self.inbound.unheard() };
+        let left = Left { out, unheard: self.inbound.unacknowledged() };
         if let Some(successor) = &*self.inbound.successor.borrow() {
             successor.replaced_by(near.to.clone());
         }
@@ -669,7 +674,7 @@
     in_force: String,
     inputs: UnboundedSender<Input>,
     flight: Rc<Flight>,
-    zoning: Option<Rc<Zoning>>,
+    zone_monitor: Option<Rc<ZoneMonitor>>,
 }
 
 impl Told {
@@ -678,10 +683,10 @@
         text: &str,
         inputs: &UnboundedSender<Input>,
         flight: &Rc<Flight>,
-        zoning: Option<Rc<Zoning>>,
+        zone_monitor: Option<Rc<ZoneMonitor>>,
     ) {
         let (in_force, inputs, flight) = (text.to_owned(), inputs.clone(), flight.clone());
-        let life = Life { in_force, inputs, flight, zoning };
+        let life = Life { in_force, inputs, flight, zone_monitor };
         *self.life.borrow_mut() = Some(life);
     }
 
@@ -722,8 +727,8 @@
         if !waits.is_empty() {
             tracing::warn!("operator's file: some of it waits for the next start: {}", waits.join(", "));
         }
-        if let Some(zoning) = self.life.borrow().as_ref().and_then(|l| l.zoning.as_ref()) {
-            zoning.retune(&new.zones);
+        if let Some(zone_monitor) = self.life.borrow().as_ref().and_then(|l| l.zone_monitor.as_ref()) {
+            zone_monitor.update_operator_settings(&new.zones);
         }
     }
 
--- a/crates/daemon/src/state/safety.rs
+++ b/crates/daemon/src/state/durability.rs
@@ -14,31 +14,31 @@
 /// After a sync, and the healing behind it, failed.
 const AGAIN: Duration = Duration::from_millis(50);
 
-pub struct Safety {
+pub struct DurabilityTracker {
     journal: Rc<RefCell<Journal>>,
     wanted: Notify,
     news: Notify,
 }
 
-impl Safety {
+impl DurabilityTracker {
     pub fn new(journal: Rc<RefCell<Journal>>) -> Rc<Self> {
-        let safety = Rc::new(Self { journal, wanted: Notify::new(), news: Notify::new() });
-        let task = safety.clone();
+        let durability = Rc::new(Self { journal, wanted: Notify::new(), news: Notify::new() });
+        let task = durability.clone();
         tokio::task::spawn_local(async move { task.run().await });
-        safety
+        durability
     }
 
     /// The end of all that was written.
-    pub fn mark(&self) -> Mark {
-        self.journal.borrow().mark()
+    pub fn log_end(&self) -> Mark {
+        self.journal.borrow().log_end()
     }
 
     /// Whether all up to there is safe, once it is, or this time has passed.
-    pub async fn reached(&self, mark: &Mark, most: Duration) -> bool {
+    pub async fn wait_until_durable(&self, mark: &Mark, most: Duration) -> bool {
         let until = Instant::now() + most;
         loop {
             let news = self.news.notified();
-            if self.is_firm(mark) {
+            if self.is_durable(mark) {
                 return true;
             }
             self.wanted.notify_one();
@@ -48,8 +48,8 @@
         }
     }
 
-    pub fn is_firm(&self, mark: &Mark) -> bool {
-        self.journal.borrow().is_firm(mark)
+    pub fn is_durable(&self, mark: &Mark) -> bool {
+        self.journal.borrow().is_durable(mark)
     }
 
     async fn run(&self) {
@@ -82,7 +82,7 @@
 mod tests {
     use super::*;
     use crate::state::journal::tests::{Broken, SOUND, SYNCS_FAIL};
-    use crate::state::record::Open;
+    use crate::state::record::OpenMessage;
     use notchpoint_policy::MessageId;
     use notchpoint_seam::real::SystemClock;
     use notchpoint_store::{Durability, Options};
@@ -91,11 +91,13 @@
     const SOON: Duration = Duration::from_millis(200);
 
     fn take(journal: &RefCell<Journal>, id: u64) {
-        let open = Open::new("payment", "acme", 3, 1_000, vec![7; 20].into());
-        journal.borrow_mut().take(MessageId(id), open).expect("room");
+        let open = OpenMessage::new("payment", "acme", 3, 1_000, vec![7; 20].into());
+        journal.borrow_mut().accept(MessageId(id), open).expect("room");
     }
 
-    fn on_power(play: impl AsyncFnOnce(Rc<RefCell<Journal>>, Rc<Safety>, &std::path::Path, Rc<Cell<u8>>)) {
+    fn on_power(
+        play: impl AsyncFnOnce(Rc<RefCell<Journal>>, Rc<DurabilityTracker>, &std::path::Path, Rc<Cell<u8>>),
+    ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let folder = tempfile::tempdir().expect("a folder");
@@ -104,34 +106,34 @@
             let options = Options { durability: Durability::Power, ..Options::new(1, 3_000_000) };
             let journal = Journal::open(disk, Rc::new(SystemClock), options).expect("a journal").0;
             let journal = Rc::new(RefCell::new(journal));
-            let safety = Safety::new(journal.clone());
-            play(journal, safety, folder.path(), how).await;
+            let durability = DurabilityTracker::new(journal.clone());
+            play(journal, durability, folder.path(), how).await;
         });
     }
 
     #[test]
     fn what_is_not_synced_is_not_safe_and_one_sync_serves_all_who_wait() {
-        on_power(async |journal, safety, _, _| {
+        on_power(async |journal, durability, _, _| {
             let mut marks = Vec::new();
             for id in 0..32 {
                 take(&journal, id);
-                marks.push(safety.mark());
+                marks.push(durability.log_end());
             }
-            assert!(marks.iter().all(|m| !safety.is_firm(m)), "written is not safe");
-            assert!(safety.reached(&marks[31], SOON).await);
-            assert!(marks.iter().all(|m| safety.is_firm(m)));
+            assert!(marks.iter().all(|m| !durability.is_durable(m)), "written is not safe");
+            assert!(durability.wait_until_durable(&marks[31], SOON).await);
+            assert!(marks.iter().all(|m| durability.is_durable(m)));
         });
     }
 
     #[test]
     fn while_syncs_fail_nothing_is_safe_and_then_it_stands_in_another_segment() {
-        on_power(async |journal, safety, folder, how| {
+        on_power(async |journal, durability, folder, how| {
             take(&journal, 1);
-            let mark = safety.mark();
+            let mark = durability.log_end();
             how.set(SYNCS_FAIL);
-            assert!(!safety.reached(&mark, SOON).await, "a failed sync promises nothing");
+            assert!(!durability.wait_until_durable(&mark, SOON).await, "a failed sync promises nothing");
             how.set(SOUND);
-            assert!(safety.reached(&mark, 10 * SOON).await, "it heals by itself");
+            assert!(durability.wait_until_durable(&mark, 10 * SOON).await, "it heals by itself");
             // A file whose sync failed is not asked again.
             assert!(folder.join("0000000002.log").exists());
             assert!(journal.borrow().get(MessageId(1)).is_some());
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -2,16 +2,16 @@
 //! of messages, and those that are open in memory.
 //!
 //! What is written outlasts the process without a sync; where the operator asks for more (`[store]`),
-//! `safety.rs` waits for the sync before anything is promised or sent.
+//! `durability.rs` waits for the sync before anything is promised or sent.
 
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::settings::classes;
-use crate::state::duty::{self, Change, DUTY, Duty};
 use crate::state::legacy;
+use crate::state::operator_marks::{self, MarkChange, OPERATOR_MARKS, OperatorMarks};
 use crate::state::record::{
     self, Attempt, CLASSES, COPIES, JUDGED, MESSAGES, TAKEN, TRIED, UNSURE, judged, key, read, taken, tried,
 };
-pub use crate::state::record::{Open, Verdict};
+pub use crate::state::record::{OpenMessage, Verdict};
 use crate::state::timeline::{Continuity, Reading, TIMELINE, Timeline};
 use notchpoint_policy::{Class, EndpointId, MessageId, Micros};
 use notchpoint_seam::{Clock, Disk};
@@ -37,16 +37,16 @@
     clock: Rc<dyn Clock>,
     timeline: Timeline,
     continuity: Continuity,
-    open: BTreeMap<MessageId, Open>,
+    open: BTreeMap<MessageId, OpenMessage>,
     /// Messages without an end or a verdict.
     held: usize,
     /// What operators have set.
-    duty: Duty,
+    operator_marks: OperatorMarks,
     /// Definitions of classes that messages may have, by tag, as they were when this was opened.
     classes: BTreeMap<String, Class>,
     /// Verdicts, ends and the timeline that could not be written yet, oldest first: at most a few for each
     /// open message.
-    /// They are written before anything else is, see `debts.rs`.
+    /// They are written before anything else is, see `pending_writes.rs`.
     owed: VecDeque<Batch>,
     /// Told once there are any.
     owing: Rc<Notify>,
@@ -54,19 +54,19 @@
     /// Rows of copies, as an earlier process left them, until they are taken.
     copies: Vec<(Vec<u8>, Vec<u8>)>,
     /// Who is told what becomes of messages, where copies are kept.
-    watch: Option<UnboundedSender<Watched>>,
+    watch: Option<UnboundedSender<MessageUpdate>>,
 }
 
 /// What became of a message, for who keeps copies of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Watched {
-    NeverRan(MessageId, u32),
-    Judged(MessageId, Verdict),
-    Over(MessageId),
+pub enum MessageUpdate {
+    AttemptNeverRan(MessageId, u32),
+    Verdict(MessageId, Verdict),
+    Ended(MessageId),
 }
 
 /// A row of copies: its key, and what stands there, if it stays.
-pub type Row<'a> = (&'a [u8], Option<&'a [u8]>);
+pub type CopyRow<'a> = (&'a [u8], Option<&'a [u8]>);
 
 impl Journal {
     /// Reads what an earlier process left, the form of earlier builds included.
@@ -74,13 +74,13 @@
         let (mut store, notes) = Store::open(disk.clone(), options)?;
         legacy::carry_over(&*disk, &mut store)?;
         let mut open = BTreeMap::new();
-        let (mut duty, mut classes, mut unread) = (Duty::default(), BTreeMap::new(), None);
+        let (mut operator_marks, mut classes, mut unread) = (OperatorMarks::default(), BTreeMap::new(), None);
         let (mut copies, mut saved) = (Vec::new(), None);
         store.visit(|table, key, value| {
             let (what, read) = match table {
                 MESSAGES => ("a message's record", read(key, value, &mut open)),
                 CLASSES => ("a class's definition", read_class(key, value, &mut classes)),
-                DUTY => ("an operator's mark", duty.read(key, value)),
+                OPERATOR_MARKS => ("an operator's mark", operator_marks.read(key, value)),
                 COPIES => return copies.push((key.to_vec(), value.to_vec())),
                 TIMELINE => {
                     saved = Timeline::read(key, value);
@@ -93,7 +93,7 @@
             }
         })?;
         // An attempt or a verdict without its message would be one: nothing is told of it.
-        open.retain(|_, m: &mut Open| m.deadline > 0);
+        open.retain(|_, m: &mut OpenMessage| m.deadline > 0);
         if let Some(why) = unread {
             return Err(io::Error::new(io::ErrorKind::InvalidData, why).into());
         }
@@ -113,7 +113,7 @@
             continuity,
             open,
             held,
-            duty,
+            operator_marks,
             classes,
             owed,
             owing: Rc::default(),
@@ -145,7 +145,7 @@
             tracing::warn!("journal: dated on another boot; deadlines are read by the wall clock");
             for (id, open) in &mut self.open {
                 for attempt in open.attempts.iter_mut().filter(|a| !a.never_ran) {
-                    attempt.at = LONG_AGO;
+                    attempt.started_at = LONG_AGO;
                     batch.put(MESSAGES, &key(*id, TRIED, Some(attempt.number)), &tried(attempt));
                 }
             }
@@ -185,21 +185,21 @@
         self.timeline.at(self.clock.monotonic_now())
     }
 
-    pub fn get(&self, id: MessageId) -> Option<&Open> {
+    pub fn get(&self, id: MessageId) -> Option<&OpenMessage> {
         self.open.get(&id)
     }
 
-    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &Open)> {
+    pub fn iter(&self) -> impl Iterator<Item = (MessageId, &OpenMessage)> {
         self.open.iter().map(|(&id, m)| (id, m))
     }
 
     /// Messages without an end or a verdict.
-    pub fn held(&self) -> usize {
+    pub fn held_count(&self) -> usize {
         self.held
     }
 
     /// Takes a message on. After an error nothing was taken on.
-    pub fn take(&mut self, id: MessageId, message: Open) -> io::Result<()> {
+    pub fn accept(&mut self, id: MessageId, message: OpenMessage) -> io::Result<()> {
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
         self.append(&batch, Work::New)?;
@@ -210,11 +210,11 @@
     }
 
     /// Tells what becomes of messages from now on.
-    pub fn watch(&mut self, watch: UnboundedSender<Watched>) {
+    pub fn subscribe(&mut self, watch: UnboundedSender<MessageUpdate>) {
         self.watch = Some(watch);
     }
 
-    fn tell(&self, what: Watched) {
+    fn tell(&self, what: MessageUpdate) {
         // Who listened may have ended with this process's life.
         if let Some(watch) = &self.watch {
             let _ = watch.send(what);
@@ -227,7 +227,7 @@
     }
 
     /// Writes rows of copies, as one step. After an error nothing has changed.
-    pub fn write_copies<'a>(&mut self, rows: impl Iterator<Item = Row<'a>>) -> io::Result<()> {
+    pub fn write_copies<'a>(&mut self, rows: impl Iterator<Item = CopyRow<'a>>) -> io::Result<()> {
         let mut batch = Batch::default();
         let all_go = enter(&mut batch, rows);
         Ok(self.append(&batch, if all_go { Work::End } else { Work::New })?)
@@ -238,8 +238,8 @@
     pub fn adopt<'a>(
         &mut self,
         id: MessageId,
-        message: Open,
-        rows: impl Iterator<Item = Row<'a>>,
+        message: OpenMessage,
+        rows: impl Iterator<Item = CopyRow<'a>>,
     ) -> io::Result<()> {
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
@@ -252,29 +252,29 @@
     }
 
     /// A message that was taken on as unsure is promised from here on. After an error it must not be.
-    pub fn promise(&mut self, id: MessageId) -> io::Result<()> {
-        if self.open.get(&id).is_none_or(|o| o.sure) {
+    pub fn confirm(&mut self, id: MessageId) -> io::Result<()> {
+        if self.open.get(&id).is_none_or(|o| o.is_confirmed) {
             return Ok(());
         }
         let mut batch = Batch::default();
         batch.delete(MESSAGES, &key(id, UNSURE, None));
         self.append(&batch, Work::Going)?;
-        self.open.entry(id).and_modify(|o| o.sure = true);
+        self.open.entry(id).and_modify(|o| o.is_confirmed = true);
         Ok(())
     }
 
     /// What operators have set.
-    pub fn duty(&self) -> &Duty {
-        &self.duty
+    pub fn operator_marks(&self) -> &OperatorMarks {
+        &self.operator_marks
     }
 
     /// Definitions of classes, by tag, as an earlier process left them.
-    pub fn classes(&self) -> &BTreeMap<String, Class> {
+    pub fn stored_classes(&self) -> &BTreeMap<String, Class> {
         &self.classes
     }
 
     /// Writes which definitions are kept from now on, as one step. After an error nothing has changed.
-    pub fn keep(&mut self, changes: &[classes::Change]) -> io::Result<()> {
+    pub fn update_classes(&mut self, changes: &[classes::Change]) -> io::Result<()> {
         let mut batch = Batch::default();
         for change in changes {
             match change {
@@ -289,21 +289,21 @@
     }
 
     /// Sets or takes back a mark. After an error nothing has changed.
-    pub fn set(&mut self, change: Change) -> io::Result<()> {
-        if !self.duty.has(&change) {
-            self.append(&duty::batch(&change), Work::Going)?;
-            self.duty.apply(change);
+    pub fn set_mark(&mut self, change: MarkChange) -> io::Result<()> {
+        if !self.operator_marks.has(&change) {
+            self.append(&operator_marks::batch(&change), Work::Going)?;
+            self.operator_marks.apply(change);
         }
         Ok(())
     }
 
     /// To be called before an attempt's first byte is written; after an error it must not be.
-    pub fn attempt(&mut self, id: MessageId, number: u32, endpoint: EndpointId) -> io::Result<()> {
+    pub fn record_attempt(&mut self, id: MessageId, number: u32, endpoint: EndpointId) -> io::Result<()> {
         let at = self.unix_now();
         if !self.open.contains_key(&id) {
             return Ok(());
         }
-        let attempt = Attempt { number, endpoint, at, never_ran: false };
+        let attempt = Attempt { number, endpoint, started_at: at, never_ran: false };
         let mut batch = Batch::default();
         batch.put(MESSAGES, &key(id, TRIED, Some(number)), &tried(&attempt));
         self.append(&batch, Work::Going)?;
@@ -313,12 +313,12 @@
 
     /// An outcome proved that an attempt never ran. Without this record a restart would have to give up what
     /// may not be repeated, so it is owed like an end.
-    pub fn never_ran(&mut self, id: MessageId, number: u32) {
+    pub fn record_never_ran(&mut self, id: MessageId, number: u32) {
         let attempts = self.open.get_mut(&id).into_iter().flat_map(|m| &mut m.attempts);
         let Some(attempt) = attempts.into_iter().find(|a| a.number == number) else { return };
         attempt.never_ran = true;
         if let Some(watch) = &self.watch {
-            let _ = watch.send(Watched::NeverRan(id, number));
+            let _ = watch.send(MessageUpdate::AttemptNeverRan(id, number));
         }
         let mut batch = Batch::default();
         batch.put(MESSAGES, &key(id, TRIED, Some(number)), &tried(attempt));
@@ -327,7 +327,7 @@
 
     /// A verdict is written before its notice: from then on the client may hand the message in again. Gives
     /// whether it is written; else it is owed, and a kill would forget it.
-    pub fn verdict(&mut self, id: MessageId, verdict: Verdict) -> bool {
+    pub fn record_verdict(&mut self, id: MessageId, verdict: Verdict) -> bool {
         let Some(m) = self.open.get_mut(&id) else { return true };
         if m.verdict.replace(verdict).is_none() {
             self.held -= 1;
@@ -335,18 +335,18 @@
         let mut batch = Batch::default();
         batch.put(MESSAGES, &key(id, JUDGED, None), &judged(verdict));
         let written = self.append_or_owe(batch);
-        self.tell(Watched::Judged(id, verdict));
+        self.tell(MessageUpdate::Verdict(id, verdict));
         written
     }
 
     /// Nothing is owed for a message any more. Gives whether that is written.
-    pub fn end(&mut self, id: MessageId) -> bool {
+    pub fn record_end(&mut self, id: MessageId) -> bool {
         let Some(m) = self.open.remove(&id) else { return true };
         self.held -= usize::from(m.verdict.is_none());
         let mut batch = Batch::default();
         batch.delete_prefix(MESSAGES, &id.0.to_be_bytes());
         let written = self.append_or_owe(batch);
-        self.tell(Watched::Over(id));
+        self.tell(MessageUpdate::Ended(id));
         self.expect_ends();
         written
     }
@@ -362,12 +362,12 @@
     }
 
     /// Whether records wait to be written.
-    pub fn is_owing(&self) -> bool {
+    pub fn has_pending_writes(&self) -> bool {
         !self.owed.is_empty()
     }
 
     /// Is notified once records wait to be written.
-    pub fn owing(&self) -> Rc<Notify> {
+    pub fn pending_write_signal(&self) -> Rc<Notify> {
         self.owing.clone()
     }
 
@@ -375,7 +375,7 @@
     ///
     /// # Errors
     /// The folder takes nothing yet.
-    pub fn write_owed(&mut self) -> Result<(), Error> {
+    pub fn flush_pending_writes(&mut self) -> Result<(), Error> {
         let Some(store) = &mut self.store else { return Ok(()) };
         while let Some(first) = self.owed.front() {
             store.apply(first, Work::End)?;
@@ -385,7 +385,7 @@
     }
 
     fn append(&mut self, batch: &Batch, work: Work) -> Result<(), Error> {
-        self.write_owed()?;
+        self.flush_pending_writes()?;
         let Some(store) = &mut self.store else {
             // The owner records ends; nothing new is begun here.
             let gone = || io::Error::other("another process owns the store");
@@ -396,7 +396,7 @@
 
     /// Writes all that was kept back and gives the store up, lock included. After an error it is kept.
     pub fn release(&mut self) -> Result<(), Error> {
-        self.write_owed()?;
+        self.flush_pending_writes()?;
         let Some(store) = &mut self.store else { return Ok(()) };
         store.flush()?;
         store.sync_now()?;
@@ -406,11 +406,11 @@
     }
 
     /// The end of all that was written, and whether a loss of power would leave all up to there.
-    pub fn mark(&self) -> Mark {
+    pub fn log_end(&self) -> Mark {
         self.store.as_ref().map_or(self.last, Store::mark)
     }
 
-    pub fn is_firm(&self, mark: &Mark) -> bool {
+    pub fn is_durable(&self, mark: &Mark) -> bool {
         self.store.as_ref().is_none_or(|s| s.is_firm(mark))
     }
 
@@ -424,7 +424,7 @@
 }
 
 /// Enters rows of copies. Whether none of them stays.
-fn enter<'a>(batch: &mut Batch, rows: impl Iterator<Item = Row<'a>>) -> bool {
+fn enter<'a>(batch: &mut Batch, rows: impl Iterator<Item = CopyRow<'a>>) -> bool {
     let mut all_go = true;
     for (key, value) in rows {
         match value {
@@ -465,8 +465,8 @@
         Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT)).expect("a journal").0
     }
 
-    fn message(body: usize) -> Open {
-        Open::new("payment", "acme", 3, 1_000, vec![7; body].into())
+    fn message(body: usize) -> OpenMessage {
+        OpenMessage::new("payment", "acme", 3, 1_000, vec![7; body].into())
     }
 
     fn used(folder: &Path) -> u64 {
@@ -480,18 +480,18 @@
         let mut journal = open(folder.path());
         let ids: Vec<MessageId> = (0..4).map(MessageId).collect();
         for &id in &ids {
-            journal.take(id, message(5)).expect("room");
-            journal.attempt(id, 0, EndpointId(9)).expect("room");
+            journal.accept(id, message(5)).expect("room");
+            journal.record_attempt(id, 0, EndpointId(9)).expect("room");
         }
-        journal.never_ran(ids[1], 0);
-        journal.verdict(ids[2], Verdict::Bounced(250));
-        journal.end(ids[3]);
-        let left: Vec<(MessageId, Open)> = journal.iter().map(|(id, m)| (id, m.clone())).collect();
+        journal.record_never_ran(ids[1], 0);
+        journal.record_verdict(ids[2], Verdict::Bounced(250));
+        journal.record_end(ids[3]);
+        let left: Vec<(MessageId, OpenMessage)> = journal.iter().map(|(id, m)| (id, m.clone())).collect();
         drop(journal);
         for _ in 0..2 {
             let journal = open(folder.path());
             assert_eq!(journal.iter().map(|(id, m)| (id, m.clone())).collect::<Vec<_>>(), left);
-            assert_eq!(journal.held(), 2);
+            assert_eq!(journal.held_count(), 2);
         }
         assert_eq!(left.iter().map(|(id, _)| id.0).collect::<Vec<_>>(), [0, 1, 2]);
         assert!(!left[0].1.attempts[0].never_ran && left[1].1.attempts[0].never_ran);
@@ -505,21 +505,21 @@
         let (mut last, mut refused) = (None, 0);
         for n in 0..400 {
             let id = MessageId(n);
-            match journal.take(id, message(20_000)) {
+            match journal.accept(id, message(20_000)) {
                 Ok(()) => last = Some(id),
                 // Full: refused, and mended by an end.
                 Err(e) => {
                     assert_eq!(e.kind(), io::ErrorKind::StorageFull);
                     refused += 1;
                     let first = journal.iter().next().expect("something is open").0;
-                    journal.end(first);
+                    journal.record_end(first);
                     assert!(journal.owed.is_empty(), "it found room");
                 }
             }
             if let Some(id) = last.filter(|id| journal.get(*id).is_some()) {
                 for number in 0..8 {
-                    journal.attempt(id, number, EndpointId(1)).expect("room");
-                    journal.never_ran(id, number);
+                    journal.record_attempt(id, number, EndpointId(1)).expect("room");
+                    journal.record_never_ran(id, number);
                 }
             }
             assert!(used(folder.path()) <= LIMIT, "{}", used(folder.path()));
@@ -618,17 +618,17 @@
         let disk = Rc::new(Broken::new(folder.path(), broken.clone()));
         let opened = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT));
         let mut journal = opened.expect("a journal").0;
-        (1..=3).for_each(|id| journal.take(MessageId(id), message(5)).expect("room"));
+        (1..=3).for_each(|id| journal.accept(MessageId(id), message(5)).expect("room"));
         broken.set(TAKES_NOTHING);
-        assert!(journal.take(MessageId(4), message(5)).is_err() && journal.get(MessageId(4)).is_none());
-        assert!(journal.attempt(MessageId(1), 0, EndpointId(1)).is_err());
+        assert!(journal.accept(MessageId(4), message(5)).is_err() && journal.get(MessageId(4)).is_none());
+        assert!(journal.record_attempt(MessageId(1), 0, EndpointId(1)).is_err());
         assert!(journal.get(MessageId(1)).expect("open").attempts.is_empty());
-        journal.end(MessageId(2));
-        journal.verdict(MessageId(3), Verdict::Dead);
-        assert_eq!((journal.owed.len(), journal.held()), (2, 1));
+        journal.record_end(MessageId(2));
+        journal.record_verdict(MessageId(3), Verdict::Dead);
+        assert_eq!((journal.owed.len(), journal.held_count()), (2, 1));
         // It heals by itself: what is owed is written first.
         broken.set(SOUND);
-        journal.take(MessageId(5), message(5)).expect("written");
+        journal.accept(MessageId(5), message(5)).expect("written");
         assert!(journal.owed.is_empty());
         drop(journal);
         let journal = open(folder.path());
@@ -640,7 +640,7 @@
     fn a_damaged_folder_is_refused_with_the_place_and_what_helps() {
         let folder = tempfile::tempdir().expect("a folder");
         let mut journal = open(folder.path());
-        (1..=3).for_each(|id| journal.take(MessageId(id), message(50)).expect("room"));
+        (1..=3).for_each(|id| journal.accept(MessageId(id), message(50)).expect("room"));
         drop(journal);
         let path = folder.path().join("0000000001.log");
         let mut bytes = fs::read(&path).expect("a segment");
@@ -650,7 +650,7 @@
         let Err(e) = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT)) else {
             panic!("opened")
         };
-        let said = crate::state::storage::explained(e).to_string();
+        let said = crate::state::storage::describe_open_error(e).to_string();
         for part in ["0000000001.log, byte 64", "frame 1", "notchpoint store salvage"] {
             assert!(said.contains(part), "{said}");
         }
--- a/crates/daemon/src/state/legacy.rs
+++ b/crates/daemon/src/state/legacy.rs
@@ -2,7 +2,7 @@
 //!
 //! Its records were a length, a checksum (CRC-32) and the bytes; its tail could be torn by a kill.
 
-use crate::state::record::{Attempt, Fields, Open, Verdict, write};
+use crate::state::record::{Attempt, Fields, OpenMessage, Verdict, write};
 use notchpoint_policy::{EndpointId, MessageId};
 use notchpoint_seam::Disk;
 use notchpoint_store::{Batch, Error, Refusal, Store, Work};
@@ -39,7 +39,7 @@
 
 /// What is open by an old journal. A torn tail is dropped; bad bytes with sound records behind them are no
 /// torn tail.
-pub fn read(old: &[u8]) -> Result<BTreeMap<MessageId, Open>, Refusal> {
+pub fn read(old: &[u8]) -> Result<BTreeMap<MessageId, OpenMessage>, Refusal> {
     let (mut open, mut rest) = (BTreeMap::new(), old);
     while let Some((record, after)) = unframe(rest) {
         if replay(record, &mut open).is_none() {
@@ -76,7 +76,7 @@
 }
 
 /// Does over again what a record tells; nothing where it cannot be read.
-fn replay(record: &[u8], open: &mut BTreeMap<MessageId, Open>) -> Option<()> {
+fn replay(record: &[u8], open: &mut BTreeMap<MessageId, OpenMessage>) -> Option<()> {
     let mut f = Fields(record);
     let [kind] = f.bytes()?;
     let id = MessageId(f.number()?);
@@ -86,7 +86,7 @@
             let (number, endpoint, at) = (f.small()?, EndpointId(f.number()?), f.number()?);
             let attempts = &mut open.get_mut(&id)?.attempts;
             if attempts.iter().all(|a| a.number != number) {
-                attempts.push(Attempt { number, endpoint, at, never_ran: false });
+                attempts.push(Attempt { number, endpoint, started_at: at, never_ran: false });
             }
         }
         b'N' => {
@@ -168,10 +168,12 @@
         fs::write(folder.path().join(FILE), old()).expect("written");
         for _ in 0..2 {
             let journal = open(folder.path()).expect("opened");
-            let found: Vec<(u64, Open)> = journal.iter().map(|(id, m)| (id.0, m.clone())).collect();
+            let found: Vec<(u64, OpenMessage)> = journal.iter().map(|(id, m)| (id.0, m.clone())).collect();
             assert_eq!(found.iter().map(|f| f.0).collect::<Vec<_>>(), [1, 2]);
-            let (m, a) =
-                (&found[1].1, Attempt { number: 0, endpoint: EndpointId(9), at: 77, never_ran: true });
+            let (m, a) = (
+                &found[1].1,
+                Attempt { number: 0, endpoint: EndpointId(9), started_at: 77, never_ran: true },
+            );
             assert_eq!((&m.attempts[..], m.verdict), (&[a][..], Some(Verdict::Bounced(250))));
             assert_eq!(
                 (&m.class[..], &m.tenant[..], &m.body[..], m.deadline),
--- a/crates/daemon/src/state/debts.rs
+++ b/crates/daemon/src/state/pending_writes.rs
@@ -13,14 +13,16 @@
 const LOOK: Duration = Duration::from_millis(50);
 
 /// Writes owed records for as long as the journal lives.
-pub async fn settle(journal: Weak<RefCell<Journal>>) {
-    let Some(owing) = journal.upgrade().map(|journal| journal.borrow().owing()) else { return };
+pub async fn retry_pending_writes(journal: Weak<RefCell<Journal>>) {
+    let Some(signal) = journal.upgrade().map(|journal| journal.borrow().pending_write_signal()) else {
+        return;
+    };
     loop {
-        owing.notified().await;
+        signal.notified().await;
         loop {
             sleep(AGAIN).await;
             let Some(journal) = journal.upgrade() else { return };
-            if journal.borrow_mut().write_owed().is_ok() {
+            if journal.borrow_mut().flush_pending_writes().is_ok() {
                 break;
             }
         }
@@ -30,7 +32,7 @@
 /// Waits until a verdict that says that handing in again is harmless is written, and gives the one to be
 /// told: a kill would forget one that is not, and the next process would send the message once more. Where
 /// its time runs out before, its client is promised nothing.
-pub async fn written_verdict(
+pub async fn wait_for_verdict_write(
     journal: &Rc<RefCell<Journal>>,
     id: MessageId,
     verdict: Verdict,
@@ -39,11 +41,11 @@
         sleep(LOOK).await;
         let mut journal = journal.borrow_mut();
         let deadline = journal.get(id)?.deadline;
-        if !journal.is_owing() {
+        if !journal.has_pending_writes() {
             return Some(verdict);
         }
         if journal.unix_now() >= deadline {
-            journal.verdict(id, Verdict::Dead);
+            journal.record_verdict(id, Verdict::Dead);
             return Some(Verdict::Dead);
         }
     }
--- a/crates/daemon/src/state/record.rs
+++ b/crates/daemon/src/state/record.rs
@@ -25,14 +25,14 @@
     pub number: u32,
     pub endpoint: EndpointId,
     /// Unix time in microseconds.
-    pub at: u64,
+    pub started_at: u64,
     /// An outcome proved that it never ran.
     pub never_ran: bool,
 }
 
 /// A message from being taken on to its end.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Open {
+pub struct OpenMessage {
     /// By its tag.
     pub class: String,
     pub tenant: String,
@@ -45,19 +45,19 @@
     pub attempts: Vec<Attempt>,
     pub verdict: Option<Verdict>,
     /// Its client may have heard 202. Where copies are kept, that stands in the store before it can.
-    pub sure: bool,
+    pub is_confirmed: bool,
 }
 
-impl Open {
+impl OpenMessage {
     pub fn new(class: &str, tenant: &str, dest: u64, deadline: u64, body: Bytes) -> Self {
         let (class, tenant) = (class.to_owned(), tenant.to_owned());
         let (idempotency_key, attempts) = Default::default();
-        let (verdict, sure) = (None, true);
-        Self { class, tenant, dest, deadline, body, idempotency_key, attempts, verdict, sure }
+        let (verdict, is_confirmed) = (None, true);
+        Self { class, tenant, dest, deadline, body, idempotency_key, attempts, verdict, is_confirmed }
     }
 
     /// Attempts made so far: the next one's number. One that is only presumed counts as one.
-    pub fn made(&self) -> u32 {
+    pub fn attempts_made(&self) -> u32 {
         let real = self.attempts.iter().filter(|a| a.number < DOUBT).map(|a| a.number + 1).max();
         real.unwrap_or(0) + u32::from(self.attempts.iter().any(|a| a.number >= DOUBT))
     }
@@ -82,7 +82,7 @@
 }
 
 /// Writes a message with all that is known of it into a batch.
-pub fn write(batch: &mut Batch, id: MessageId, m: &Open) {
+pub fn write(batch: &mut Batch, id: MessageId, m: &OpenMessage) {
     batch.put(MESSAGES, &key(id, TAKEN, None), &taken(m));
     for a in &m.attempts {
         batch.put(MESSAGES, &key(id, TRIED, Some(a.number)), &tried(a));
@@ -90,7 +90,7 @@
     if !m.idempotency_key.is_empty() {
         batch.put(MESSAGES, &key(id, KEYED, None), m.idempotency_key.as_bytes());
     }
-    if !m.sure {
+    if !m.is_confirmed {
         batch.put(MESSAGES, &key(id, UNSURE, None), &[]);
     }
     if let Some(v) = m.verdict {
@@ -100,14 +100,14 @@
 
 /// An attempt that may have run, for a message of which it is not known whether it did.
 pub fn doubt(batch: &mut Batch, id: MessageId) {
-    let unknown = Attempt { number: DOUBT, endpoint: EndpointId(0), at: 0, never_ran: false };
+    let unknown = Attempt { number: DOUBT, endpoint: EndpointId(0), started_at: 0, never_ran: false };
     batch.put(MESSAGES, &key(id, TRIED, Some(DOUBT)), &tried(&unknown));
 }
 
 /// Far above any real attempt's number.
 const DOUBT: u32 = 1 << 16;
 
-pub fn taken(m: &Open) -> Vec<u8> {
+pub fn taken(m: &OpenMessage) -> Vec<u8> {
     let mut record = m.dest.to_le_bytes().to_vec();
     record.extend(m.deadline.to_le_bytes());
     for name in [&m.class, &m.tenant] {
@@ -120,7 +120,7 @@
 
 pub fn tried(a: &Attempt) -> Vec<u8> {
     let mut record = a.endpoint.0.to_le_bytes().to_vec();
-    record.extend(a.at.to_le_bytes());
+    record.extend(a.started_at.to_le_bytes());
     record.push(a.never_ran.into());
     record
 }
@@ -157,31 +157,31 @@
     }
 
     /// A message as it was taken on: the rest of the bytes.
-    pub fn taken(&mut self) -> Option<Open> {
+    pub fn taken(&mut self) -> Option<OpenMessage> {
         let (dest, deadline) = (self.number()?, self.number()?);
         let (class, tenant) = (self.name()?, self.name()?);
         let body = Bytes::copy_from_slice(self.0);
-        Some(Open { body, ..Open::new(&class, &tenant, dest, deadline, Bytes::new()) })
+        Some(OpenMessage { body, ..OpenMessage::new(&class, &tenant, dest, deadline, Bytes::new()) })
     }
 }
 
 /// Enters a record in force; nothing where it cannot be read. They come in any order.
-pub fn read(key: &[u8], value: &[u8], open: &mut BTreeMap<MessageId, Open>) -> Option<()> {
+pub fn read(key: &[u8], value: &[u8], open: &mut BTreeMap<MessageId, OpenMessage>) -> Option<()> {
     let (id, mut what) = (id_of(key)?, Fields(&key[8..]));
     let mut f = Fields(value);
-    let m = open.entry(id).or_insert_with(|| Open::new("", "", 0, 0, Bytes::new()));
+    let m = open.entry(id).or_insert_with(|| OpenMessage::new("", "", 0, 0, Bytes::new()));
     match what.bytes()? {
         [TAKEN] => {
-            let Open { class, tenant, dest, deadline, body, .. } = f.taken()?;
-            *m = Open { class, tenant, dest, deadline, body, ..m.clone() };
+            let OpenMessage { class, tenant, dest, deadline, body, .. } = f.taken()?;
+            *m = OpenMessage { class, tenant, dest, deadline, body, ..m.clone() };
         }
         [TRIED] => {
             let number = what.bytes().map(u32::from_be_bytes)?;
             let (endpoint, at) = (EndpointId(f.number()?), f.number()?);
-            m.attempts.push(Attempt { number, endpoint, at, never_ran: f.bytes()? != [0] });
+            m.attempts.push(Attempt { number, endpoint, started_at: at, never_ran: f.bytes()? != [0] });
         }
         [KEYED] => m.idempotency_key = String::from_utf8(f.0.to_vec()).ok()?,
-        [UNSURE] => m.sure = false,
+        [UNSURE] => m.is_confirmed = false,
         [JUDGED] => {
             m.verdict = Some(if f.0.is_empty() { Verdict::Dead } else { Verdict::Bounced(f.number()?) });
         }
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::config::Config;
 use crate::settings::operator::{Durability, Storage};
-use crate::state::duty::DUTY;
+use crate::state::operator_marks::OPERATOR_MARKS;
 use crate::state::record::{self, CLASSES, COPIES, MESSAGES};
 use crate::state::timeline::TIMELINE;
 use crate::stdout::print;
@@ -33,7 +33,7 @@
 }
 
 /// With what helps.
-pub fn explained(e: Error) -> Failure {
+pub fn describe_open_error(e: Error) -> Failure {
     match e {
         Error::Refused(why) => format!(
             "the journal is damaged, and going on would be a guess: {why}. Nothing was changed. \
@@ -92,7 +92,7 @@
     match t {
         MESSAGES => "messages".to_owned(),
         CLASSES => "classes".to_owned(),
-        DUTY => "operators' marks".to_owned(),
+        OPERATOR_MARKS => "operators' marks".to_owned(),
         COPIES => "copies".to_owned(),
         TIMELINE => "timeline".to_owned(),
         other => format!("table {}", other.0),
--- a/crates/daemon/src/state/timeline/tests.rs
+++ b/crates/daemon/src/state/timeline/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::input::CLOCK_START;
 use crate::state::journal::Journal;
-use crate::state::record::Open;
+use crate::state::record::OpenMessage;
 use notchpoint_policy::{EndpointId, MessageId};
 use notchpoint_seam::Clock;
 use notchpoint_seam::real::Folder;
@@ -39,8 +39,8 @@
     (Journal::open(disk, clocks.clone(), Options::new(1, 600_000)).expect("a journal").0, clocks)
 }
 
-fn message(deadline: u64) -> Open {
-    Open::new("payment", "acme", 3, deadline, vec![7; 5].into())
+fn message(deadline: u64) -> OpenMessage {
+    OpenMessage::new("payment", "acme", 3, deadline, vec![7; 5].into())
 }
 
 #[test]
@@ -66,10 +66,10 @@
         let folder = tempfile::tempdir().expect("a folder");
         let (mut journal, _) = open(folder.path(), reading(1, 5 * HOUR, 100 * HOUR));
         for id in [1, 2] {
-            journal.take(MessageId(id), message(100 * HOUR + 60 * SECOND)).expect("room");
-            journal.attempt(MessageId(id), 0, EndpointId(9)).expect("room");
+            journal.accept(MessageId(id), message(100 * HOUR + 60 * SECOND)).expect("room");
+            journal.record_attempt(MessageId(id), 0, EndpointId(9)).expect("room");
         }
-        journal.never_ran(MessageId(2), 0);
+        journal.record_never_ran(MessageId(2), 0);
         drop(journal);
         for _ in 0..2 {
             let (mut journal, _) = open(folder.path(), after);
@@ -78,7 +78,7 @@
             for (_, open) in journal.iter() {
                 assert_eq!(open.deadline, wall + 24 * SECOND);
             }
-            let at = |id| journal.get(MessageId(id)).expect("open").attempts[0].at;
+            let at = |id| journal.get(MessageId(id)).expect("open").attempts[0].started_at;
             // The module's clock begins at least as far from its zero as the longest window.
             assert!(journal.unix_now() - at(1) >= 24 * HOUR, "{}", at(1));
             assert_eq!(at(2), 100 * HOUR, "it never ran");
