--- a/crates/copies/tests/sim/mod.rs
+++ b/crates/copies/tests/sim/mod.rs
@@ -1,6 +1,6 @@
-//! A fleet in virtual time: the machines as they are, and round each what the daemon does: a folder, clients,
-//! attempts, notices. Between them links that are cut, slow, and come back; senders that stop in any
-//! instruction, die, and lose their folder.
+//! A fleet in virtual time. The replication state machines are the real ones; what the daemon does around
+//! them is simulated: folder, clients, attempts and notices. Links between senders can be cut, slow and
+//! restored. Senders can stop at any instruction, be killed, and lose their folder.
 
 #![allow(dead_code)]
 
@@ -11,31 +11,31 @@
 
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
-/// A client waits so long.
-const CLIENT: Micros = 300 * MS;
-const LIMIT: u32 = 8;
-/// The wall's clock differs from the other by so much.
+/// The time that a client waits.
+const CLIENT_TIMEOUT: Micros = 300 * MS;
+const MAX_ATTEMPTS: u32 = 8;
+/// The difference between wall clock and monotonic clock.
 const UNIX: Micros = 1_700_000_000 * S;
 
-/// What a program does wrong, to show that the checks find it.
+/// A deliberate fault in the protocol, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Mutant {
     None,
-    /// Attempts are made without a word to anyone.
-    NoIntent,
-    /// They are told, and not waited for.
-    IntentNotAwaited,
-    /// A witness consents to whoever asks.
+    /// Attempts are made without requesting consent.
+    NoConsent,
+    /// Consent is requested, but not waited for.
+    ConsentNotAwaited,
+    /// A witness consents to every attempt, whoever owns the message.
     TermNotChecked,
-    /// A client is told before any keeper has its message.
-    PromiseBeforeKeeper,
-    /// A witness grants claims on an owner that it hears.
-    OneAccusingLink,
-    /// A sender goes on with what its folder holds without asking.
-    ReturnWithoutAsking,
-    /// Nobody is told of ends.
-    EndNotTold,
-    /// A withdrawal is told to a client without consent.
+    /// A message is committed before any replica has a copy.
+    CommitBeforeReplica,
+    /// A witness grants claims although it receives heartbeats of the owner.
+    GrantWhileOwnerAlive,
+    /// A restarted sender continues with its messages without asking whether they were claimed.
+    NoQueryAfterRestart,
+    /// Ends are not reported to other senders.
+    EndNotReported,
+    /// A message is reported as safe to submit again without consent.
     BounceWithoutConsent,
 }
 
@@ -71,21 +71,21 @@
 
 /// What a sender is doing with a message.
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Doing {
-    /// Its client waits until then.
-    Client(Micros),
-    /// Nothing, until then.
-    Rests(Micros),
-    /// It waits for consent to this attempt, until then.
-    Asks(u32, Micros),
-    /// An attempt is out; its outcome comes then.
-    Out(u32, Micros, Fate),
-    /// It asked whether it may say that handing in again is harmless, until then.
+enum Activity {
+    /// The client waits until this time.
+    AwaitsCommit(Micros),
+    /// The next attempt is made at this time.
+    Idle(Micros),
+    /// The sender waits for consent to this attempt until this time.
+    AwaitsConsent(u32, Micros),
+    /// An attempt is under way and ends at this time.
+    Attempting(u32, Micros, AttemptOutcome),
+    /// The sender waits until this time for consent to report the message as safe to submit again.
     Closing(Micros),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Fate {
+enum AttemptOutcome {
     Served,
     Full,
     NoAnswer,
@@ -93,41 +93,41 @@
 
 struct Node {
     name: String,
-    machine: Option<Copies>,
+    replicator: Option<Replicator>,
     folder: Folder,
-    doing: BTreeMap<Id, Doing>,
+    activity: BTreeMap<Id, Activity>,
     numbers: BTreeMap<Id, u32>,
-    /// Stopped until then.
+    /// The process is stopped until this time.
     stopped: Micros,
-    /// Dead until then.
+    /// The process is dead until this time.
     dead: Micros,
-    /// Frames in its sockets, in order.
+    /// Received frames, in order of arrival.
     inbox: VecDeque<(Micros, Inbound)>,
     dials: BTreeMap<Peer, Dial>,
     back_by: Micros,
-    life: u64,
+    starts: u64,
 }
 
-/// A link as who dialed it sees it.
+/// A link as the dialing side sees it.
 #[derive(Default)]
 struct Dial {
     up: Option<u64>,
-    again: Micros,
+    dial_at: Micros,
 }
 
 enum Inbound {
-    Greet(Holder, u64),
-    Asked(Holder, u64, Frame),
-    Linked(Holder, u64),
-    Answered(Peer, u64, Frame),
-    Unlinked(Peer, u64),
+    Hello(Instance, u64),
+    Request(Instance, u64, Frame),
+    LinkUp(Instance, u64),
+    Response(Peer, u64, Frame),
+    LinkDown(Peer, u64),
 }
 
-/// What became of a message.
+/// What happened to a message.
 #[derive(Default, Debug)]
-pub struct Fact {
-    pub careful: bool,
-    pub promised: Option<Micros>,
+pub struct MessageHistory {
+    pub at_most_once: bool,
+    pub committed: Option<Micros>,
     pub effects: usize,
     pub attempts: BTreeSet<(u32, usize)>,
     pub delivered: usize,
@@ -136,7 +136,7 @@
     pub deadline: Micros,
 }
 
-impl Fact {
+impl MessageHistory {
     pub fn ended(&self) -> bool {
         self.delivered + self.dead + self.bounced > 0
     }
@@ -145,35 +145,35 @@
 pub struct Fleet {
     nodes: Vec<Node>,
     peers: BTreeMap<Peer, usize>,
-    /// One-way cuts, until when, and delays.
+    /// One-way cuts with their ends, and delays.
     cuts: BTreeMap<(usize, usize), Micros>,
     slow: BTreeMap<(usize, usize), (Micros, Micros)>,
-    /// The last frame's arrival by link and direction: a link keeps its order.
+    /// The arrival of the last frame by link and direction: a link delivers in order.
     last: BTreeMap<(u64, bool), Micros>,
-    /// Links that stand: who dialed whom; and the last one of each pair.
+    /// Links that are up, with the dialing sender first, and the latest link of each pair.
     links: BTreeMap<u64, (usize, usize)>,
     latest: BTreeMap<(usize, usize), u64>,
-    /// Frames and bytes that each sender has put on links.
+    /// Frames and bytes that each sender has sent.
     pub sent: Vec<(u64, u64)>,
     next_link: u64,
     next_id: u64,
     pub now: Micros,
-    pub facts: BTreeMap<Id, Fact>,
-    pub took: usize,
-    pub gave: usize,
+    pub histories: BTreeMap<Id, MessageHistory>,
+    pub taken_over: usize,
+    pub given_up: usize,
     pub lost: usize,
-    pub said: Vec<(Micros, usize, Event)>,
+    pub events: Vec<(Micros, usize, Event)>,
     pub rng: Pcg64,
     count: usize,
     zones: usize,
     mutant: Mutant,
-    /// Chance of each fate of an attempt, in percent.
-    pub full: u32,
-    pub silent: u32,
-    /// How long an attempt takes at most.
-    pub takes: Micros,
-    pub seats: usize,
-    /// Processes may be stopped between a consent and the first byte.
+    /// The chance of each outcome of an attempt, in percent.
+    pub full_percent: u32,
+    pub silent_percent: u32,
+    /// The limit of an attempt's duration.
+    pub attempt_time: Micros,
+    pub witness_entries: usize,
+    /// Whether processes may be stopped between a consent and the first byte.
     pub faults: bool,
 }
 
@@ -191,36 +191,36 @@
             next_link: 1,
             next_id: 1,
             now: S,
-            facts: BTreeMap::new(),
-            took: 0,
-            gave: 0,
+            histories: BTreeMap::new(),
+            taken_over: 0,
+            given_up: 0,
             lost: 0,
-            said: Vec::new(),
+            events: Vec::new(),
             rng: Pcg64::seed_from_u64(seed),
             count,
             zones: 3,
             mutant,
-            full: 20,
-            silent: 5,
-            takes: 200 * MS,
-            seats: SEATS,
+            full_percent: 20,
+            silent_percent: 5,
+            attempt_time: 200 * MS,
+            witness_entries: DEFAULT_WITNESS_ENTRIES,
             faults: false,
         };
         for i in 0..n {
             let name = format!("n{i}");
-            fleet.peers.insert(Peer::named(&name), i);
+            fleet.peers.insert(Peer::from_name(&name), i);
             fleet.nodes.push(Node {
                 name,
-                machine: None,
+                replicator: None,
                 folder: Folder::default(),
-                doing: BTreeMap::new(),
+                activity: BTreeMap::new(),
                 numbers: BTreeMap::new(),
                 stopped: 0,
                 dead: 0,
                 inbox: VecDeque::new(),
                 dials: BTreeMap::new(),
                 back_by: 0,
-                life: 0,
+                starts: 0,
             });
         }
         (0..n).for_each(|i| fleet.start(i));
@@ -231,60 +231,66 @@
         self.nodes.len()
     }
 
-    fn at(&self) -> At {
-        At { now: self.now, unix: UNIX + self.now }
+    fn timestamps(&self) -> Timestamps {
+        Timestamps { now: self.now, unix: UNIX + self.now }
     }
 
     fn start(&mut self, i: usize) {
         let sender = |j: usize| Sender { name: format!("n{j}"), zone: Some(format!("z{}", j % self.zones)) };
         let others = (0..self.nodes.len()).filter(|&j| j != i).map(sender).collect();
-        let view = View::new(sender(i), others, self.count).expect("sound");
-        let reign = Reign(self.rng.random());
-        let set = Set { attempts: LIMIT, seats: self.seats, ..Set::default() };
-        let at = self.at();
+        let membership = Membership::new(sender(i), others, self.count).expect("sound");
+        let incarnation = Incarnation(self.rng.random());
+        let settings = Settings {
+            max_attempts: MAX_ATTEMPTS,
+            witness_entries: self.witness_entries,
+            ..Settings::default()
+        };
+        let time = self.timestamps();
         let node = &mut self.nodes[i];
-        node.life += 1;
+        node.starts += 1;
         // A sender that cannot write its first row does not start.
         node.folder.full &= !node.folder.rows.is_empty();
         let rows: Vec<_> = node.folder.rows.iter().map(|(k, v)| (k.clone(), v.clone())).collect();
-        let machine = Copies::new(view, set, reign, rows.into_iter(), at, &mut node.folder);
-        node.machine = Some(machine.expect("sound"));
-        node.doing.clear();
+        let replicator =
+            Replicator::new(membership, settings, incarnation, rows.into_iter(), time, &mut node.folder);
+        node.replicator = Some(replicator.expect("sound"));
+        node.activity.clear();
         node.numbers.clear();
         node.dials.clear();
         node.back_by = self.now + 300 * MS;
         let all: Vec<(Id, Record)> = node.folder.messages.iter().map(|(&i, r)| (i, r.clone())).collect();
         for (id, record) in all {
-            self.tell(i, Input::Resume { id, record: record.clone() });
+            self.handle_input(i, Input::Resume { id, record: record.clone() });
             self.take_up(i, id, &record, self.now);
         }
-        self.tell(i, Input::Tick);
+        self.handle_input(i, Input::Tick);
     }
 
-    /// A message that is owned goes on: what may have run is not sent again unless it may be repeated.
+    /// Continues an owned message. A message that may have been processed is not attempted again unless it
+    /// may be repeated.
     fn take_up(&mut self, i: usize, id: Id, record: &Record, from: Micros) {
-        let made = record.tried.iter().filter(|t| t.number < 1 << 16).map(|t| t.number + 1).max();
+        let made = record.attempts.iter().filter(|t| t.number < 1 << 16).map(|t| t.number + 1).max();
         let node = &mut self.nodes[i];
         node.numbers.insert(id, made.unwrap_or(0));
-        let ran = record.tried.iter().any(|t| !t.never_ran);
-        node.doing.insert(id, Doing::Rests(from));
-        if record.verdict.is_some() || record.careful && (ran || !record.sure) {
+        let ran = record.attempts.iter().any(|t| !t.never_ran);
+        node.activity.insert(id, Activity::Idle(from));
+        if record.verdict.is_some() || record.at_most_once && (ran || !record.acknowledged) {
             self.end(i, id, Verdict::Dead);
         }
     }
 
-    /// Ends the process; its connections end with it.
+    /// Kills the process; its connections end with it.
     pub fn kill(&mut self, i: usize, back_in: Micros) {
         self.trace(i, &("fault: killed", back_in));
         let node = &mut self.nodes[i];
-        (node.machine, node.dead, node.stopped) = (None, self.now + back_in, 0);
+        (node.replicator, node.dead, node.stopped) = (None, self.now + back_in, 0);
         node.inbox.clear();
         let ended: Vec<u64> =
             self.links.iter().filter(|(_, l)| l.0 == i || l.1 == i).map(|(&l, _)| l).collect();
         ended.into_iter().for_each(|l| self.break_link(l));
     }
 
-    /// The machine is gone with its disk; an empty one takes its place.
+    /// The machine and its disk are lost, and replaced by an empty one.
     pub fn lose(&mut self, i: usize, back_in: Micros) {
         self.trace(i, &("fault: lost", back_in));
         self.kill(i, back_in);
@@ -292,13 +298,13 @@
         self.lost += 1;
     }
 
-    pub fn stop(&mut self, i: usize, how_long: Micros) {
-        self.trace(i, &("fault: stopped", how_long));
-        self.nodes[i].stopped = self.now + how_long;
+    pub fn stop(&mut self, i: usize, duration: Micros) {
+        self.trace(i, &("fault: stopped", duration));
+        self.nodes[i].stopped = self.now + duration;
     }
 
     pub fn is_running(&self, i: usize) -> bool {
-        self.nodes[i].machine.is_some() && self.nodes[i].stopped <= self.now
+        self.nodes[i].replicator.is_some() && self.nodes[i].stopped <= self.now
     }
 
     pub fn fill_disk(&mut self, i: usize, full: bool) {
@@ -308,14 +314,14 @@
         self.nodes[i].folder.full = full;
     }
 
-    /// Nothing passes from one to another; a side that waits for it finds out by silence alone.
-    pub fn cut(&mut self, from: usize, to: usize, how_long: Micros) {
-        self.trace(from, &("fault: cut", to, how_long));
-        self.cuts.insert((from, to), self.now + how_long);
+    /// Cuts the link in one direction. The other side notices only that nothing arrives.
+    pub fn cut(&mut self, from: usize, to: usize, duration: Micros) {
+        self.trace(from, &("fault: cut", to, duration));
+        self.cuts.insert((from, to), self.now + duration);
     }
 
-    pub fn delay(&mut self, from: usize, to: usize, by: Micros, how_long: Micros) {
-        self.slow.insert((from, to), (by, self.now + how_long));
+    pub fn delay(&mut self, from: usize, to: usize, by: Micros, duration: Micros) {
+        self.slow.insert((from, to), (by, self.now + duration));
     }
 
     pub fn heal(&mut self) {
@@ -324,7 +330,7 @@
         for node in &mut self.nodes {
             (node.stopped, node.dead) = (0, node.dead.min(self.now));
         }
-        // What still waits for the end of a cut is sent anew, on a new connection.
+        // Frames that wait for the end of a cut are resent on a new connection.
         let soon = self.now + 100 * MS;
         let waits = self.last.iter().filter(|(_, at)| **at > soon).map(|((l, _), _)| *l);
         let waits: BTreeSet<u64> = waits.collect();
@@ -339,35 +345,35 @@
         self.cuts.get(&(from, to)).is_some_and(|&until| until > self.now)
     }
 
-    /// Frames on their way are lost with the link.
+    /// Breaks a link; frames in transit are lost.
     fn break_link(&mut self, link: u64) {
         let Some((a, b)) = self.links.remove(&link) else { return };
-        let (at, to) = (self.now, Peer::named(&self.nodes[b].name));
+        let (at, to) = (self.now, Peer::from_name(&self.nodes[b].name));
         let of = |m: &Inbound| match m {
-            Inbound::Greet(_, l)
-            | Inbound::Asked(_, l, _)
-            | Inbound::Linked(_, l)
-            | Inbound::Answered(_, l, _)
-            | Inbound::Unlinked(_, l) => *l,
+            Inbound::Hello(_, l)
+            | Inbound::Request(_, l, _)
+            | Inbound::LinkUp(_, l)
+            | Inbound::Response(_, l, _)
+            | Inbound::LinkDown(_, l) => *l,
         };
-        // What had arrived in a socket can still be read; what had not is gone.
+        // Frames that have arrived in a socket can still be read, others are lost.
         for node in [a, b] {
             self.nodes[node].inbox.retain(|(t, m)| of(m) != link || *t <= at);
         }
-        if self.nodes[a].machine.is_some() {
-            self.nodes[a].inbox.push_back((at, Inbound::Unlinked(to, link)));
+        if self.nodes[a].replicator.is_some() {
+            self.nodes[a].inbox.push_back((at, Inbound::LinkDown(to, link)));
         }
     }
 
-    fn arrive(&mut self, link: u64, back: bool, what: Inbound) {
+    fn arrive(&mut self, link: u64, is_response: bool, what: Inbound) {
         let Some(&(a, b)) = self.links.get(&link) else { return };
-        let (from, to) = if back { (b, a) } else { (a, b) };
-        // A connection over a cut delivers later, when it heals, or never: it breaks when somebody gives up.
+        let (from, to) = if is_response { (b, a) } else { (a, b) };
+        // A connection over a cut delivers when the cut ends, or never if one side gives up before.
         let cut = self.cuts.get(&(from, to)).copied().filter(|&t| t > self.now);
         let slow = self.slow.get(&(from, to)).filter(|s| s.1 > self.now).map_or(0, |s| s.0);
         let usual = self.rng.random_range(MS / 2..3 * MS);
         let at = cut.unwrap_or(self.now) + usual + slow;
-        let last = self.last.entry((link, back)).or_default();
+        let last = self.last.entry((link, is_response)).or_default();
         *last = at.max(*last);
         let at = *last;
         let inbox = &mut self.nodes[to].inbox;
@@ -375,36 +381,36 @@
         inbox.insert(place, (at, what));
     }
 
-    fn dial(&mut self, i: usize, peer: Peer) {
+    fn connect(&mut self, i: usize, peer: Peer) {
         let Some(&to) = self.peers.get(&peer) else { return };
         let again = self.now + 50 * MS;
         let dial = self.nodes[i].dials.entry(peer).or_default();
-        dial.again = again;
-        if self.nodes[to].machine.is_none() || self.is_cut(i, to) || self.is_cut(to, i) {
+        dial.dial_at = again;
+        if self.nodes[to].replicator.is_none() || self.is_cut(i, to) || self.is_cut(to, i) {
             return;
         }
-        let (link, me) = (self.next_link, self.nodes[i].machine.as_ref().expect("alive").holder());
+        let (link, me) = (self.next_link, self.nodes[i].replicator.as_ref().expect("alive").instance());
         self.next_link += 1;
         self.links.insert(link, (i, to));
         self.latest.insert((i, to), link);
-        let theirs = self.nodes[to].machine.as_ref().expect("alive").holder();
+        let theirs = self.nodes[to].replicator.as_ref().expect("alive").instance();
         self.nodes[i].dials.entry(peer).or_default().up = Some(link);
-        self.arrive(link, false, Inbound::Greet(me, link));
-        self.arrive(link, true, Inbound::Linked(theirs, link));
+        self.arrive(link, false, Inbound::Hello(me, link));
+        self.arrive(link, true, Inbound::LinkUp(theirs, link));
     }
 
-    fn tell(&mut self, i: usize, input: Input) {
-        if !matches!(input, Input::Asked { .. } | Input::Answered { .. }) {
-            self.trace(i, &("told", &input));
+    fn handle_input(&mut self, i: usize, input: Input) {
+        if !matches!(input, Input::Request { .. } | Input::Response { .. }) {
+            self.trace(i, &("input", &input));
         }
-        let at = self.at();
+        let time = self.timestamps();
         let node = &mut self.nodes[i];
-        let Some(machine) = &mut node.machine else { return };
-        if self.mutant == Mutant::EndNotTold && matches!(input, Input::Over { .. }) {
+        let Some(replicator) = &mut node.replicator else { return };
+        if self.mutant == Mutant::EndNotReported && matches!(input, Input::Ended { .. }) {
             return;
         }
         let mut out = Vec::new();
-        machine.handle(at, input, &mut node.folder, &mut out);
+        replicator.handle(time, input, &mut node.folder, &mut out);
         self.carry_out(i, out);
     }
 
@@ -412,47 +418,47 @@
         for o in out {
             self.trace(i, &o);
             match o {
-                Output::Dial(peer) => self.dial(i, peer),
-                Output::Hang(peer) => {
+                Output::Connect(peer) => self.connect(i, peer),
+                Output::Disconnect(peer) => {
                     let up = self.nodes[i].dials.get(&peer).and_then(|d| d.up);
                     up.into_iter().for_each(|link| self.break_link(link));
                 }
-                Output::Ask(peer, frame) => {
+                Output::SendRequest(peer, frame) => {
                     let up = self.nodes[i].dials.get(&peer).and_then(|d| d.up);
-                    let me = self.nodes[i].machine.as_ref().expect("alive").holder();
-                    // Over the wire, as it is.
-                    let bytes = write(&frame);
+                    let me = self.nodes[i].replicator.as_ref().expect("alive").instance();
+                    // The frame is encoded and decoded as on the wire.
+                    let bytes = write_frame(&frame);
                     self.count(i, bytes.len());
-                    let frame = read(&bytes).expect("sound").expect("whole").0;
+                    let frame = read_frame(&bytes).expect("sound").expect("whole").0;
                     if let Some(link) = up {
-                        self.arrive(link, false, Inbound::Asked(me, link, frame));
+                        self.arrive(link, false, Inbound::Request(me, link, frame));
                     }
                 }
-                Output::Answer(peer, frame) => {
+                Output::SendResponse(peer, frame) => {
                     let frame = self.mutated(frame);
                     let from = self.peers[&peer];
-                    self.count(i, write(&frame).len());
+                    self.count(i, write_frame(&frame).len());
                     let link = self.latest.get(&(from, i)).copied().filter(|l| self.links.contains_key(l));
-                    let me = Peer::named(&self.nodes[i].name);
+                    let me = Peer::from_name(&self.nodes[i].name);
                     if let Some(link) = link {
-                        self.arrive(link, true, Inbound::Answered(me, link, frame));
+                        self.arrive(link, true, Inbound::Response(me, link, frame));
                     }
                 }
-                Output::Promised(id) => self.promised(i, id),
-                Output::Short(id) => self.withdraw(i, id),
-                Output::Granted(id, number) => self.granted(i, id, number),
-                Output::Refused(id, number) => self.refused(i, id, number),
-                Output::Adopted(id) => {
-                    self.took += 1;
+                Output::Committed(id) => self.committed(i, id),
+                Output::TooFewReplicas(id) => self.withdraw(i, id),
+                Output::AttemptGranted(id, number) => self.granted(i, id, number),
+                Output::AttemptRefused(id, number) => self.refused(i, id, number),
+                Output::TakenOver(id) => {
+                    self.taken_over += 1;
                     let record = self.nodes[i].folder.messages[&id].clone();
                     self.take_up(i, id, &record, self.now);
                 }
-                Output::Lost(id) => {
-                    self.gave += 1;
+                Output::OwnershipLost(id) => {
+                    self.given_up += 1;
                     self.forget(i, id);
-                    self.tell(i, Input::Over { id });
+                    self.handle_input(i, Input::Ended { id });
                 }
-                Output::Say(event) => self.said.push((self.now, i, event)),
+                Output::Log(event) => self.events.push((self.now, i, event)),
             }
         }
     }
@@ -462,8 +468,8 @@
         (*frames, *all) = (*frames + 1, *all + bytes as u64);
     }
 
-    /// Links that each sender holds, dialed and answered.
-    pub fn held_links(&self) -> Vec<usize> {
+    /// Returns the number of links of each sender, dialed and accepted.
+    pub fn link_counts(&self) -> Vec<usize> {
         let mut held = vec![0; self.nodes.len()];
         for &(a, b) in self.links.values() {
             held[a] += 1;
@@ -474,19 +480,19 @@
 
     fn mutated(&self, frame: Frame) -> Frame {
         match (self.mutant, frame) {
-            (Mutant::TermNotChecked, Frame::Refuse { key, term, number, .. }) => {
-                Frame::Consent { key, term, number }
+            (Mutant::TermNotChecked, Frame::AttemptRefused { key, term, number, .. }) => {
+                Frame::AttemptGranted { key, term, number }
             }
-            (Mutant::OneAccusingLink, Frame::Deny { round, claims }) => {
+            (Mutant::GrantWhileOwnerAlive, Frame::ClaimsDenied { round, claims }) => {
                 let all = claims.into_iter().map(|(key, term, _)| (key, term, vec![], None)).collect();
-                Frame::Grant { round, claims: all }
+                Frame::ClaimsGranted { round, claims: all }
             }
             (_, frame) => frame,
         }
     }
 
-    /// A client hands a message in.
-    pub fn hand_in(&mut self, i: usize, careful: bool, time: Micros) -> Id {
+    /// Submits a message of a client.
+    pub fn hand_in(&mut self, i: usize, at_most_once: bool, time: Micros) -> Id {
         let id = Id(self.next_id);
         self.next_id += 1;
         let record = Record {
@@ -495,95 +501,100 @@
             dest: 1,
             deadline: UNIX + self.now + time,
             body: bytes::Bytes::from_static(b"body"),
-            careful,
-            sure: false,
-            tried: vec![],
+            at_most_once,
+            acknowledged: false,
+            attempts: vec![],
             verdict: None,
             idempotency_key: String::new(),
         };
-        self.facts.insert(id, Fact { careful, deadline: self.now + time, ..Fact::default() });
+        self.histories.insert(
+            id,
+            MessageHistory { at_most_once, deadline: self.now + time, ..MessageHistory::default() },
+        );
         if !self.is_running(i) || self.nodes[i].folder.full {
             return id;
         }
-        let until = self.now + CLIENT;
+        let until = self.now + CLIENT_TIMEOUT;
         self.nodes[i].folder.messages.insert(id, record.clone());
-        self.nodes[i].doing.insert(id, Doing::Client(until));
+        self.nodes[i].activity.insert(id, Activity::AwaitsCommit(until));
         self.nodes[i].numbers.insert(id, 0);
-        self.tell(i, Input::Take { id, record });
-        if self.mutant == Mutant::PromiseBeforeKeeper {
-            self.promised(i, id);
+        self.handle_input(i, Input::TakeOn { id, record });
+        if self.mutant == Mutant::CommitBeforeReplica {
+            self.committed(i, id);
         }
         id
     }
 
-    fn promised(&mut self, i: usize, id: Id) {
-        if let Some(doing @ Doing::Client(_)) = self.nodes[i].doing.get_mut(&id) {
-            *doing = Doing::Rests(self.now);
+    fn committed(&mut self, i: usize, id: Id) {
+        if let Some(activity @ Activity::AwaitsCommit(_)) = self.nodes[i].activity.get_mut(&id) {
+            *activity = Activity::Idle(self.now);
             if let Some(record) = self.nodes[i].folder.messages.get_mut(&id) {
-                record.sure = true;
+                record.acknowledged = true;
             }
-            self.facts.entry(id).or_default().promised = Some(self.now);
+            self.histories.entry(id).or_default().committed = Some(self.now);
         }
     }
 
     fn withdraw(&mut self, i: usize, id: Id) {
-        if let Some(Doing::Client(_)) = self.nodes[i].doing.get(&id) {
+        if let Some(Activity::AwaitsCommit(_)) = self.nodes[i].activity.get(&id) {
             self.forget(i, id);
-            self.tell(i, Input::Over { id });
+            self.handle_input(i, Input::Ended { id });
         }
     }
 
     fn forget(&mut self, i: usize, id: Id) {
         let node = &mut self.nodes[i];
-        node.doing.remove(&id);
+        node.activity.remove(&id);
         node.folder.messages.remove(&id);
     }
 
-    /// The platform is told of an end.
+    /// Reports the final status of a message.
     fn end(&mut self, i: usize, id: Id, verdict: Verdict) {
-        self.tell(i, Input::Judged { id, verdict });
-        let fact = self.facts.entry(id).or_default();
+        self.handle_input(i, Input::VerdictRecorded { id, verdict });
+        let history = self.histories.entry(id).or_default();
         match verdict {
-            Verdict::Dead => fact.dead += 1,
-            Verdict::Bounced(_) => fact.bounced += 1,
+            Verdict::Dead => history.dead += 1,
+            Verdict::Bounced(_) => history.bounced += 1,
         }
         self.forget(i, id);
-        self.tell(i, Input::Over { id });
+        self.handle_input(i, Input::Ended { id });
     }
 
     fn granted(&mut self, i: usize, id: Id, number: u32) {
-        match self.nodes[i].doing.get(&id) {
-            Some(Doing::Asks(n, _)) if *n == number => {}
-            Some(Doing::Closing(_)) if number == CLOSED => return self.end(i, id, Verdict::Bounced(0)),
+        match self.nodes[i].activity.get(&id) {
+            Some(Activity::AwaitsConsent(n, _)) if *n == number => {}
+            Some(Activity::Closing(_)) if number == CLOSING_ATTEMPT => {
+                return self.end(i, id, Verdict::Bounced(0));
+            }
             _ => return,
         }
-        // Between the consent and the first byte the process may be stopped.
+        // The process may be stopped between the consent and the first byte.
         if self.faults && self.rng.random_ratio(1, 40) {
-            let how_long = self.rng.random_range(S..6 * S);
-            self.stop(i, how_long);
+            let duration = self.rng.random_range(S..6 * S);
+            self.stop(i, duration);
         }
         let x = self.rng.random_range(0..100);
-        let fate = if x < self.full {
-            Fate::Full
-        } else if x < self.full + self.silent {
-            Fate::NoAnswer
+        let outcome = if x < self.full_percent {
+            AttemptOutcome::Full
+        } else if x < self.full_percent + self.silent_percent {
+            AttemptOutcome::NoAnswer
         } else {
-            Fate::Served
+            AttemptOutcome::Served
         };
-        let at = self.now.max(self.nodes[i].stopped) + self.rng.random_range(MS..self.takes);
-        let fact = self.facts.entry(id).or_default();
-        fact.effects += usize::from(fate != Fate::Full);
-        fact.attempts.insert((number, i));
-        self.nodes[i].doing.insert(id, Doing::Out(number, at, fate));
+        let at = self.now.max(self.nodes[i].stopped) + self.rng.random_range(MS..self.attempt_time);
+        let history = self.histories.entry(id).or_default();
+        history.effects += usize::from(outcome != AttemptOutcome::Full);
+        history.attempts.insert((number, i));
+        self.nodes[i].activity.insert(id, Activity::Attempting(number, at, outcome));
     }
 
     fn refused(&mut self, i: usize, id: Id, number: u32) {
-        match self.nodes[i].doing.get(&id) {
-            Some(Doing::Asks(n, _)) if *n == number => {
-                self.nodes[i].doing.insert(id, Doing::Rests(self.now + 800 * MS));
-                self.tell(i, Input::NeverRan { id, number });
+        match self.nodes[i].activity.get(&id) {
+            Some(Activity::AwaitsConsent(n, _)) if *n == number => {
+                self.nodes[i].activity.insert(id, Activity::Idle(self.now + 800 * MS));
+                self.handle_input(i, Input::NeverRan { id, number });
             }
-            Some(Doing::Closing(_)) if number == CLOSED => self.end(i, id, Verdict::Dead),
+            Some(Activity::Closing(_)) if number == CLOSING_ATTEMPT => self.end(i, id, Verdict::Dead),
             _ => {}
         }
     }
@@ -592,92 +603,99 @@
         let now = self.now;
         let node = &mut self.nodes[i];
         let number = *node.numbers.entry(id).and_modify(|n| *n += 1).or_insert(1) - 1;
-        if number >= LIMIT {
+        if number >= MAX_ATTEMPTS {
             return self.end(i, id, Verdict::Dead);
         }
-        let tried = Tried { number, endpoint: 1, at: UNIX + now, never_ran: false };
+        let attempt = AttemptRecord { number, endpoint: 1, at: UNIX + now, never_ran: false };
         if let Some(record) = node.folder.messages.get_mut(&id) {
-            record.tried.push(tried);
+            record.attempts.push(attempt);
         }
-        node.doing.insert(id, Doing::Asks(number, now + S));
-        if self.mutant != Mutant::NoIntent {
-            self.tell(i, Input::Intend { id, tried });
+        node.activity.insert(id, Activity::AwaitsConsent(number, now + S));
+        if self.mutant != Mutant::NoConsent {
+            self.handle_input(i, Input::BeginAttempt { id, attempt });
         }
-        if matches!(self.mutant, Mutant::NoIntent | Mutant::IntentNotAwaited) {
+        if matches!(self.mutant, Mutant::NoConsent | Mutant::ConsentNotAwaited) {
             self.granted(i, id, number);
         }
     }
 
     fn never_ran(&mut self, i: usize, id: Id, number: u32) {
         if let Some(record) = self.nodes[i].folder.messages.get_mut(&id) {
-            record.tried.iter_mut().filter(|t| t.number == number).for_each(|t| t.never_ran = true);
+            record.attempts.iter_mut().filter(|t| t.number == number).for_each(|t| t.never_ran = true);
         }
-        self.tell(i, Input::NeverRan { id, number });
+        self.handle_input(i, Input::NeverRan { id, number });
     }
 
-    /// What a sender does with its messages.
+    /// Does a sender's work on its messages.
     fn work(&mut self, i: usize) {
         let now = self.now;
-        let asks = self.mutant != Mutant::ReturnWithoutAsking;
-        let back = self.nodes[i].machine.as_ref().is_some_and(Copies::is_back);
-        if asks && !back && now < self.nodes[i].back_by {
+        let must_query = self.mutant != Mutant::NoQueryAfterRestart;
+        let is_recovered = self.nodes[i].replicator.as_ref().is_some_and(Replicator::is_recovered);
+        if must_query && !is_recovered && now < self.nodes[i].back_by {
             return;
         }
-        let all: Vec<(Id, Doing)> = self.nodes[i].doing.iter().map(|(&i, &d)| (i, d)).collect();
-        for (id, doing) in all {
-            if !self.nodes[i].doing.contains_key(&id) {
+        let all: Vec<(Id, Activity)> = self.nodes[i].activity.iter().map(|(&i, &d)| (i, d)).collect();
+        for (id, activity) in all {
+            if !self.nodes[i].activity.contains_key(&id) {
                 continue;
             }
-            let over = self.facts[&id].deadline <= now + 20 * MS;
-            match doing {
-                Doing::Client(until) if until <= now => self.withdraw(i, id),
-                Doing::Client(_) => {}
-                Doing::Rests(_) if over => {
-                    let tried = Tried { number: CLOSED, endpoint: 0, at: UNIX + now, never_ran: false };
-                    self.nodes[i].doing.insert(id, Doing::Closing(now + 150 * MS));
-                    if self.mutant == Mutant::BounceWithoutConsent || !self.facts[&id].careful {
+            let is_expired = self.histories[&id].deadline <= now + 20 * MS;
+            match activity {
+                Activity::AwaitsCommit(until) if until <= now => self.withdraw(i, id),
+                Activity::AwaitsCommit(_) => {}
+                Activity::Idle(_) if is_expired => {
+                    let attempt = AttemptRecord {
+                        number: CLOSING_ATTEMPT,
+                        endpoint: 0,
+                        at: UNIX + now,
+                        never_ran: false,
+                    };
+                    self.nodes[i].activity.insert(id, Activity::Closing(now + 150 * MS));
+                    if self.mutant == Mutant::BounceWithoutConsent || !self.histories[&id].at_most_once {
                         self.end(i, id, Verdict::Bounced(0));
                     } else {
-                        self.tell(i, Input::Intend { id, tried });
+                        self.handle_input(i, Input::BeginAttempt { id, attempt });
                     }
                 }
-                Doing::Rests(from) if from <= now => self.attempt(i, id),
-                Doing::Rests(_) => {}
-                Doing::Asks(number, until) if until <= now || over => {
-                    self.nodes[i].doing.insert(id, Doing::Rests(now + 200 * MS));
+                Activity::Idle(from) if from <= now => self.attempt(i, id),
+                Activity::Idle(_) => {}
+                Activity::AwaitsConsent(number, until) if until <= now || is_expired => {
+                    self.nodes[i].activity.insert(id, Activity::Idle(now + 200 * MS));
                     self.never_ran(i, id, number);
                 }
-                Doing::Asks(..) => {}
-                Doing::Closing(until) if until <= now => self.end(i, id, Verdict::Dead),
-                Doing::Closing(_) => {}
-                Doing::Out(number, at, fate) if at <= now => match fate {
-                    Fate::Served => {
-                        self.facts.entry(id).or_default().delivered += 1;
+                Activity::AwaitsConsent(..) => {}
+                Activity::Closing(until) if until <= now => self.end(i, id, Verdict::Dead),
+                Activity::Closing(_) => {}
+                Activity::Attempting(number, at, outcome) if at <= now => match outcome {
+                    AttemptOutcome::Served => {
+                        self.histories.entry(id).or_default().delivered += 1;
                         self.forget(i, id);
-                        self.tell(i, Input::Over { id });
+                        self.handle_input(i, Input::Ended { id });
                     }
-                    Fate::Full => {
+                    AttemptOutcome::Full => {
                         let rest = self.rng.random_range(50 * MS..400 * MS);
-                        self.nodes[i].doing.insert(id, Doing::Rests(now + rest));
+                        self.nodes[i].activity.insert(id, Activity::Idle(now + rest));
                         self.never_ran(i, id, number);
                     }
-                    Fate::NoAnswer if self.facts[&id].careful => self.end(i, id, Verdict::Dead),
-                    Fate::NoAnswer => {
-                        self.nodes[i].doing.insert(id, Doing::Rests(now + 300 * MS));
+                    AttemptOutcome::NoAnswer if self.histories[&id].at_most_once => {
+                        self.end(i, id, Verdict::Dead)
+                    }
+                    AttemptOutcome::NoAnswer => {
+                        self.nodes[i].activity.insert(id, Activity::Idle(now + 300 * MS));
                     }
                 },
-                Doing::Out(..) => {}
+                Activity::Attempting(..) => {}
             }
         }
     }
 
-    /// Goes on for so long, in steps of a millisecond.
-    pub fn run(&mut self, how_long: Micros) {
-        let until = self.now + how_long;
+    /// Runs for this duration in steps of a millisecond.
+    pub fn run(&mut self, duration: Micros) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += MS;
             for i in 0..self.nodes.len() {
-                if self.nodes[i].machine.is_none() {
+                if self.nodes[i].replicator.is_none() {
                     if self.nodes[i].dead <= self.now {
                         self.start(i);
                     }
@@ -688,7 +706,7 @@
                 }
                 while self.nodes[i].inbox.front().is_some_and(|(t, _)| *t <= self.now) {
                     let Some((_, what)) = self.nodes[i].inbox.pop_front() else { break };
-                    self.hear(i, what);
+                    self.receive(i, what);
                     if self.nodes[i].stopped > self.now {
                         break;
                     }
@@ -696,17 +714,17 @@
                 if self.nodes[i].stopped > self.now {
                     continue;
                 }
-                let due = self.nodes[i].machine.as_ref().is_some_and(|m| m.wake() <= self.now);
+                let due = self.nodes[i].replicator.as_ref().is_some_and(|m| m.next_wake() <= self.now);
                 if due {
-                    self.tell(i, Input::Tick);
+                    self.handle_input(i, Input::Tick);
                 }
                 let again: Vec<Peer> = self.nodes[i]
                     .dials
                     .iter()
-                    .filter(|(_, d)| d.up.is_none() && d.again <= self.now)
+                    .filter(|(_, d)| d.up.is_none() && d.dial_at <= self.now)
                     .map(|(&p, _)| p)
                     .collect();
-                again.into_iter().for_each(|p| self.dial(i, p));
+                again.into_iter().for_each(|p| self.connect(i, p));
                 self.give_up_on_cut_links(i);
                 if self.now.is_multiple_of(5 * MS) {
                     self.work(i);
@@ -715,7 +733,7 @@
         }
     }
 
-    /// Who dialed ends a link on which nothing was answered for a while.
+    /// Breaks cut links, as the dialing side does after a time without response.
     fn give_up_on_cut_links(&mut self, i: usize) {
         if !self.now.is_multiple_of(500 * MS) {
             return;
@@ -729,7 +747,7 @@
         cut.into_iter().for_each(|l| self.break_link(l));
     }
 
-    /// Says what passes of one message: TRACE is its number.
+    /// Prints what happens to the message whose number is in the variable TRACE.
     fn trace(&self, i: usize, what: &dyn std::fmt::Debug) {
         let Some(id) = std::env::var("TRACE").ok().and_then(|t| t.parse::<u64>().ok()) else { return };
         let text = format!("{what:?}");
@@ -738,87 +756,91 @@
             || text.contains("Forgot")
             || text.contains("Unwritten")
             || text.contains("Regist")
-            || text.contains("Linked")
-            || text.contains("Unlinked")
+            || text.contains("LinkUp")
+            || text.contains("LinkDown")
         {
-            println!("{:>9} n{i}: {}", self.now, text.replace("Key { home: Home", ""));
+            println!("{:>9} n{i}: {}", self.now, text.replace("Key { group: WitnessGroup", ""));
         }
     }
 
-    fn hear(&mut self, i: usize, what: Inbound) {
+    fn receive(&mut self, i: usize, what: Inbound) {
         match &what {
-            Inbound::Asked(f, _, x) => self.trace(i, &("asked by", self.peers[&f.peer], x)),
-            Inbound::Answered(f, _, x) => self.trace(i, &("answered by", self.peers[f], x)),
+            Inbound::Request(f, _, x) => self.trace(i, &("request from", self.peers[&f.peer], x)),
+            Inbound::Response(f, _, x) => self.trace(i, &("response from", self.peers[f], x)),
             _ => {}
         }
         match what {
-            Inbound::Greet(from, link) => {
-                let at = self.at();
+            Inbound::Hello(from, link) => {
+                let time = self.timestamps();
                 let node = &mut self.nodes[i];
                 let mut out = Vec::new();
-                if let Some(machine) = &mut node.machine {
-                    let fine = machine.greet(at, from, link, &mut node.folder, &mut out);
+                if let Some(replicator) = &mut node.replicator {
+                    let is_accepted = replicator.accept_link(time, from, link, &mut node.folder, &mut out);
                     self.carry_out(i, out);
-                    if !fine {
+                    if !is_accepted {
                         self.break_link(link);
                     }
                 }
             }
-            Inbound::Asked(from, link, frame) => self.tell(i, Input::Asked { from, link, frame }),
-            Inbound::Linked(holder, link) => self.tell(i, Input::Linked { holder, link }),
-            Inbound::Answered(from, link, frame) => self.tell(i, Input::Answered { from, link, frame }),
-            Inbound::Unlinked(peer, link) => {
+            Inbound::Request(from, link, frame) => self.handle_input(i, Input::Request { from, link, frame }),
+            Inbound::LinkUp(instance, link) => self.handle_input(i, Input::LinkUp { instance, link }),
+            Inbound::Response(from, link, frame) => {
+                self.handle_input(i, Input::Response { from, link, frame })
+            }
+            Inbound::LinkDown(peer, link) => {
                 let again = self.now + 50 * MS;
                 let dial = self.nodes[i].dials.entry(peer).or_default();
                 if dial.up == Some(link) {
-                    (dial.up, dial.again) = (None, again);
+                    (dial.up, dial.dial_at) = (None, again);
                 }
-                self.tell(i, Input::Unlinked { peer, link });
+                self.handle_input(i, Input::LinkDown { peer, link });
             }
         }
     }
 
-    /// What is still kept anywhere: messages, copies, and what witnesses remember of.
+    /// Returns the number of messages, copies and witness entries that are left.
     pub fn left(&self) -> (usize, usize, usize) {
-        let all = self.nodes.iter().filter_map(|n| n.machine.as_ref().map(|m| (n, m)));
-        all.fold((0, 0, 0), |(a, b, c), (n, m)| (a + n.folder.messages.len(), b + m.held(), c + m.seats()))
+        let all = self.nodes.iter().filter_map(|n| n.replicator.as_ref().map(|m| (n, m)));
+        all.fold((0, 0, 0), |(a, b, c), (n, m)| {
+            (a + n.folder.messages.len(), b + m.stored_copies(), c + m.witness_entries())
+        })
     }
 
-    /// Nothing that is promised would be lost with as many machines as copies are for, as all say that run.
-    pub fn bears_losses(&self) -> bool {
-        let says = |n: &Node| n.machine.as_ref().is_some_and(|m| m.stake().is_none());
-        self.nodes.iter().all(|n| n.stopped <= self.now && says(n))
+    /// Returns whether all senders run and report that as many of them may fail as there are copies.
+    pub fn tolerates_losses(&self) -> bool {
+        let tolerates = |n: &Node| n.replicator.as_ref().is_some_and(|m| m.redundancy().tolerates_loss());
+        self.nodes.iter().all(|n| n.stopped <= self.now && tolerates(n))
     }
 
-    /// What each sender that runs says another loss would cost.
-    pub fn stakes(&self) -> Vec<Stake> {
-        self.nodes.iter().filter_map(|n| n.machine.as_ref()).map(Copies::stake).collect()
+    /// Returns the redundancy that each running sender reports.
+    pub fn redundancies(&self) -> Vec<Redundancy> {
+        self.nodes.iter().filter_map(|n| n.replicator.as_ref()).map(Replicator::redundancy).collect()
     }
 
-    /// Goes on until another loss can be borne; gives whether that came within a minute.
-    pub fn run_until_mended(&mut self) -> bool {
+    /// Runs until the fleet tolerates further losses. Returns whether that took less than a minute.
+    pub fn run_until_redundant(&mut self) -> bool {
         let until = self.now + 60 * S;
-        while !self.bears_losses() && self.now < until {
+        while !self.tolerates_losses() && self.now < until {
             self.run(10 * MS);
         }
-        self.bears_losses()
+        self.tolerates_losses()
     }
 
-    /// The rules. Says what is broken.
+    /// Checks the invariants. Returns the first violation.
     pub fn check(&self) -> Result<(), String> {
-        for (id, f) in &self.facts {
-            let why = if f.promised.is_some() && !f.ended() {
-                "promised, and never ended"
-            } else if f.careful && f.effects > 1 {
+        for (id, f) in &self.histories {
+            let reason = if f.committed.is_some() && !f.ended() {
+                "committed, but never ended"
+            } else if f.at_most_once && f.effects > 1 {
                 "took effect twice"
-            } else if f.careful && f.bounced > 0 && f.effects > 0 {
-                "said to be harmless to hand in again, and took effect"
-            } else if f.attempts.len() > LIMIT as usize {
+            } else if f.at_most_once && f.bounced > 0 && f.effects > 0 {
+                "reported as safe to submit again, but took effect"
+            } else if f.attempts.len() > MAX_ATTEMPTS as usize {
                 "more attempts than allowed"
             } else {
                 continue;
             };
-            return Err(format!("{id}: {why}: {f:?}"));
+            return Err(format!("{id}: {reason}: {f:?}"));
         }
         Ok(())
     }
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -8,7 +8,7 @@
 mod pool;
 mod progress;
 
-use crate::copies::copying::Copying;
+use crate::copies::service::ReplicationService;
 use crate::handover::protocol::Frame;
 use crate::input::Input;
 use crate::platform::zone_monitor::ZoneMonitor;
@@ -110,7 +110,7 @@
     journal: Rc<RefCell<Journal>>,
     durability: Rc<DurabilityTracker>,
     /// Where copies are kept, their keepers have a word in each attempt.
-    copies: Option<Rc<Copying>>,
+    copies: Option<Rc<ReplicationService>>,
     /// Where operators want it, what calls come to is watched by zone.
     zone_monitor: RefCell<Option<Rc<ZoneMonitor>>>,
     inputs: UnboundedSender<Input>,
@@ -131,7 +131,7 @@
         net: Rc<dyn Network>,
         journal: Rc<RefCell<Journal>>,
         durability: Rc<DurabilityTracker>,
-        copies: Option<Rc<Copying>>,
+        copies: Option<Rc<ReplicationService>>,
         inputs: UnboundedSender<Input>,
     ) -> Rc<Self> {
         let set = &config.settings;
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -6,7 +6,7 @@
 use super::pool::Connection;
 use super::progress::Progress;
 use super::{Calls, Item};
-use crate::copies::copying::Asked;
+use crate::copies::service::AttemptConsent;
 use crate::input::Input;
 use bytes::Bytes;
 use http_body_util::Full as Body;
@@ -159,9 +159,10 @@
     async fn ask_others(&self, endpoint: EndpointId, waiting: &RefCell<Vec<Item>>) -> bool {
         let Some(copies) = &self.copies else { return false };
         let all: Vec<(MessageId, u32)> = waiting.borrow().iter().map(|i| (i.id, i.attempt)).collect();
-        let asked: Vec<_> = all.into_iter().map(|a| (a, copies.ask(a.0, a.1, endpoint.0))).collect();
-        let waits = asked.iter().any(|a| matches!(a.1, Asked::Waits(_)));
-        let refused = copies.settle(asked).await;
+        let asked: Vec<_> =
+            all.into_iter().map(|a| (a, copies.request_consent(a.0, a.1, endpoint.0))).collect();
+        let waits = asked.iter().any(|a| matches!(a.1, AttemptConsent::Pending(_)));
+        let refused = copies.await_consents(asked).await;
         for item in take(waiting, |i| refused.contains(&(i.id, i.attempt))) {
             self.report(endpoint, &item, Outcome::Moot.into());
             let _ = self.inputs.send(Input::ConsentDenied(item.id));
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -4,7 +4,7 @@
 use crate::clients::accept_queue::AcceptQueue;
 use crate::clients::admission::Admission;
 use crate::clients::connection_table::{ConnectionSlot, ConnectionTable, GRACE, LOOK, Stage};
-use crate::copies::copying::Copying;
+use crate::copies::service::ReplicationService;
 use crate::handover::protocol::{ForwardResult, ForwardedRequest};
 use crate::handover::successor::Successor;
 use crate::input::{AcceptedMessage, Input};
@@ -64,7 +64,7 @@
     pub journal: Rc<RefCell<Journal>>,
     pub durability: Rc<DurabilityTracker>,
     /// Where copies are kept, nothing is promised before others have it.
-    pub copies: Option<Rc<Copying>>,
+    pub copies: Option<Rc<ReplicationService>>,
     pub calls: Rc<Calls>,
     pub inputs: UnboundedSender<Input>,
     /// Whether clients may come in, and when connections end.
@@ -477,7 +477,7 @@
     };
     // Both at once: the keepers' disks are no faster than this one.
     let (kept, firm) = tokio::join!(
-        copies.promise(id, careful, SAFE_WITHIN),
+        copies.replicate(id, careful, SAFE_WITHIN),
         inbound.durability.wait_until_durable(mark, SAFE_WITHIN)
     );
     // What is not written is not promised, and after a restart nobody takes it for promised.
--- a/crates/daemon/src/copies.rs
+++ b/crates/daemon/src/copies.rs
@@ -1,5 +1,5 @@
-//! Copies of what this sender holds, at further senders: what `notchpoint_copies` decides is done here.
+//! Replication of the messages that this sender holds: carries out what `notchpoint_copies` decides.
 
-pub mod copying;
 pub mod link;
 pub mod rows;
+pub mod service;
--- a/crates/daemon/src/copies/link.rs
+++ b/crates/daemon/src/copies/link.rs
@@ -1,8 +1,8 @@
-//! Moves frames between senders. Who dials asks, and who was dialed answers on the same link. What frames
-//! mean, and which of them are believed, is decided in `notchpoint_copies`.
+//! Transfers frames between senders. The side that dialed sends requests, and the other side responds on the
+//! same link. The meaning of frames, and which of them are accepted, is decided in `notchpoint_copies`.
 
 use crate::io::{read_exactly, read_some, write_all};
-use notchpoint_copies::{Bad, Frame, HELLO, Hello, LONGEST, Peer, read, write};
+use notchpoint_copies::{Frame, FrameError, HELLO_LEN, Hello, MAX_FRAME_LEN, Peer, read_frame, write_frame};
 use notchpoint_seam::Stream;
 use notchpoint_store::Mark;
 use std::cell::{Cell, RefCell};
@@ -13,61 +13,62 @@
 use tokio::sync::Notify;
 use tokio::time::timeout;
 
-/// Both sides have said who they are within this.
-const GREETING: Duration = Duration::from_millis(500);
-/// What waits to be written to a peer that reads nothing: then the link ends. It holds some thousand copies
-/// of usual messages, or a dozen of the longest.
-const QUEUE: usize = 1 << 20;
-/// Read at a time.
-const BLOCK: usize = 16 << 10;
-/// Frames that are written together.
-const TOGETHER: usize = 64 << 10;
+/// The time-out of the handshake.
+const HANDSHAKE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The limit of bytes that wait to be written to a peer; beyond it the link is closed. That is enough for
+/// some thousand copies of usual messages, or a dozen of the longest.
+const MAX_QUEUED_BYTES: usize = 1 << 20;
+/// The size of the read buffer.
+const READ_BUFFER_BYTES: usize = 16 << 10;
+/// The limit of bytes of frames that are written together.
+const MAX_WRITE_BYTES: usize = 64 << 10;
 
-/// What waits to be written on one link.
+/// Frames that wait to be written on one link.
 #[derive(Default)]
-pub struct Queue {
+pub struct SendQueue {
     frames: RefCell<VecDeque<(Vec<u8>, Mark)>>,
     bytes: Cell<usize>,
     ended: Cell<bool>,
-    news: Notify,
+    changed: Notify,
 }
 
-impl Queue {
-    /// Enters a frame; it is written once the folder is safe up to the mark.
+impl SendQueue {
+    /// Adds a frame, which is written once the folder is durable up to `mark`.
     pub fn push(&self, frame: &Frame, mark: Mark) {
-        let bytes = write(frame);
+        let bytes = write_frame(frame);
         self.bytes.set(self.bytes.get() + bytes.len());
         self.frames.borrow_mut().push_back((bytes, mark));
-        if self.bytes.get() > QUEUE {
-            // It reads nothing, or far too slowly: what is owed to it is told on the next link.
+        if self.bytes.get() > MAX_QUEUED_BYTES {
+            // The peer reads nothing, or far too slowly. What it has missed is sent on the next link.
             self.end();
         }
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 
+    /// Closes the queue and drops its frames.
     pub fn end(&self) {
         self.ended.set(true);
         self.frames.borrow_mut().clear();
         self.bytes.set(0);
-        self.news.notify_one();
+        self.changed.notify_one();
     }
 
-    /// The next frames in one piece, and up to where the folder has to be safe for them.
-    async fn next(&self) -> Option<(Vec<u8>, Mark)> {
+    /// Returns the next frames as one buffer, and the mark up to which the folder must be durable first.
+    async fn next_batch(&self) -> Option<(Vec<u8>, Mark)> {
         while !self.ended.get() {
-            if let Some(next) = self.take() {
+            if let Some(next) = self.take_batch() {
                 return Some(next);
             }
-            self.news.notified().await;
+            self.changed.notified().await;
         }
         None
     }
 
-    fn take(&self) -> Option<(Vec<u8>, Mark)> {
+    fn take_batch(&self) -> Option<(Vec<u8>, Mark)> {
         let mut frames = self.frames.borrow_mut();
         let (mut all, mut mark) = frames.pop_front()?;
         while let Some((more, _)) = frames.front()
-            && all.len() + more.len() <= TOGETHER
+            && all.len() + more.len() <= MAX_WRITE_BYTES
             && let Some((more, last)) = frames.pop_front()
         {
             all.extend(more);
@@ -78,53 +79,57 @@
     }
 }
 
-fn bad(why: Bad) -> io::Error {
-    io::Error::new(io::ErrorKind::InvalidData, why.0)
+fn invalid_data(reason: FrameError) -> io::Error {
+    io::Error::new(io::ErrorKind::InvalidData, reason.0)
 }
 
-/// Says who this is, and hears who answers.
+/// Sends the greeting and receives that of the peer, as the side that dialed.
 ///
 /// # Errors
-/// Nobody did in time, or somebody else.
-pub async fn greet_first(stream: &dyn Stream, own: &Hello) -> io::Result<Hello> {
-    let greeting = async {
+/// The handshake timed out, or the peer was rejected.
+pub async fn handshake_as_dialer(stream: &dyn Stream, own: &Hello) -> io::Result<Hello> {
+    let handshake = async {
         write_all(stream, &own.write()).await?;
-        let word = read_exactly(stream, HELLO).await?;
-        let word = word.first_chunk::<HELLO>().ok_or(io::ErrorKind::UnexpectedEof)?;
-        let hello = Hello::read(word, own.installation, own.from.peer).map_err(bad)?;
+        let bytes = read_exactly(stream, HELLO_LEN).await?;
+        let bytes = bytes.first_chunk::<HELLO_LEN>().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let hello = Hello::read(bytes, own.installation, own.from.peer).map_err(invalid_data)?;
         if hello.from.peer != own.to {
-            return Err(bad(Bad("another sender answers there".into())));
+            return Err(invalid_data(FrameError("another sender responded".into())));
         }
         Ok(hello)
     };
-    timeout(GREETING, greeting).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(HANDSHAKE_TIMEOUT, handshake).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Hears who dialed, and says who this is.
+/// Receives the greeting of the peer and sends this one's, as the side that accepted the connection.
 ///
 /// # Errors
-/// Nothing that can be gone on with was said in time.
-pub async fn greet_second(stream: &dyn Stream, own: impl Fn(Peer) -> Hello) -> io::Result<Hello> {
-    let mine = own(Peer(0));
-    let greeting = async {
-        let word = read_exactly(stream, HELLO).await?;
-        let word = word.first_chunk::<HELLO>().ok_or(io::ErrorKind::UnexpectedEof)?;
-        let hello = Hello::read(word, mine.installation, mine.from.peer).map_err(bad)?;
-        write_all(stream, &own(hello.from.peer).write()).await?;
+/// The handshake timed out, or the peer was rejected.
+pub async fn handshake_as_acceptor(
+    stream: &dyn Stream,
+    greeting: impl Fn(Peer) -> Hello,
+) -> io::Result<Hello> {
+    let own = greeting(Peer(0));
+    let handshake = async {
+        let bytes = read_exactly(stream, HELLO_LEN).await?;
+        let bytes = bytes.first_chunk::<HELLO_LEN>().ok_or(io::ErrorKind::UnexpectedEof)?;
+        let hello = Hello::read(bytes, own.installation, own.from.peer).map_err(invalid_data)?;
+        write_all(stream, &greeting(hello.from.peer).write()).await?;
         Ok(hello)
     };
-    timeout(GREETING, greeting).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
+    timeout(HANDSHAKE_TIMEOUT, handshake).await.unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))
 }
 
-/// Moves frames both ways until the link ends, and says why it did. `safe` waits for the folder.
+/// Transfers frames in both directions until the link ends, and returns the reason. `wait_until_durable`
+/// waits until the folder is durable up to a mark.
 pub async fn run(
     stream: Rc<dyn Stream>,
-    queue: &Queue,
-    mut heard: impl FnMut(Frame) -> bool,
-    safe: impl AsyncFn(&Mark) -> bool,
+    queue: &SendQueue,
+    mut on_frame: impl FnMut(Frame) -> bool,
+    wait_until_durable: impl AsyncFn(&Mark) -> bool,
 ) -> io::Error {
     let reading = async {
-        let (mut bytes, mut block) = (Vec::new(), vec![0; BLOCK]);
+        let (mut bytes, mut block) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
         loop {
             let n = match read_some(&*stream, &mut block).await {
                 Ok(0) => return io::ErrorKind::UnexpectedEof.into(),
@@ -134,30 +139,32 @@
             bytes.extend_from_slice(&block[..n]);
             let mut at = 0;
             loop {
-                match read(&bytes[at..]) {
+                match read_frame(&bytes[at..]) {
                     Ok(Some((frame, len))) => {
                         at += len;
-                        if !heard(frame) {
-                            return bad(Bad("a frame that has no place on this link".into()));
+                        if !on_frame(frame) {
+                            return invalid_data(FrameError(
+                                "a frame that is not allowed in this direction".into(),
+                            ));
                         }
                     }
                     Ok(None) => break,
-                    Err(why) => return bad(why),
+                    Err(reason) => return invalid_data(reason),
                 }
             }
             bytes.drain(..at);
-            // A frame is whole within its bound.
-            debug_assert!(bytes.len() <= LONGEST + 4);
+            // A frame within the limit is complete by now.
+            debug_assert!(bytes.len() <= MAX_FRAME_LEN + 4);
         }
     };
     let writing = async {
         loop {
-            let Some((bytes, mark)) = queue.next().await else {
-                return io::Error::new(io::ErrorKind::TimedOut, "it neither reads nor answers");
+            let Some((bytes, mark)) = queue.next_batch().await else {
+                return io::Error::new(io::ErrorKind::TimedOut, "the peer neither reads nor responds");
             };
-            // An answer says that something is kept: on whatever it is to outlast.
-            if !safe(&mark).await {
-                return io::Error::other("the folder is not safe");
+            // A response confirms that something is stored, which must be durable first.
+            if !wait_until_durable(&mark).await {
+                return io::Error::other("the folder is not durable");
             }
             if let Err(e) = write_all(&*stream, &bytes).await {
                 return e;
--- a/crates/daemon/src/copies/rows.rs
+++ b/crates/daemon/src/copies/rows.rs
@@ -1,13 +1,13 @@
-//! Messages and rows of copies between the journal's form and the decisions'.
+//! Conversion of messages and rows between the journal and `notchpoint_copies`.
 
 use crate::state::journal::{CopyRow, Journal, OpenMessage, Verdict};
 use crate::state::record::Attempt;
-use notchpoint_copies::{Change, Id, Ledger, Record, Tried};
+use notchpoint_copies::{AttemptRecord, Change, Id, Ledger, Record};
 use notchpoint_policy::{EndpointId, MessageId};
 
-/// A message as copies of it are kept.
-pub fn record(open: &OpenMessage, careful: bool) -> Record {
-    let tried = |a: &Attempt| Tried {
+/// Converts a message of the journal to the record that copies store.
+pub fn to_record(open: &OpenMessage, at_most_once: bool) -> Record {
+    let attempt = |a: &Attempt| AttemptRecord {
         number: a.number,
         endpoint: a.endpoint.0,
         at: a.started_at,
@@ -19,30 +19,30 @@
         dest: open.dest,
         deadline: open.deadline,
         body: open.body.clone(),
-        careful,
-        sure: open.is_confirmed,
-        tried: open.attempts.iter().map(tried).collect(),
-        verdict: open.verdict.map(told),
+        at_most_once,
+        acknowledged: open.is_confirmed,
+        attempts: open.attempts.iter().map(attempt).collect(),
+        verdict: open.verdict.map(to_copies_verdict),
         idempotency_key: open.idempotency_key.clone(),
     }
 }
 
-/// A copy as the journal holds messages.
-pub fn open(record: &Record) -> OpenMessage {
-    let attempt = |t: &Tried| Attempt {
+/// Converts the record of a copy to a message of the journal.
+pub fn to_open(record: &Record) -> OpenMessage {
+    let attempt = |t: &AttemptRecord| Attempt {
         number: t.number,
         endpoint: EndpointId(t.endpoint),
         started_at: t.at,
         never_ran: t.never_ran,
     };
-    let mut attempts: Vec<Attempt> = record.tried.iter().map(attempt).collect();
+    let mut attempts: Vec<Attempt> = record.attempts.iter().map(attempt).collect();
     attempts.sort_by_key(|a| a.number);
     let verdict = record.verdict.map(|v| match v {
         notchpoint_copies::Verdict::Dead => Verdict::Dead,
         notchpoint_copies::Verdict::Bounced(wait) => Verdict::Bounced(wait),
     });
     let (deadline, body) = (record.deadline, record.body.clone());
-    // It was promised by whoever kept copies of it.
+    // A message that is taken over may have been acknowledged by its earlier owner.
     OpenMessage {
         attempts,
         verdict,
@@ -52,28 +52,29 @@
     }
 }
 
-pub fn told(verdict: Verdict) -> notchpoint_copies::Verdict {
+/// Converts a final status of the journal to that of copies.
+pub fn to_copies_verdict(verdict: Verdict) -> notchpoint_copies::Verdict {
     match verdict {
         Verdict::Dead => notchpoint_copies::Verdict::Dead,
         Verdict::Bounced(wait) => notchpoint_copies::Verdict::Bounced(wait),
     }
 }
 
-/// The folder, as the decisions write to it.
-pub struct Rows<'a>(pub &'a mut Journal);
+/// Writes the rows of the replication state machine to the journal.
+pub struct JournalLedger<'a>(pub &'a mut Journal);
 
 fn rows(changes: &[Change]) -> impl Iterator<Item = CopyRow<'_>> {
     changes.iter().map(|c| (c.key.as_slice(), c.value.as_deref()))
 }
 
-impl Ledger for Rows<'_> {
+impl Ledger for JournalLedger<'_> {
     fn write(&mut self, changes: &[Change]) -> bool {
-        // Why is said by whoever is refused something over it.
+        // Whatever is refused because of this reports the reason.
         self.0.write_copies(rows(changes)).is_ok()
     }
 
     fn adopt(&mut self, id: Id, record: &Record, changes: &[Change]) -> bool {
-        self.0.adopt(MessageId(id.0), open(record), rows(changes)).is_ok()
+        self.0.adopt(MessageId(id.0), to_open(record), rows(changes)).is_ok()
     }
 }
 
@@ -82,7 +83,7 @@
     use super::*;
 
     #[test]
-    fn a_message_is_the_same_once_it_was_a_copy() {
+    fn a_message_survives_the_conversion_to_a_copy_and_back() {
         let mut message = OpenMessage::new("payment", "acme", 3, 1_000, vec![7; 9].into());
         message.idempotency_key = "k-1".into();
         for (number, never_ran) in [(0, true), (1, false)] {
@@ -90,7 +91,7 @@
         }
         for verdict in [None, Some(Verdict::Dead), Some(Verdict::Bounced(250))] {
             message.verdict = verdict;
-            assert_eq!(open(&record(&message, true)), message);
+            assert_eq!(to_open(&to_record(&message, true)), message);
         }
     }
 }
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -2,7 +2,7 @@
 
 use crate::calls::{Calls, Item, Target};
 use crate::clients::admission::{Admission, DrainReason};
-use crate::copies::copying::Copying;
+use crate::copies::service::ReplicationService;
 use crate::endpoint_list::{EndpointList, Member, State, endpoint};
 use crate::handover::protocol::State as Given;
 use crate::input::{Answer, CLOCK_START, Done, Input, Reply};
@@ -72,7 +72,7 @@
     unheard: BTreeSet<MessageId>,
     journal: Rc<RefCell<Journal>>,
     calls: Rc<Calls>,
-    copies: Option<Rc<Copying>>,
+    copies: Option<Rc<ReplicationService>>,
     reports: Rc<Reports>,
     discovery: Rc<Discovery>,
     peers: Option<Peers>,
@@ -110,7 +110,7 @@
     pub journal: Rc<RefCell<Journal>>,
     pub terms: Rc<RefCell<Terms>>,
     pub calls: Rc<Calls>,
-    pub copies: Option<Rc<Copying>>,
+    pub copies: Option<Rc<ReplicationService>>,
     pub reports: Rc<Reports>,
     pub discovery: Rc<Discovery>,
     pub peers: Option<Peers>,
@@ -779,7 +779,7 @@
                 // nobody can attempt it any more.
                 let (copies, journal, reports) = (copies.clone(), self.journal.clone(), self.reports.clone());
                 tokio::task::spawn_local(async move {
-                    let verdict = if copies.close(id).await { verdict } else { Verdict::Dead };
+                    let verdict = if copies.close_message(id).await { verdict } else { Verdict::Dead };
                     if journal.borrow().get(id).is_some_and(|o| o.verdict.is_none()) {
                         tell_verdict(&journal, &reports, id, verdict);
                     }
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -2,7 +2,7 @@
 //! sockets, bounds and times.
 
 use crate::clients::admission::{Admission, DrainReason};
-use crate::copies::copying::Copying;
+use crate::copies::service::ReplicationService;
 use crate::input::{Input, Reply};
 use crate::io::ObservedStream;
 use crate::operations::{self, Asked, No, Word};
@@ -55,7 +55,7 @@
 /// What operators see of other parts.
 #[derive(Default)]
 pub struct Shown {
-    pub copies: Option<Rc<Copying>>,
+    pub copies: Option<Rc<ReplicationService>>,
     pub zone_monitor: Option<Rc<ZoneMonitor>>,
     pub reasons: Rc<ReasonCounts>,
 }
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -4,7 +4,7 @@
 use crate::clients::accept_queue::AcceptQueue;
 use crate::clients::admission::{Admission, FRONT_DRAIN_TIME};
 use crate::clients::inbound::Inbound;
-use crate::copies::copying::Copying;
+use crate::copies::service::ReplicationService;
 use crate::decision_loop::{Components, DecisionLoop};
 use crate::handover::protocol::{ForwardResult, Frame, Next, State, after_silence, told};
 use crate::handover::successor::Successor;
@@ -255,15 +255,16 @@
         terms: &Rc<RefCell<Terms>>,
         inputs: &UnboundedSender<Input>,
         before: &Before,
-    ) -> Result<Option<Rc<Copying>>, Failure> {
+    ) -> Result<Option<Rc<ReplicationService>>, Failure> {
         let Some(set) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
         let careful = |open: &OpenMessage| terms.borrow().is_careful(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
-        let copies = Copying::open(set, config, net, journal, durability, inputs.clone(), careful)?;
+        let copies =
+            ReplicationService::open(set, config, net, journal, durability, inputs.clone(), careful)?;
         copies.listen(set.listen)?;
         // Where clients wait already, they wait no longer than for a slow disk.
         let taking_over = !matches!(before, Before::Nobody);
-        copies.begun(if taking_over { KNOWN_AGAIN } else { KNOWN }).await;
+        copies.wait_until_ready(if taking_over { KNOWN_AGAIN } else { KNOWN }).await;
         Ok(Some(copies))
     }
 
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -133,11 +133,11 @@
             Piece::Record { at, seq, record } => {
                 let what = match record {
                     Record::Put { table: COPIES, key, value, .. } => {
-                        let what = notchpoint_copies::shown(key, Some(value));
+                        let what = notchpoint_copies::describe_row(key, Some(value));
                         format!("put copies: {}", what.unwrap_or_else(|| shown(key)))
                     }
                     Record::Delete { table: COPIES, key } => {
-                        let what = notchpoint_copies::shown(key, None);
+                        let what = notchpoint_copies::describe_row(key, None);
                         format!("delete copies: {}", what.unwrap_or_else(|| shown(key)))
                     }
                     Record::Put { table: t, key, value, .. } => {
--- a/crates/daemon/tests/fleet/epochs.rs
+++ b/crates/daemon/tests/fleet/epochs.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 const LONG: u64 = 50_000;
-const REPLACED: &str = "a new one begins without it";
+const REPLACED: &str = "a new epoch begins without it";
 
 /// A fleet of three in which a new epoch of n1 waits for n0, which comes back with an empty folder and
 /// answers late.
--- a/crates/daemon/tests/fleet/fleet.rs
+++ b/crates/daemon/tests/fleet/fleet.rs
@@ -662,7 +662,7 @@
     /// all say that another loss could be borne, it is as it was.
     pub fn lose_and_mend(&mut self, lost: &[usize]) {
         let n = self.senders.len();
-        let gone = |i: usize| format!("n{i} is gone");
+        let gone = |i: usize| format!("n{i} has failed or is unreachable");
         let others: Vec<usize> = (0..n).filter(|i| !lost.contains(i)).collect();
         let knew = |fleet: &Self| -> usize {
             let told = |&at: &usize| lost.iter().map(|&i| fleet.said(at, &gone(i))).sum::<usize>();
--- a/crates/daemon/tests/fleet/main.rs
+++ b/crates/daemon/tests/fleet/main.rs
@@ -41,7 +41,7 @@
     let answer = fleet.hand_in(0, "payment", 2, LONG);
     assert_eq!(answer.status(), 503);
     assert!(!answer.header("retry-after").is_empty(), "it says when to come back");
-    fleet.says(0, "short of keepers: 1 messages refused");
+    fleet.says(0, "too few replicas: 1 messages refused");
     fleet.lose(0);
     fleet.heal();
     fleet.start(0);
@@ -115,7 +115,7 @@
     let fleet = Fleet::with(&Wanted { more, ..Wanted::of(3, 1) });
     fleet.cut_off(0);
     assert_eq!(fleet.hand_in(0, "update", 1, LONG).status(), 202);
-    fleet.says(0, "short of keepers: 1 messages taken on all the same");
+    fleet.says(0, "too few replicas: 1 messages accepted anyway");
     fleet.all_end(&[1]);
 }
 
@@ -188,7 +188,7 @@
     fleet.do_all(Does::Busy);
     let ids = fleet.hand_in_many(0, 0..30, LONG);
     fleet.cut_one_way(0, 1);
-    fleet.says(1, "n0 is gone, as seen from here");
+    fleet.says(1, "n0 has failed or is unreachable");
     // It asks for what it keeps, and is denied: the owner goes on.
     fleet.do_all(Does::Serve);
     fleet.all_end(&ids);
@@ -291,7 +291,7 @@
     std::fs::remove_dir_all(&state).expect("a folder");
     std::fs::rename(&backup, &state).expect("a folder");
     fleet.start(0);
-    fleet.somebody_says("turned down n0: a life of it that is over");
+    fleet.somebody_says("rejected n0: its incarnation has been replaced");
     // Nobody keeps anything for it, so it takes nothing on; and of what it held it sends no payment.
     assert_eq!(fleet.hand_in(0, "payment", 200, LONG).status(), 503);
     let others = fleet.hand_in_many(1, 300..310, LONG);
@@ -309,10 +309,10 @@
     fleet.delay(1, 0, Duration::from_millis(150));
     fleet.start(0);
     fleet.says(1, "n0 has lost its folder; a new epoch begins");
-    let before = fleet.said(1, "n0 is gone");
+    let before = fleet.said(1, "n0 has failed or is unreachable");
     fleet.kill(0);
     // One machine of three is away, and one loss is to be borne: the others go on with each other.
-    until("n1 finds it gone", || fleet.said(1, "n0 is gone") > before);
+    until("n1 finds it gone", || fleet.said(1, "n0 has failed or is unreachable") > before);
     let ids = fleet.hand_in_many(1, 300..310, LONG);
     assert_eq!(ids.len(), 10, "a sender promises beside one that is away");
     fleet.all_end(&ids);
@@ -383,9 +383,11 @@
         rest
     };
     let hello = |installation: &str, to: &str| {
-        use notchpoint_copies::{Hello, Holder, Peer, Reign};
-        let from = Holder { peer: Peer::named("n1"), reign: Reign(7) };
-        Hello { installation: Hello::installation(installation), from, to: Peer::named(to) }.write().to_vec()
+        use notchpoint_copies::{Hello, Incarnation, Instance, Peer};
+        let from = Instance { peer: Peer::from_name("n1"), incarnation: Incarnation(7) };
+        Hello { installation: Hello::installation(installation), from, to: Peer::from_name(to) }
+            .write()
+            .to_vec()
     };
     for _ in 0..3 {
         say(&[b'x'; 64]);
@@ -398,10 +400,10 @@
         say(&long);
     }
     for (what, times) in [
-        ("turned down who dialed: what speaks there is no notchpoint", 1),
-        ("turned down who dialed: it belongs to another installation", 1),
-        ("turned down who dialed: it means to speak to another sender", 1),
-        ("the link with n1 ended: a frame of 4294967295 bytes", 1),
+        ("rejected an incoming connection: the peer is not a notchpoint sender", 1),
+        ("rejected an incoming connection: the peer belongs to another installation", 1),
+        ("rejected an incoming connection: the peer addresses another sender", 1),
+        ("link to n1 closed: a frame of 4294967295 bytes", 1),
     ] {
         fleet.says(0, what);
         assert_eq!(fleet.said(0, what), times, "{what}");
