--- a/crates/copies/src/replicator/responses.rs
+++ b/crates/copies/src/replicator/responses.rs
@@ -36,7 +36,8 @@
                     {
                         link.response_times.observe(now.saturating_sub(since).max(1));
                     }
-                    let is_long = matches!(replica.1, ReplicaStatus::Pending(since) if now.saturating_sub(since) > LONG_ROUND_TRIP);
+                    let is_long = matches!(replica.1, ReplicaStatus::Pending(since)
+                        if now.saturating_sub(since) > LONG_ROUND_TRIP);
                     let is_late = is_long || replica.1 == ReplicaStatus::Late;
                     replica.1 = ReplicaStatus::Stored;
                     if is_late && let Some(message) = self.owned.messages.get(&key.id) {
--- a/crates/copies/src/replicator/ticks.rs
+++ b/crates/copies/src/replicator/ticks.rs
@@ -24,7 +24,8 @@
             let mut late = false;
             if let Some(message) = self.owned.messages.get_mut(&id) {
                 for (_, status) in message.replicas.values_mut() {
-                    if matches!(status, ReplicaStatus::Pending(since) if now.saturating_sub(*since) >= *REPLICA_TIMEOUT.start())
+                    if matches!(status, ReplicaStatus::Pending(since)
+                        if now.saturating_sub(*since) >= *REPLICA_TIMEOUT.start())
                     {
                         (*status, late) = (ReplicaStatus::Late, true);
                     }
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -564,11 +564,14 @@
             tokio::select! {
                 biased;
                 Some(what) = watched.recv() => self.handle_input(match what {
-                    MessageUpdate::AttemptNeverRan(id, number) => ProtocolInput::NeverRan { id: Id(id.0), number },
-                    MessageUpdate::Verdict(id, verdict) => ProtocolInput::VerdictRecorded { id: Id(id.0), verdict: to_copies_verdict(verdict) },
+                    MessageUpdate::AttemptNeverRan(id, number) =>
+                        ProtocolInput::NeverRan { id: Id(id.0), number },
+                    MessageUpdate::Verdict(id, verdict) =>
+                        ProtocolInput::VerdictRecorded { id: Id(id.0), verdict: to_copies_verdict(verdict) },
                     MessageUpdate::Ended(id) => ProtocolInput::Ended { id: Id(id.0) },
                 }),
-                () = sleep_until(self.started + Duration::from_micros(wake)) => self.handle_input(ProtocolInput::Tick),
+                () = sleep_until(self.started + Duration::from_micros(wake)) =>
+                    self.handle_input(ProtocolInput::Tick),
                 () = self.wake_earlier.notified() => {}
             }
             if next_check <= Instant::now() {
@@ -595,7 +598,8 @@
         let replicator = self.replicator.borrow();
         let (up, wanted) = replicator.links();
         let text = format!(
-            "copies: {up} of {wanted} links are up; {} own messages lack copies; {} copies are stored for others",
+            "copies: {up} of {wanted} links are up; {} own messages lack copies; \
+             {} copies are stored for others",
             replicator.missing_copies(),
             replicator.stored_copies(),
         );
