--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -15,7 +15,7 @@
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::reasons::ReasonCounts;
 use crate::settings::config::Config;
-use crate::settings::descriptors::Descriptors;
+use crate::settings::descriptors::DescriptorBudget;
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, Verdict};
 use answer::Answer;
@@ -156,7 +156,7 @@
             inputs,
             connect_timeout: Duration::from_micros(set.connect_timeout),
             idle: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
-            most_idle: Descriptors::new(config).idle,
+            most_idle: DescriptorBudget::new(config).idle_connections,
             second_copies: set.second_copies,
             trouble: RateLimitedWarning::default(),
             reasons: Rc::default(),
--- a/crates/daemon/src/calls/pool.rs
+++ b/crates/daemon/src/calls/pool.rs
@@ -35,7 +35,7 @@
 impl Connection {
     /// It may carry a call: it stands, and nothing has come on it that no call waits for.
     pub(super) fn is_fit(&self) -> bool {
-        self.sender.is_ready() && self.stream.is_quiet()
+        self.sender.is_ready() && self.stream.has_no_unread_data()
     }
 
     /// Ends the connection, and returns once it has ended: until then its call holds a slot over there.
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -5,9 +5,9 @@
 use super::*;
 use crate::io::Observer;
 use crate::state::journal::{OpenMessage, tests::journal};
-use notchpoint_seam::net::Connecting;
-use notchpoint_seam::real::Sockets;
-use notchpoint_seam::{Datagrams, Listener};
+use notchpoint_seam::net::ConnectFuture;
+use notchpoint_seam::system::SystemSockets;
+use notchpoint_seam::{DatagramSocket, Listener};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
@@ -53,7 +53,7 @@
 
 impl Place {
     async fn new(bundle: usize) -> Self {
-        Self::on(Rc::new(Sockets::default()), bundle).await
+        Self::on(Rc::new(SystemSockets::default()), bundle).await
     }
 
     async fn on(net: Rc<dyn Network>, bundle: usize) -> Self {
@@ -150,7 +150,7 @@
         assert!(place.calls.idle().is_empty(), "it is chosen");
         // Nothing of the call has had its turn: this test waits without giving the thread away.
         first.try_write(ok).expect("written");
-        while stream.is_quiet() {
+        while stream.has_no_unread_data() {
             std::thread::yield_now();
         }
         drop(stream);
@@ -325,13 +325,13 @@
 /// The system's sockets, but each connection to an endpoint comes up only when the test says so.
 #[derive(Default)]
 struct Held {
-    sockets: Sockets,
+    sockets: SystemSockets,
     dials: Rc<Cell<usize>>,
     up: Rc<Notify>,
 }
 
 impl Network for Held {
-    fn connect(&self, to: SocketAddr) -> Connecting {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let (made, up) = (self.sockets.connect(to), self.up.clone());
         self.dials.set(self.dials.get() + 1);
         Box::pin(async move {
@@ -345,16 +345,16 @@
         self.sockets.listen(at)
     }
 
-    fn listen_within(&self, name: &str) -> std::io::Result<Rc<dyn Listener>> {
-        self.sockets.listen_within(name)
+    fn listen_local(&self, name: &str) -> std::io::Result<Rc<dyn Listener>> {
+        self.sockets.listen_local(name)
     }
 
-    fn connect_within(&self, name: &str) -> Connecting {
-        self.sockets.connect_within(name)
+    fn connect_local(&self, name: &str) -> ConnectFuture {
+        self.sockets.connect_local(name)
     }
 
-    fn datagrams(&self, at: SocketAddr) -> std::io::Result<Rc<dyn Datagrams>> {
-        self.sockets.datagrams(at)
+    fn bind_datagram(&self, at: SocketAddr) -> std::io::Result<Rc<dyn DatagramSocket>> {
+        self.sockets.bind_datagram(at)
     }
 }
 
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -1,8 +1,8 @@
 //! The command line.
 
 use crate::sender::{self, Failure};
-use crate::settings::descriptors::Descriptors;
-use crate::settings::operator::{self, Format, Log};
+use crate::settings::descriptors::DescriptorBudget;
+use crate::settings::operator::{self, LogFormat, LogSettings};
 use crate::state::storage;
 use crate::stdout::print;
 use clap::{Parser, Subcommand};
@@ -128,19 +128,19 @@
 
 /// What the file says of copies. Whether this sender itself is among the others is known where the
 /// configuration is.
-fn check_copies(file: &Path, operator: &operator::Operator) -> Result<(), Failure> {
+fn check_copies(file: &Path, operator: &operator::OperatorSettings) -> Result<(), Failure> {
     let Some(copies) = &operator.copies else {
         return Ok(print(&format!("{}: copies off\n", file.display()))?);
     };
     let config = std::env::var_os("BALANCER_CONFIG").and_then(|c| std::fs::read_to_string(c).ok());
     let name = config.and_then(|text| crate::settings::config::read(&text).ok()).map(|c| c.name);
-    let wrong = copies.mistakes(name.as_deref());
+    let wrong = copies.find_errors(name.as_deref());
     if !wrong.is_empty() {
         let lines: Vec<String> = wrong.iter().map(|w| format!("{}: {w}", file.display())).collect();
         return Err(lines.join("\n").into());
     }
     print(&format!("{}: {copies}\n", file.display()))?;
-    for doubt in copies.doubts() {
+    for doubt in copies.find_warnings() {
         print(&format!("{}: {doubt}\n", file.display()))?;
     }
     Ok(())
@@ -149,13 +149,13 @@
 fn check_config(file: &Path) -> Result<ExitCode, Failure> {
     let name = file.display();
     let text = std::fs::read_to_string(file).map_err(|e| format!("{name}: {e}"))?;
-    let wrong = crate::settings::check::mistakes(&text);
+    let wrong = crate::settings::check::find_errors(&text);
     if wrong.is_empty() {
         print(&format!("{name}: sound\n"))?;
         let config = crate::settings::config::read(&text)?;
-        let descriptors = Descriptors::new(&config);
-        print(&format!("{name}: {}\n", descriptors.shares(&config)))?;
-        if let Some(doubt) = descriptors.doubt(&config) {
+        let descriptors = DescriptorBudget::new(&config);
+        print(&format!("{name}: {}\n", descriptors.describe(&config)))?;
+        if let Some(doubt) = descriptors.warning(&config) {
             print(&format!("{name}: warning: {doubt}\n"))?;
         }
         return Ok(ExitCode::SUCCESS);
@@ -166,7 +166,7 @@
 
 fn serve(file: Option<PathBuf>) -> Result<ExitCode, Failure> {
     let file = file.or_else(|| std::env::var_os("NOTCHPOINT_OPERATOR").map(PathBuf::from));
-    let operator = file.map_or(Ok(operator::Operator::default()), |f| operator::read(&f))?;
+    let operator = file.map_or(Ok(operator::OperatorSettings::default()), |f| operator::read(&f))?;
     log(operator.log);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
@@ -175,12 +175,12 @@
 }
 
 /// From now on what happens is logged to standard output, a line each.
-fn log(set: Log) {
+fn log(set: LogSettings) {
     let level = if set.detail { tracing::Level::DEBUG } else { tracing::Level::INFO };
     let lines = tracing_subscriber::fmt().with_ansi(false).with_target(false).with_max_level(level);
     match set.format {
-        Format::Text => lines.init(),
-        Format::Json => lines.json().flatten_event(true).init(),
+        LogFormat::Text => lines.init(),
+        LogFormat::Json => lines.json().flatten_event(true).init(),
     }
 }
 
--- a/crates/daemon/src/clients/connection_table.rs
+++ b/crates/daemon/src/clients/connection_table.rs
@@ -105,7 +105,7 @@
 
     /// Nothing has come behind the request that is being answered: its answer may be the last.
     pub fn has_read_all(&self) -> bool {
-        !self.requests.borrow().has_unserved() && self.stream.is_quiet()
+        !self.requests.borrow().has_unserved() && self.stream.has_no_unread_data()
     }
 
     /// Ends it with nothing more read: what crosses that is not this process's, and comes again.
@@ -172,7 +172,7 @@
 
     /// No request is open on it, nor waits unread.
     pub fn is_unused(&self) -> bool {
-        self.stage.get() == Stage::Idle && self.stream.is_quiet()
+        self.stage.get() == Stage::Idle && self.stream.has_no_unread_data()
     }
 
     /// It may be ended between two requests, since this process or its turn ends.
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -11,9 +11,9 @@
 use crate::io::{ObservedStream, Observer};
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::reasons::{Close, Refusal};
+use crate::settings::active::ActiveSettings;
 use crate::settings::config::Config;
-use crate::settings::descriptors::Descriptors;
-use crate::settings::terms::Terms;
+use crate::settings::descriptors::DescriptorBudget;
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, OpenMessage};
 use bytes::Bytes;
@@ -60,7 +60,7 @@
 /// What all connections share.
 pub struct Inbound {
     /// The settings in force.
-    pub terms: Rc<RefCell<Terms>>,
+    pub terms: Rc<RefCell<ActiveSettings>>,
     pub journal: Rc<RefCell<Journal>>,
     pub durability: Rc<DurabilityTracker>,
     /// Where copies are kept, nothing is promised before others have it.
@@ -107,13 +107,13 @@
 
 /// As many as descriptors and memory allow.
 pub fn max_connections(config: &Config) -> usize {
-    let fit = usize::try_from(config.memory / PLACES_SHARE / PLACE).unwrap_or(usize::MAX);
-    Descriptors::new(config).clients.min(fit).max(1)
+    let fit = usize::try_from(config.memory_bytes / PLACES_SHARE / PLACE).unwrap_or(usize::MAX);
+    DescriptorBudget::new(config).client_connections.min(fit).max(1)
 }
 
 /// What bodies may take while they are read: one fits always.
 pub fn max_body_bytes(config: &Config) -> usize {
-    usize::try_from(config.memory / BODIES_SHARE).unwrap_or(usize::MAX).max(BODY)
+    usize::try_from(config.memory_bytes / BODIES_SHARE).unwrap_or(usize::MAX).max(BODY)
 }
 
 /// Watches what passes on a connection. It tells whether a client can have heard that its message was taken
@@ -312,7 +312,7 @@
                 let due = slot.ends_at() <= Instant::now();
                 // What has come is read first, also of a request that is late: a last byte unread is a
                 // request lost. Who never falls silent ends all the same.
-                if due && (slot.stream.is_quiet() || slot.ends_at() + GRACE <= Instant::now()) {
+                if due && (slot.stream.has_no_unread_data() || slot.ends_at() + GRACE <= Instant::now()) {
                     return Close::TimedOut;
                 }
                 if due {
@@ -350,7 +350,7 @@
     }
     let name = path.strip_prefix('/').unwrap_or(path);
     let name = name.split('/').next().unwrap_or(name).to_owned();
-    let Some(class) = inbound.terms.borrow().classes.open(&name) else {
+    let Some(class) = inbound.terms.borrow().classes.current_index(&name) else {
         return Err(StatusCode::NOT_FOUND);
     };
     if request.method() != Method::POST {
@@ -366,7 +366,7 @@
     }
     let (handed, tag) = {
         let terms = inbound.terms.borrow();
-        (read_headers(&terms, request.headers(), &name, class), terms.classes.tag(class).to_owned())
+        (read_headers(&terms, request.headers(), &name, class), terms.classes.tag_at(class).to_owned())
     };
     // The body is read even where the headers say no: an answer across a request still being written is lost.
     let body = match timeout_at(receipt.slot.whole_by(), read_body(inbound, request.into_body())).await {
@@ -443,7 +443,7 @@
 /// Records what the process before this one has read, under the same conditions. A process in between may
 /// have done that (`before`) and died with its answer: the record is the same request's then.
 pub async fn record_handed_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
-    let place = inbound.terms.borrow().classes.place(&passed.tag);
+    let place = inbound.terms.borrow().classes.index_of(&passed.tag);
     let Some(class) = place.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
         return ForwardResult::RetryLater;
     };
@@ -473,7 +473,7 @@
     };
     let careful = {
         let (journal, terms) = (inbound.journal.borrow(), inbound.terms.borrow());
-        journal.get(id).is_none_or(|open| terms.is_careful(&open.class))
+        journal.get(id).is_none_or(|open| terms.is_unsafe_to_repeat(&open.class))
     };
     // Both at once: the keepers' disks are no faster than this one.
     let (kept, firm) = tokio::join!(
@@ -499,11 +499,11 @@
         return Err(StatusCode::CONFLICT);
     }
     let is_over = open.deadline <= journal.unix_now();
-    if is_over || journal.held_count() >= inbound.terms.borrow().set.max_held as usize {
+    if is_over || journal.held_count() >= inbound.terms.borrow().settings.max_held as usize {
         return Ok(false);
     }
     // Until others have it, a process that ends here has promised nothing.
-    open.is_confirmed = inbound.copies.is_none() || !inbound.terms.borrow().is_careful(&open.class);
+    open.is_confirmed = inbound.copies.is_none() || !inbound.terms.borrow().is_unsafe_to_repeat(&open.class);
     // The record comes before the answer. Without a record there is no promise.
     Ok(journal.accept(id, open).is_ok())
 }
@@ -594,7 +594,7 @@
 fn come_back(inbound: &Inbound, why: Refusal) -> Response<Full<Bytes>> {
     inbound.calls.reasons.count_refusal(why);
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    let advice = COME_BACK.min(inbound.terms.borrow().set.max_advice);
+    let advice = COME_BACK.min(inbound.terms.borrow().settings.max_advice);
     if advice > 0
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", advice as f64 / 1e6))
     {
@@ -620,7 +620,12 @@
     }
 }
 
-fn read_headers(terms: &Terms, headers: &HeaderMap, name: &str, class: usize) -> Result<Handed, StatusCode> {
+fn read_headers(
+    terms: &ActiveSettings,
+    headers: &HeaderMap,
+    name: &str,
+    class: usize,
+) -> Result<Handed, StatusCode> {
     let bad = StatusCode::BAD_REQUEST;
     // A header given twice would mean one thing to us and another to who reads the other line.
     let text = |name: &str| {
@@ -642,7 +647,7 @@
     let id = text("X-Request-ID")?.ok_or(bad)?;
     let ms = text("X-Timeout-Ms")?.and_then(read_number).ok_or(bad)?;
     // No message of a class may be delivered for longer.
-    if ms.saturating_mul(1_000) > terms.set.classes.get(class).map_or(0, |c| c.deadline) {
+    if ms.saturating_mul(1_000) > terms.settings.classes.get(class).map_or(0, |c| c.deadline) {
         return Err(bad);
     }
     let fields = text("X-Envelope")?.ok_or(bad)?.split([',', ';', '&', ' ']);
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::calls::Target;
 use notchpoint_seam::Stream;
-use notchpoint_seam::real::Sockets;
+use notchpoint_seam::system::SystemSockets;
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::Shutdown;
 use std::task::{Context, Poll};
@@ -15,7 +15,7 @@
     let journal = Rc::new(RefCell::new(crate::state::journal::tests::journal(folder)));
     let (inputs, received) = unbounded_channel();
     let durability = DurabilityTracker::new(journal.clone());
-    let net = Rc::new(Sockets::default());
+    let net = Rc::new(SystemSockets::default());
     let inbound = Inbound {
         max_connections: max_connections(&config),
         max_body_bytes: max_body_bytes(&config),
@@ -23,7 +23,7 @@
         calls: Calls::new(&config, net, journal.clone(), durability.clone(), None, inputs.clone()),
         copies: None,
         durability,
-        terms: Rc::new(RefCell::new(Terms::new(&config, &BTreeMap::new(), &BTreeSet::new()).0)),
+        terms: Rc::new(RefCell::new(ActiveSettings::new(&config, &BTreeMap::new(), &BTreeSet::new()).0)),
         journal,
         inputs,
         admission: Rc::default(),
@@ -146,7 +146,7 @@
         self.stream.try_write(buf)
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_data(&self) -> bool {
         true
     }
 
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -5,7 +5,7 @@
 use crate::copies::rows::{JournalLedger, to_copies_verdict, to_record};
 use crate::input::Input;
 use crate::settings::config::Config;
-use crate::settings::operator::{Copies as Settings, WhenShort};
+use crate::settings::operator::{CopiesSettings as Settings, WhenShort};
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, MessageUpdate, OpenMessage};
 use notchpoint_copies::{
@@ -84,7 +84,7 @@
 
 /// Builds the membership from the settings.
 fn membership(set: &Settings, config: &Config) -> Result<Membership, String> {
-    let mistakes = set.mistakes(Some(&config.name));
+    let mistakes = set.find_errors(Some(&config.name));
     if !mistakes.is_empty() {
         return Err(mistakes.join("\n"));
     }
@@ -119,7 +119,7 @@
             tracing::warn!("copies: no sender is known to be in another zone");
         }
         let rows = journal.borrow_mut().take_copies();
-        let max_copy_bytes = ((set.keep_mb * 1e6) as u64).min(config.disk / DISK_SHARE_DIVISOR);
+        let max_copy_bytes = ((set.keep_mb * 1e6) as u64).min(config.disk_bytes / DISK_SHARE_DIVISOR);
         let settings = notchpoint_copies::Settings {
             silence: set.silence_ms * 1_000,
             max_copy_bytes: usize::try_from(max_copy_bytes).unwrap_or(usize::MAX),
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -12,8 +12,8 @@
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
 use crate::platform::zone_monitor::ZoneMonitor;
+use crate::settings::active::ActiveSettings;
 use crate::settings::config::Config;
-use crate::settings::terms::Terms;
 use crate::state::journal::{Journal, OpenMessage, Verdict};
 use crate::state::operator_marks::{MAX_OUT_OF_SERVICE, MarkChange};
 use crate::state::pending_writes::wait_for_verdict_write;
@@ -55,7 +55,7 @@
 
 pub struct DecisionLoop {
     sender: Sender,
-    terms: Rc<RefCell<Terms>>,
+    terms: Rc<RefCell<ActiveSettings>>,
     kinds: Vec<Kind>,
     tick: Duration,
     started: Instant,
@@ -108,7 +108,7 @@
 /// What a node is made of.
 pub struct Components {
     pub journal: Rc<RefCell<Journal>>,
-    pub terms: Rc<RefCell<Terms>>,
+    pub terms: Rc<RefCell<ActiveSettings>>,
     pub calls: Rc<Calls>,
     pub copies: Option<Rc<ReplicationService>>,
     pub reports: Rc<Reports>,
@@ -128,11 +128,11 @@
         (elsewhere, unheard): (BTreeSet<MessageId>, BTreeSet<MessageId>),
         parts: Components,
     ) -> Result<Self, SettingsError> {
-        let sender = Sender::new(parts.terms.borrow().set.clone(), config.seed)?;
+        let sender = Sender::new(parts.terms.borrow().settings.clone(), config.seed)?;
         let mut node = Self::build(sender, config, text, parts);
         (node.elsewhere, node.unheard) = (elsewhere, unheard);
         node.restore_marks();
-        let entries = node.entries(&config.known, true);
+        let entries = node.entries(&config.initial_list, true);
         node.events.push(Event::List(ListNews::Restored(entries)));
         node.resume(None);
         Ok(node)
@@ -189,7 +189,7 @@
             waits,
             members: self.members.values().cloned().collect(),
             revision: self.discovery.revision(),
-            classes: self.terms.borrow().classes.places(),
+            classes: self.terms.borrow().classes.entries(),
             sender: self.sender,
         };
         (given, self.inputs)
@@ -282,7 +282,7 @@
         let terms = self.terms.borrow();
         let message = Message {
             id,
-            class: terms.classes.place(&open.class)? as u32,
+            class: terms.classes.index_of(&open.class)? as u32,
             tenant: place(&terms.names.tenants, &open.tenant),
             key: None,
             dest: DestinationId(open.dest),
@@ -290,8 +290,9 @@
             expires_in: self.left(id),
         };
         // Its client may not have heard 202, and have handed it in again.
-        let unsure =
-            self.copies.is_some() && !open.is_confirmed && self.terms.borrow().is_careful(&open.class);
+        let unsure = self.copies.is_some()
+            && !open.is_confirmed
+            && self.terms.borrow().is_unsafe_to_repeat(&open.class);
         if unsure {
             return None;
         }
@@ -390,14 +391,14 @@
     /// once the store has the classes that messages name.
     fn configure(&mut self) -> Option<Event> {
         let (config, text) = self.unstored.take()?;
-        self.discovery.relocate(config.discovery);
-        self.reports.relocate(config.discovery);
+        self.discovery.relocate(config.discovery_addr);
+        self.reports.relocate(config.discovery_addr);
         let (terms, changes, waits) = {
             let (terms, journal) = (self.terms.borrow(), self.journal.borrow());
             // Also what was taken on and the module has not heard of yet.
             let mut in_use: BTreeSet<usize> = self.sender.classes_in_use();
-            in_use.extend(journal.iter().filter_map(|(_, m)| terms.classes.place(&m.class)));
-            terms.retuned(&config, &in_use)
+            in_use.extend(journal.iter().filter_map(|(_, m)| terms.classes.index_of(&m.class)));
+            terms.reconfigured(&config, &in_use)
         };
         if let Err(why) = self.journal.borrow_mut().update_classes(&changes) {
             tracing::warn!("the configuration waits for the store: {why}");
@@ -406,15 +407,15 @@
             return None;
         }
         self.text = text;
-        tracing::info!("configuration read anew: discovery at {}", config.discovery);
+        tracing::info!("configuration read anew: discovery at {}", config.discovery_addr);
         if !waits.is_empty() {
             tracing::warn!("some of it waits for the next start: {}", waits.join(", "));
         }
-        let changed = terms.set != self.terms.borrow().set;
+        let changed = terms.settings != self.terms.borrow().settings;
         if let Some(zone_monitor) = self.zone_monitor.as_ref().filter(|_| changed) {
-            zone_monitor.update_cold_settings(&terms.set);
+            zone_monitor.update_cold_settings(&terms.settings);
         }
-        let event = changed.then(|| Event::Settings(Box::new(terms.set.clone())));
+        let event = changed.then(|| Event::Settings(Box::new(terms.settings.clone())));
         *self.terms.borrow_mut() = terms;
         event
     }
@@ -794,7 +795,7 @@
 
     /// Whether a message must not be repeated.
     fn is_careful(&self, id: MessageId) -> bool {
-        self.journal.borrow().get(id).is_none_or(|open| self.terms.borrow().is_careful(&open.class))
+        self.journal.borrow().get(id).is_none_or(|open| self.terms.borrow().is_unsafe_to_repeat(&open.class))
     }
 
     /// Nothing is owed to anyone.
--- a/crates/daemon/src/handover/transport.rs
+++ b/crates/daemon/src/handover/transport.rs
@@ -121,7 +121,7 @@
 
 /// Asks who serves to hand over.
 pub async fn ask(net: &dyn Network) -> Found {
-    let Ok(Ok(stream)) = timeout(GREETING, net.connect_within(PLACE)).await else { return Found::Nobody };
+    let Ok(Ok(stream)) = timeout(GREETING, net.connect_local(PLACE)).await else { return Found::Nobody };
     let state = async {
         write_all(&*stream, &hello()).await?;
         greeted(&read_hello(&*stream).await?).map_err(io::Error::other)?;
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -8,7 +8,7 @@
 use crate::operations::{self, Asked, No, Word};
 use crate::platform::zone_monitor::ZoneMonitor;
 use crate::reasons::ReasonCounts;
-use crate::settings::descriptors::OPERATORS;
+use crate::settings::descriptors::MAX_OPERATOR_CONNECTIONS;
 use crate::state::durability::DurabilityTracker;
 use bytes::Bytes;
 use http_body_util::Full;
@@ -48,7 +48,7 @@
 
 impl Default for Admin {
     fn default() -> Self {
-        Self { desk: RefCell::default(), most: Cell::new(OPERATORS) }
+        Self { desk: RefCell::default(), most: Cell::new(MAX_OPERATOR_CONNECTIONS) }
     }
 }
 
--- a/crates/daemon/src/operators/flight.rs
+++ b/crates/daemon/src/operators/flight.rs
@@ -1,7 +1,7 @@
 //! The flight recorder of this process: off, or beside the decisions.
 
 use crate::settings::config::Config;
-use crate::settings::operator::{self, Store};
+use crate::settings::operator::{self, RecorderStore};
 use notchpoint_policy::{Action, EndpointId, Event, Micros, Sender};
 use notchpoint_recorder::store::{Folder, Memory};
 use notchpoint_recorder::{Options, Recorder, recorder};
@@ -29,7 +29,11 @@
 
 impl Flight {
     /// Begins to record if the operator wants it.
-    pub fn open(set: &operator::Recorder, config: &Config, clock: Rc<dyn Clock>) -> Result<Rc<Self>, String> {
+    pub fn open(
+        set: &operator::RecorderSettings,
+        config: &Config,
+        clock: Rc<dyn Clock>,
+    ) -> Result<Rc<Self>, String> {
         let folder = set.folder.clone().unwrap_or_default();
         let flight = |recorder| {
             Rc::new(Self {
@@ -41,18 +45,18 @@
         };
         let fail = |e: &dyn std::fmt::Display| format!("recorder: {}: {e}", folder.display());
         let (store, there): (Box<dyn notchpoint_recorder::store::Store>, _) = match set.store {
-            Store::Off => return Ok(flight(None)),
-            Store::Memory => {
+            RecorderStore::Off => return Ok(flight(None)),
+            RecorderStore::Memory => {
                 fs::create_dir_all(&folder).map_err(|e| fail(&e))?;
                 (Box::new(Memory::default()), Vec::new())
             }
-            Store::Folder => {
+            RecorderStore::Folder => {
                 let (store, there) = Folder::open(&folder).map_err(|e| fail(&e))?;
                 (Box::new(store), there)
             }
         };
         let options = Options {
-            limit: set.limit(),
+            limit: set.limit_bytes(),
             sender: config.name.clone(),
             classes: config.names.classes.clone(),
             settings: config.settings.clone(),
@@ -157,13 +161,13 @@
 mod tests {
     use super::*;
     use notchpoint_recorder::{Recording, replay, replay::Nobody};
-    use notchpoint_seam::real::SystemClock;
+    use notchpoint_seam::system::SystemClock;
 
     #[test]
     fn a_panic_leaves_what_was_recorded() {
         let folder = tempfile::tempdir().expect("a folder");
-        let set = operator::Recorder {
-            store: Store::Memory,
+        let set = operator::RecorderSettings {
+            store: RecorderStore::Memory,
             folder: Some(folder.path().to_owned()),
             limit_mb: 1.0,
         };
@@ -191,7 +195,11 @@
     fn a_recording_that_cannot_be_written_ends_and_the_turns_go_on() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("recording");
-        let set = operator::Recorder { store: Store::Folder, folder: Some(path.clone()), limit_mb: 0.25 };
+        let set = operator::RecorderSettings {
+            store: RecorderStore::Folder,
+            folder: Some(path.clone()),
+            limit_mb: 0.25,
+        };
         let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
         let flight = Flight::open(&set, &config, Rc::new(SystemClock)).expect("begun");
         // The folder is taken away: the next segment cannot be begun.
--- a/crates/daemon/src/platform/note_sender.rs
+++ b/crates/daemon/src/platform/note_sender.rs
@@ -1,6 +1,6 @@
 //! Where notes to other senders go out, whoever writes them.
 
-use notchpoint_seam::Datagrams;
+use notchpoint_seam::DatagramSocket;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
@@ -8,13 +8,13 @@
 pub const MAX_NOTE_BYTES: usize = 256;
 
 pub struct NoteSender {
-    socket: Rc<dyn Datagrams>,
+    socket: Rc<dyn DatagramSocket>,
     peers: Vec<SocketAddr>,
     all: Option<SocketAddr>,
 }
 
 impl NoteSender {
-    pub fn new(socket: Rc<dyn Datagrams>, peers: Vec<SocketAddr>, all: Option<SocketAddr>) -> Self {
+    pub fn new(socket: Rc<dyn DatagramSocket>, peers: Vec<SocketAddr>, all: Option<SocketAddr>) -> Self {
         Self { socket, peers, all }
     }
 
--- a/crates/daemon/src/platform/peers.rs
+++ b/crates/daemon/src/platform/peers.rs
@@ -37,8 +37,8 @@
         inputs: UnboundedSender<Input>,
         zone_monitor: Option<Rc<ZoneMonitor>>,
     ) -> io::Result<Self> {
-        let socket = net.datagrams(address)?;
-        let (peers, all) = (config.peers.clone(), config.peers_all);
+        let socket = net.bind_datagram(address)?;
+        let (peers, all) = (config.peers.clone(), config.broadcast_addr);
         let (heard, known) = (socket.clone(), peers.clone());
         let hears = tokio::task::spawn_local(async move {
             let mut buffer = [0; MAX_NOTE_BYTES + 1];
--- a/crates/daemon/src/platform/zone_monitor.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -5,11 +5,11 @@
 use crate::input::Input;
 use crate::platform::note_sender::NoteSender;
 use crate::settings::config::Config;
-use crate::settings::operator::Zones as Wanted;
+use crate::settings::operator::ZoneSettings as Wanted;
 use notchpoint_policy::{DestinationId, EndpointId, Event, Outcome, Settings};
 use notchpoint_zones::{
-    Came, Cold, Course, Dest, Event as Said, Output, Pace, Place, Set, Standing, State as ZoneState, Why,
-    Zone, Zones,
+    CallResult, ColdStart, DestinationHash, EvacuationState, Event as ZoneEvent, Health, Output,
+    ReturnSchedule, SenderId, TransitionReason, ZoneId, ZonePhase, ZoneStateMachine, ZonesConfig,
 };
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -25,16 +25,16 @@
 const NAMED: usize = 5;
 
 pub struct ZoneMonitor {
-    machine: RefCell<Zones>,
+    machine: RefCell<ZoneStateMachine>,
     /// What operators want, and what the platform says of cold endpoints; each may come anew.
-    wanted: RefCell<(Wanted, Cold)>,
+    wanted: RefCell<(Wanted, ColdStart)>,
     numbers: Numbers,
     started: Instant,
-    names: RefCell<BTreeMap<Zone, String>>,
+    names: RefCell<BTreeMap<ZoneId, String>>,
     /// The module's numbers of zones.
     zones: Vec<String>,
     /// Where listed endpoints stand, and whose they are.
-    places: RefCell<BTreeMap<EndpointId, (Zone, Dest, DestinationId)>>,
+    places: RefCell<BTreeMap<EndpointId, (ZoneId, DestinationHash, DestinationId)>>,
     inputs: UnboundedSender<Input>,
     task: RefCell<Option<AbortHandle>>,
 }
@@ -55,18 +55,18 @@
         (fits && me < fleet).then_some(Self { me, fleet, own_listed })
     }
 
-    fn place(self, at: usize) -> Place {
+    fn place(self, at: usize) -> SenderId {
         let at = at as u32;
-        Place(at + u32::from(!self.own_listed && at >= self.me))
+        SenderId(at + u32::from(!self.own_listed && at >= self.me))
     }
 
-    fn at(self, place: Place) -> u32 {
+    fn at(self, place: SenderId) -> u32 {
         place.0 - u32::from(!self.own_listed && place.0 > self.me)
     }
 }
 
-fn cold(set: &Settings) -> Cold {
-    Cold { start: set.start_share, span: set.cold, over: set.fall_multiple }
+fn cold(set: &Settings) -> ColdStart {
+    ColdStart { initial_share: set.start_share, warm_up: set.cold, overload_factor: set.fall_multiple }
 }
 
 impl ZoneMonitor {
@@ -77,10 +77,10 @@
         config: &Config,
         inputs: &UnboundedSender<Input>,
     ) -> Option<Rc<Self>> {
-        if !wanted.wanted() {
+        if !wanted.is_enabled() {
             return None;
         }
-        let numbers = Numbers::of(config.me, config.settings.senders, config.peers.len());
+        let numbers = Numbers::of(config.own_number, config.settings.senders, config.peers.len());
         let writes = numbers.is_some() && config.settings.may_note && config.settings.senders > 1;
         if !writes {
             tracing::warn!("zones: no other sender can be written to: no zone is found failing");
@@ -88,17 +88,17 @@
         let numbers = numbers.unwrap_or(Numbers { me: 0, fleet: 1, own_listed: true });
         let own = config.names.zones.get(config.settings.zone as usize).map_or("", |z| z);
         let cold = cold(&config.settings);
-        let set = Set {
-            place: Place(numbers.me),
-            fleet: numbers.fleet,
-            stands: Zone::named(own),
-            writes,
-            rules: wanted.rules(numbers.fleet as usize),
-            pace: wanted.leave.then(|| Pace::new(cold)),
-            pinned: wanted.pinned(),
+        let set = ZonesConfig {
+            sender: SenderId(numbers.me),
+            fleet_size: numbers.fleet,
+            own_zone: ZoneId::from_name(own),
+            can_send: writes,
+            thresholds: wanted.failure_thresholds(numbers.fleet as usize),
+            return_schedule: wanted.leave.then(|| ReturnSchedule::new(cold)),
+            pinned: wanted.pinned_zones(),
         };
         let zone_monitor = Rc::new(Self {
-            machine: RefCell::new(Zones::new(set, config.seed, 0)),
+            machine: RefCell::new(ZoneStateMachine::new(set, config.seed, 0)),
             wanted: RefCell::new((wanted.clone(), cold)),
             numbers,
             started: Instant::now(),
@@ -114,7 +114,7 @@
     }
 
     fn say_unknown(&self) {
-        for name in self.wanted.borrow().0.unknown(&self.zones) {
+        for name in self.wanted.borrow().0.unknown_zones(&self.zones) {
             tracing::warn!("zones: {name} is pinned, and the configuration names no such zone");
         }
     }
@@ -139,10 +139,14 @@
     fn tune(&self) {
         let wanted = self.wanted.borrow();
         let (wanted, cold) = &*wanted;
-        let pace = wanted.leave.then(|| Pace::new(*cold));
+        let pace = wanted.leave.then(|| ReturnSchedule::new(*cold));
         let mut machine = self.machine.borrow_mut();
-        machine.retune(wanted.rules(self.numbers.fleet as usize), pace, wanted.pinned());
-        let _ = self.inputs.send(Input::RedirectClients(wanted.give_way && machine.gives_way()));
+        machine.reconfigure(
+            wanted.failure_thresholds(self.numbers.fleet as usize),
+            pace,
+            wanted.pinned_zones(),
+        );
+        let _ = self.inputs.send(Input::RedirectClients(wanted.give_way && machine.redirects_clients()));
     }
 
     fn now(&self) -> u64 {
@@ -152,7 +156,7 @@
     fn name(&self, name: &str) {
         let mut names = self.names.borrow_mut();
         if names.len() < NAMES {
-            names.entry(Zone::named(name)).or_insert_with(|| name.to_owned());
+            names.entry(ZoneId::from_name(name)).or_insert_with(|| name.to_owned());
         }
     }
 
@@ -163,7 +167,7 @@
             places.remove(&id);
             return;
         }
-        places.insert(id, (Zone::named(zone), Dest::numbered(dest.0), dest));
+        places.insert(id, (ZoneId::from_name(zone), DestinationHash::from_number(dest.0), dest));
         self.name(zone);
     }
 
@@ -171,20 +175,22 @@
     pub fn retain_endpoints(&self, listed: impl Fn(EndpointId) -> bool) {
         let mut places = self.places.borrow_mut();
         places.retain(|&id, _| listed(id));
-        self.machine.borrow_mut().list(places.values().map(|p| p.0).collect());
+        self.machine.borrow_mut().set_listed_zones(places.values().map(|p| p.0).collect());
     }
 
     /// An attempt at an endpoint, begun so long ago, ended.
     pub fn record_outcome(&self, endpoint: EndpointId, outcome: Outcome, age: u64) {
         let came = match outcome {
             // Whoever answers is there, whatever it says.
-            Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt => Came::Answered,
-            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => Came::Failed,
+            Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt => {
+                CallResult::Answered
+            }
+            Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
             Outcome::Cancelled | Outcome::Moot | Outcome::NotSent => return,
         };
         if let Some(&(zone, dest, _)) = self.places.borrow().get(&endpoint) {
             let now = self.now();
-            self.machine.borrow_mut().observe(now, now.saturating_sub(age), zone, dest, came);
+            self.machine.borrow_mut().record_call(now, now.saturating_sub(age), zone, dest, came);
         }
     }
 
@@ -192,7 +198,7 @@
     pub fn receive_note(&self, from: usize, note: &[u8]) -> bool {
         let mut out = Vec::new();
         let from = self.numbers.place(from);
-        let taken = self.machine.borrow_mut().heard(self.now(), from, note, &mut out);
+        let taken = self.machine.borrow_mut().receive_note(self.now(), from, note, &mut out);
         self.carry_out(out, None);
         taken
     }
@@ -211,7 +217,7 @@
         let zone_monitor = self.clone();
         let task = tokio::task::spawn_local(async move {
             loop {
-                let wake = zone_monitor.machine.borrow().wake();
+                let wake = zone_monitor.machine.borrow().next_wake();
                 sleep_until(zone_monitor.started + Duration::from_micros(wake)).await;
                 let mut out = Vec::new();
                 zone_monitor.machine.borrow_mut().tick(zone_monitor.now(), &mut out);
@@ -224,7 +230,7 @@
     }
 
     /// The destinations of these short names that the list knows.
-    fn dests(&self, short: &BTreeSet<Dest>) -> Vec<DestinationId> {
+    fn dests(&self, short: &BTreeSet<DestinationHash>) -> Vec<DestinationId> {
         let places = self.places.borrow();
         let known = places.values().filter(|p| short.contains(&p.1)).map(|p| p.2);
         known.collect::<BTreeSet<_>>().into_iter().collect()
@@ -250,7 +256,7 @@
                         note_sender.send(Some(self.numbers.at(to)), &body);
                     }
                 }
-                Output::Lean { zone, share, tries, spared } => {
+                Output::SetShare { zone, share, probe: tries, exempt: spared } => {
                     let spared = self.dests(&spared);
                     let name = self.called(zone);
                     if let Some(zone) = self.zones.iter().position(|z| *z == name) {
@@ -258,8 +264,8 @@
                         let _ = self.inputs.send(Input::Event(Event::Zone { zone, share, tries, spared }));
                     }
                 }
-                Output::GiveWay(wanted) => self.give_way(wanted),
-                Output::Say(event) => self.say(&event),
+                Output::RedirectClients(wanted) => self.give_way(wanted),
+                Output::Log(event) => self.say(&event),
             }
         }
     }
@@ -271,64 +277,74 @@
         }
     }
 
-    fn called(&self, zone: Zone) -> String {
+    fn called(&self, zone: ZoneId) -> String {
         self.names.borrow().get(&zone).cloned().unwrap_or_else(|| format!("{:08x}", zone.0))
     }
 
-    fn say(&self, event: &Said) {
+    fn say(&self, event: &ZoneEvent) {
         match event {
-            Said::Stands { zone, before, finding: f, changes } => {
+            ZoneEvent::HealthChanged { zone, before, finding: f, changes } => {
                 let text = format!(
                     "zones: {} is {} (was {}, change {changes} here): {:.0} of {:.0} calls fail, \
                      {} of {} destinations, as {} senders in {} zones see",
                     self.called(*zone),
-                    word(f.standing),
+                    word(f.health),
                     word(*before),
-                    f.failed,
+                    f.failed_calls,
                     f.calls,
-                    f.dests.0,
-                    f.dests.1,
+                    f.destinations.0,
+                    f.destinations.1,
                     f.senders.len(),
-                    f.from.len(),
+                    f.sender_zones.len(),
                 );
-                match f.standing {
-                    Standing::Failing => tracing::warn!("{text}"),
+                match f.health {
+                    Health::Failing => tracing::warn!("{text}"),
                     _ => tracing::info!("{text}"),
                 }
             }
-            Said::Takes { zone, before, course, share, why, failed, on } => {
+            ZoneEvent::ShareChanged {
+                zone,
+                before,
+                state: course,
+                share,
+                reason: why,
+                consecutive_failures: failed,
+                senders: on,
+            } => {
                 let text = format!(
                     "zones: {} {} (term {}): {:.0} % of its share from now on; {}; failed {failed} times in \
                      a row; on the word of {}",
                     self.called(*zone),
-                    match (before.is_full(), course.level) {
+                    match (before.has_full_share(), course.level) {
                         (true, _) => "is left",
                         (false, 0) => "is left again",
-                        (false, Course::FULL) => "has its whole share again",
+                        (false, EvacuationState::FULL_SHARE) => "has its whole share again",
                         (false, _) => "is returned to",
                     },
                     course.term,
                     100.0 * share,
                     match why {
-                        Why::Found => "it is found failing",
-                        Why::Told => "enough other senders have come as far",
-                        Why::FellBack => "what was tried failed",
-                        Why::Held => "what was tried held",
+                        TransitionReason::Evidence => "it is found failing",
+                        TransitionReason::Quorum => "enough other senders have come as far",
+                        TransitionReason::ProbeFailed => "what was tried failed",
+                        TransitionReason::StepHeld => "what was tried held",
                     },
                     senders(on),
                 );
-                match course.is_out() {
+                match course.is_evacuated() {
                     true => tracing::warn!("{text}"),
                     false => tracing::info!("{text}"),
                 }
             }
-            Said::Odd(place) => tracing::warn!("zones: sender {} contradicts itself", place.0),
-            Said::Alone(true) => {
+            ZoneEvent::ContradictoryReport(place) => {
+                tracing::warn!("zones: sender {} contradicts itself", place.0)
+            }
+            ZoneEvent::Isolated(true) => {
                 tracing::warn!(
                     "zones: this sender hears no other, or all of its calls fail: what was found is kept"
                 );
             }
-            Said::Alone(false) => tracing::info!("zones: this sender is not alone any more"),
+            ZoneEvent::Isolated(false) => tracing::info!("zones: this sender is not alone any more"),
         }
     }
 
@@ -337,38 +353,39 @@
         let machine = self.machine.borrow();
         let wanted = self.wanted.borrow();
         let zones: serde_json::Map<String, serde_json::Value> = machine
-            .stands()
+            .statuses()
             .iter()
             .map(|(&zone, s)| {
                 let f = &s.finding;
                 let told = serde_json::json!({
-                    "standing": word(s.standing),
-                    "changes": s.changes,
-                    "state": state(s.state()),
-                    "term": s.course.term,
+                    "standing": word(s.health),
+                    "changes": s.health_changes,
+                    "state": state(s.phase()),
+                    "term": s.evacuation.term,
                     "share": machine.share(zone),
-                    "spared": self.dests(&s.spared).iter().map(|d| d.0).collect::<Vec<_>>(),
-                    "failed_in_a_row": s.failed,
-                    "with": { "as_far": s.with.0, "heard": s.with.1 },
+                    "spared": self.dests(&s.exempt).iter().map(|d| d.0).collect::<Vec<_>>(),
+                    "failed_in_a_row": s.consecutive_failures,
+                    "with": { "as_far": s.in_sync.0, "heard": s.in_sync.1 },
                     "calls": f.calls.round(),
-                    "failed": f.failed.round(),
-                    "destinations": { "failing": f.dests.0, "seen": f.dests.1 },
+                    "failed": f.failed_calls.round(),
+                    "destinations": { "failing": f.destinations.0, "seen": f.destinations.1 },
                     "senders": f.senders.len(),
-                    "from_zones": f.from.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
-                    "against": f.against.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
+                    "from_zones": f.sender_zones.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
+                    "against": f.opposing_zones.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
                 });
                 (self.called(zone), told)
             })
             .collect();
         let (out, stay) = (&wanted.0.out, &wanted.0.stay);
         serde_json::json!({
-            "alone": machine.is_alone(), "leaves": wanted.0.leave, "found": zones, "out": out, "stay": stay,
+            "alone": machine.is_isolated(), "leaves": wanted.0.leave, "found": zones, "out": out,
+            "stay": stay,
         })
     }
 }
 
 /// Senders by their numbers; of many the first.
-fn senders(on: &[Place]) -> String {
+fn senders(on: &[SenderId]) -> String {
     let first: Vec<String> = on.iter().take(NAMED).map(|p| p.0.to_string()).collect();
     match on.len() {
         0 => "nobody else".to_owned(),
@@ -378,23 +395,23 @@
     }
 }
 
-fn state(state: ZoneState) -> &'static str {
+fn state(state: ZonePhase) -> &'static str {
     match state {
-        ZoneState::Serving => "serving",
-        ZoneState::Doubted => "doubted",
-        ZoneState::Failing => "failing",
-        ZoneState::Leaving => "leaving",
-        ZoneState::Left => "left",
-        ZoneState::Trying => "trying",
-        ZoneState::Returning => "returning",
+        ZonePhase::Serving => "serving",
+        ZonePhase::Doubted => "doubted",
+        ZonePhase::Failing => "failing",
+        ZonePhase::Leaving => "leaving",
+        ZonePhase::Left => "left",
+        ZonePhase::Trying => "trying",
+        ZonePhase::Returning => "returning",
     }
 }
 
-fn word(standing: Standing) -> &'static str {
+fn word(standing: Health) -> &'static str {
     match standing {
-        Standing::Serving => "serving",
-        Standing::Doubted => "doubted",
-        Standing::Failing => "failing",
+        Health::Serving => "serving",
+        Health::Doubted => "doubted",
+        Health::Failing => "failing",
     }
 }
 
@@ -410,7 +427,7 @@
             for at in 0..listed {
                 let place = numbers.place(at);
                 assert_eq!(numbers.at(place), at as u32);
-                assert_eq!(place == Place(2), own && at == 2);
+                assert_eq!(place == SenderId(2), own && at == 2);
             }
         }
         assert_eq!(Numbers::of(2, 5, 3), None);
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -17,17 +17,17 @@
 use crate::platform::reports::Reports;
 use crate::platform::zone_monitor::ZoneMonitor;
 use crate::rate_limited_warning::RateLimitedWarning;
+use crate::settings::active::{self, ActiveSettings};
 use crate::settings::config::Config;
-use crate::settings::descriptors::Descriptors;
-use crate::settings::operator::{self, Operator};
-use crate::settings::terms::{self, Terms};
+use crate::settings::descriptors::DescriptorBudget;
+use crate::settings::operator::{self, OperatorSettings};
 use crate::startup;
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, OpenMessage};
 use crate::state::pending_writes;
 use crate::state::storage;
 use notchpoint_policy::{MessageId, Micros};
-use notchpoint_seam::{Clock, ConfigSource, Disk, Listener, Network, Signal, World};
+use notchpoint_seam::{Clock, ConfigSource, Disk, Environment, Listener, Network, Signal};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::future::pending;
@@ -70,7 +70,7 @@
 ///
 /// # Errors
 /// A variable is missing, or signals cannot be watched.
-pub fn surroundings() -> Result<World, Failure> {
+pub fn surroundings() -> Result<Environment, Failure> {
     let variable =
         |name: &str| std::env::var_os(name).map(PathBuf::from).ok_or_else(|| format!("{name} is not set"));
     let within = std::env::var_os("TMPDIR").map(PathBuf::from);
@@ -79,23 +79,24 @@
     let accept = match std::env::var("BALANCER_ACCEPT_FD").ok().filter(|n| !n.is_empty()) {
         Some(number) => Some(
             (number.parse().map_err(|e: std::num::ParseIntError| e.to_string()))
-                .and_then(|n| notchpoint_seam::real::inherited(n).map_err(|e| e.to_string()))
+                .and_then(|n| notchpoint_seam::system::inherited_listener(n).map_err(|e| e.to_string()))
                 .map_err(|e| format!("BALANCER_ACCEPT_FD: {number} is no listening socket: {e}"))?,
         ),
         None => None,
     };
-    let world = notchpoint_seam::real::world(&state, config, within)?;
+    let world = notchpoint_seam::system::environment(&state, config, within)?;
     let admin = std::env::var("BALANCER_ADMIN_ADDR").ok().filter(|a| !a.is_empty());
     let admin = admin.map(|a| a.parse().map_err(|e| format!("BALANCER_ADMIN_ADDR: {a}: {e}"))).transpose()?;
-    Ok(World { admin, accept, ..world })
+    Ok(Environment { admin_addr: admin, client_listener: accept, ..world })
 }
 
 /// Runs one sender until it is told to end. It belongs inside a `LocalSet`.
 ///
 /// # Errors
 /// Why it could not start.
-pub async fn run(world: World, operator: Operator) -> Result<(), Failure> {
-    let World { net, clock, disk, signals, config: source, admin, accept } = world;
+pub async fn run(world: Environment, operator: OperatorSettings) -> Result<(), Failure> {
+    let Environment { net, clock, disk, signals, config: source, admin_addr, client_listener: accept } =
+        world;
     let operators = Rc::new(Admin::default());
     let told = Rc::new(Told { operator: operator.clone(), ..Told::default() });
     let source = Rc::new(source);
@@ -108,7 +109,7 @@
         Err(why) => Err(why.into()),
     };
     // Before anything else: operators are told that it starts while it does.
-    let mut admin = admin.or(own.as_ref().ok().and_then(|(config, _)| config.admin));
+    let mut admin = admin_addr.or(own.as_ref().ok().and_then(|(config, _)| config.admin_addr));
     let known = admin.is_some();
     if let Some(address) = admin
         && !fixed.listen_for_operators(address).await?
@@ -131,7 +132,7 @@
             }
         };
         // Where the file cannot be read just now, the address stands in what the other process had in force.
-        if let Some(address) = config.admin.filter(|_| !known && admin.is_none()) {
+        if let Some(address) = config.admin_addr.filter(|_| !known && admin.is_none()) {
             admin = Some(address);
             if !fixed.listen_for_operators(address).await? {
                 return Ok(());
@@ -168,7 +169,7 @@
     clock: Rc<dyn Clock>,
     disk: Rc<dyn Disk>,
     accept: Option<Rc<dyn Listener>>,
-    operator: Operator,
+    operator: OperatorSettings,
     operators: Rc<Admin>,
     told: Rc<Told>,
     /// What fails while it starts.
@@ -193,7 +194,7 @@
 
     /// Opens the place where the next process asks this one to hand over; tried again where it cannot be had.
     fn place_for_hand_over(&self) -> Option<Rc<dyn Listener>> {
-        let place = self.net.listen_within(transport::PLACE);
+        let place = self.net.listen_local(transport::PLACE);
         place.inspect_err(|e| self.trouble.warn(&format_args!("no hand-over is possible yet: {e}"))).ok()
     }
 
@@ -252,12 +253,12 @@
         config: &Config,
         journal: &Rc<RefCell<Journal>>,
         durability: &Rc<DurabilityTracker>,
-        terms: &Rc<RefCell<Terms>>,
+        terms: &Rc<RefCell<ActiveSettings>>,
         inputs: &UnboundedSender<Input>,
         before: &Before,
     ) -> Result<Option<Rc<ReplicationService>>, Failure> {
         let Some(set) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let careful = |open: &OpenMessage| terms.borrow().is_careful(&open.class);
+        let careful = |open: &OpenMessage| terms.borrow().is_unsafe_to_repeat(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
         let copies =
             ReplicationService::open(set, config, net, journal, durability, inputs.clone(), careful)?;
@@ -297,11 +298,11 @@
             let _ = ends.to.send(Frame::Owned);
             (config, text) = (crate::settings::config::read(&state.text)?, state.text.clone());
         }
-        let descriptors = Descriptors::new(&config);
-        if let Some(doubt) = descriptors.doubt(&config) {
-            tracing::warn!("{doubt}: {}", descriptors.shares(&config));
+        let descriptors = DescriptorBudget::new(&config);
+        if let Some(doubt) = descriptors.warning(&config) {
+            tracing::warn!("{doubt}: {}", descriptors.describe(&config));
         }
-        self.operators.limit(descriptors.operators);
+        self.operators.limit(descriptors.operator_connections);
         let journal = Rc::new(RefCell::new(journal));
         let terms = Rc::new(RefCell::new(terms(&config, &before, &mut journal.borrow_mut())));
         let durability = DurabilityTracker::new(journal.clone());
@@ -316,19 +317,19 @@
             copies.clone(),
             inputs.clone(),
         );
-        let reports = Reports::new(config.discovery, self.net.clone(), journal.clone());
+        let reports = Reports::new(config.discovery_addr, self.net.clone(), journal.clone());
         let revision = match &before {
             Before::Given(state, _) => state.revision,
-            _ => config.known.revision,
+            _ => config.initial_list.revision,
         };
-        let discovery = Discovery::new(config.discovery, revision, self.net.clone(), inputs.clone());
+        let discovery = Discovery::new(config.discovery_addr, revision, self.net.clone(), inputs.clone());
         let discovery = Rc::new(discovery);
         let flight = Flight::open(&self.operator.recorder, &config, self.clock.clone())?;
         flight.watch_panics();
         let admission = Rc::new(Admission::default());
         let zone_monitor = ZoneMonitor::from_settings(&self.operator.zones, &config, &inputs);
         self.told.begin(&text, &inputs, &flight, zone_monitor.clone());
-        let peers = match config.peer_listen.filter(|_| config.settings.may_note) {
+        let peers = match config.peer_listen_addr.filter(|_| config.settings.may_note) {
             Some(address) => {
                 let bind = || Peers::bind(address, &config, &*self.net, inputs.clone(), zone_monitor.clone());
                 match self.patiently("address for notes", bind).await? {
@@ -394,7 +395,7 @@
         let listener = match &self.accept {
             Some(listener) => listener.clone(),
             None => {
-                let listen = || self.net.listen(config.listen);
+                let listen = || self.net.listen(config.listen_addr);
                 match self.patiently("clients' address", listen).await? {
                     Some(listener) => listener,
                     None => return Ok(None),
@@ -485,19 +486,19 @@
 }
 
 /// The terms that a life begins with.
-fn terms(config: &Config, before: &Before, journal: &mut Journal) -> Terms {
+fn terms(config: &Config, before: &Before, journal: &mut Journal) -> ActiveSettings {
     if let Before::Given(state, _) = before {
-        return Terms::continued(config, state.sender.settings(), &state.classes);
+        return ActiveSettings::from_predecessor(config, state.sender.settings(), &state.classes);
     }
     let (terms, changes) = {
         let used = journal.iter().map(|(_, m)| m.class.as_str()).collect();
-        Terms::new(config, journal.stored_classes(), &used)
+        ActiveSettings::new(config, journal.stored_classes(), &used)
     };
     // Without room for them messages would only lose their class to a change of it and a restart at once.
     if let Err(why) = journal.update_classes(&changes) {
         tracing::warn!("journal: {why}; classes are known for this process only");
     }
-    let deadline = |tag: &str| Some(terms.set.classes.get(terms.classes.place(tag)?)?.deadline);
+    let deadline = |tag: &str| Some(terms.settings.classes.get(terms.classes.index_of(tag)?)?.deadline);
     journal.bound_deadlines(deadline);
     terms
 }
@@ -662,7 +663,7 @@
 #[derive(Default)]
 struct Told {
     /// The operator's file as it was at the start.
-    operator: Operator,
+    operator: OperatorSettings,
     terminate: Notify,
     /// The configuration could not be read when it was to be, and is tried again.
     unread: Cell<bool>,
@@ -724,7 +725,7 @@
             Ok(new) => new,
             Err(why) => return tracing::warn!("the operator's file stays as it was: {why}"),
         };
-        let waits = self.operator.waits(&new);
+        let waits = self.operator.changes_needing_restart(&new);
         if !waits.is_empty() {
             tracing::warn!("operator's file: some of it waits for the next start: {}", waits.join(", "));
         }
@@ -750,7 +751,7 @@
             }
         };
         self.unread.set(false);
-        match terms::read(&text, &life.in_force) {
+        match active::read_replacement(&text, &life.in_force) {
             Ok(config) => {
                 life.in_force.clone_from(&text);
                 let _ = life.inputs.send(Input::ConfigurationChanged(Box::new(config), text));
--- a/crates/daemon/src/settings/terms.rs
+++ b/crates/daemon/src/settings/active.rs
@@ -1,17 +1,17 @@
 //! The settings in force, as far as they may change while the process runs, and what a new configuration
 //! makes of them. Free of I/O.
 
-use crate::settings::classes::{Change, Classes};
+use crate::settings::classes::{ClassChange, ClassTable};
 use crate::settings::config::{Config, Names};
 use notchpoint_policy::{Class, Effect, Settings};
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Debug)]
-pub struct Terms {
+pub struct ActiveSettings {
     /// With all classes that messages use, by place.
-    pub set: Settings,
-    pub classes: Classes,
+    pub settings: Settings,
+    pub classes: ClassTable,
     /// Those of classes are the configuration's; the rest does not change.
     pub names: Names,
 }
@@ -21,10 +21,10 @@
     config.names.classes.iter().cloned().zip(classes).collect()
 }
 
-impl Terms {
+impl ActiveSettings {
     /// Whether messages of the class with this tag must not be repeated, as far as is known.
-    pub fn is_careful(&self, tag: &str) -> bool {
-        let class = self.classes.place(tag).and_then(|n| self.set.classes.get(n));
+    pub fn is_unsafe_to_repeat(&self, tag: &str) -> bool {
+        let class = self.classes.index_of(tag).and_then(|n| self.settings.classes.get(n));
         class.is_none_or(|c| c.effect != Effect::Safe)
     }
 
@@ -34,30 +34,30 @@
         config: &Config,
         stored: &BTreeMap<String, Class>,
         used: &BTreeSet<&str>,
-    ) -> (Self, Vec<Change>) {
-        let (classes, changes) = Classes::new(&told(config), stored, used);
-        let set = Settings { classes: classes.list(), ..config.settings.clone() };
-        (Self { set, classes, names: config.names.clone() }, changes)
+    ) -> (Self, Vec<ClassChange>) {
+        let (classes, changes) = ClassTable::new(&told(config), stored, used);
+        let set = Settings { classes: classes.definitions(), ..config.settings.clone() };
+        (Self { settings: set, classes, names: config.names.clone() }, changes)
     }
 
     /// Those of another process that this one takes over from.
-    pub fn continued(config: &Config, set: &Settings, places: &[(String, Class, bool)]) -> Self {
-        Self { set: set.clone(), classes: Classes::from_places(places), names: config.names.clone() }
+    pub fn from_predecessor(config: &Config, set: &Settings, places: &[(String, Class, bool)]) -> Self {
+        Self { settings: set.clone(), classes: ClassTable::from_entries(places), names: config.names.clone() }
     }
 
     /// What a new configuration makes of them, what the store is to hold, and which keys of it have to wait
     /// for the next start. Nothing is changed: that is done once the store has it.
-    pub fn retuned(
+    pub fn reconfigured(
         &self,
         config: &Config,
         in_use: &BTreeSet<usize>,
-    ) -> (Self, Vec<Change>, Vec<&'static str>) {
-        let (old, new) = (&self.set, &config.settings);
+    ) -> (Self, Vec<ClassChange>, Vec<&'static str>) {
+        let (old, new) = (&self.settings, &config.settings);
         let mut classes = self.classes.clone();
-        let changes = classes.retune(&told(config), in_use);
+        let changes = classes.reconfigure(&told(config), in_use);
         let tenants = config.names.tenants == self.names.tenants;
         let set = Settings {
-            classes: classes.list(),
+            classes: classes.definitions(),
             max_held: new.max_held,
             max_attempts: new.max_attempts,
             max_advice: new.max_advice,
@@ -88,7 +88,7 @@
             ("settings.bounds.peerMessages", new.may_note == old.may_note),
         ];
         let waits = waits.into_iter().filter(|w| !w.1).map(|w| w.0).collect();
-        (Self { set, classes, names: self.names.clone() }, changes, waits)
+        (Self { settings: set, classes, names: self.names.clone() }, changes, waits)
     }
 }
 
@@ -96,8 +96,8 @@
 ///
 /// # Errors
 /// All that is wrong with it, by key.
-pub fn read(text: &str, in_force: &str) -> Result<Config, Vec<String>> {
-    let mut wrong = crate::settings::check::mistakes(text);
+pub fn read_replacement(text: &str, in_force: &str) -> Result<Config, Vec<String>> {
+    let mut wrong = crate::settings::check::find_errors(text);
     if let (Ok(old), Ok(new)) = (serde_json::from_str(in_force), serde_json::from_str(text)) {
         lacks(&old, &new, "", &mut wrong);
     }
@@ -153,7 +153,7 @@
 
     #[test]
     fn a_file_is_taken_whole_or_turned_down_whole_with_every_mistake_by_key() {
-        assert!(read(TEXT, TEXT).is_ok());
+        assert!(read_replacement(TEXT, TEXT).is_ok());
         for (from, to, said) in [
             ("\"maxAttempts\":8", "\"maxAttempts\":0", "settings.bounds.maxAttempts"),
             ("\"maxAttempts\":8", "\"maxAttempts\":-3", "settings.bounds.maxAttempts"),
@@ -175,35 +175,38 @@
         ] {
             let text = TEXT.replace(from, to);
             assert_ne!(text, TEXT, "{from}");
-            let wrong = read(&text, TEXT).expect_err(to);
+            let wrong = read_replacement(&text, TEXT).expect_err(to);
             assert!(wrong.iter().any(|w| w.starts_with(said)), "{to}: {wrong:?}");
         }
         let two =
             TEXT.replace("\"maxAttempts\":8", "\"maxAttempts\":0").replace("\"sloS\":2.0", "\"sloS\":0");
-        assert_eq!(read(&two, TEXT).expect_err("two mistakes").len(), 2);
+        assert_eq!(read_replacement(&two, TEXT).expect_err("two mistakes").len(), 2);
     }
 
     #[test]
     fn a_file_that_is_cut_at_any_byte_is_turned_down() {
         for cut in 0..TEXT.len() {
-            assert!(read(&TEXT[..cut], TEXT).is_err(), "cut at byte {cut}");
+            assert!(read_replacement(&TEXT[..cut], TEXT).is_err(), "cut at byte {cut}");
         }
     }
 
     #[test]
     fn what_has_to_wait_for_the_next_start_is_named_and_left() {
         let config = |text: &str| crate::settings::config::read(text).expect("sound");
-        let (terms, kept) = Terms::new(&config(TEXT), &BTreeMap::new(), &BTreeSet::new());
+        let (terms, kept) = ActiveSettings::new(&config(TEXT), &BTreeMap::new(), &BTreeSet::new());
         assert_eq!(kept.len(), 2);
         let text = TEXT
             .replace("\"slots\":7", "\"slots\":9")
             .replace("\"maxAttempts\":8", "\"maxAttempts\":2")
             .replace("acme", "zenith")
             .replace("\"name\":\"update\"", "\"name\":\"refresh\"");
-        let (new, changes, waits) = terms.retuned(&config(&text), &BTreeSet::from([0]));
+        let (new, changes, waits) = terms.reconfigured(&config(&text), &BTreeSet::from([0]));
         assert_eq!(waits, ["settings.parties", "settings.familyInfo.slots"]);
-        assert_eq!((new.set.slots, new.set.max_attempts), (7, 2));
-        assert_eq!((new.classes.open("refresh"), new.classes.open("update")), (Some(2), None));
-        assert_eq!((changes.len(), new.set.classes.len()), (1, 3));
+        assert_eq!((new.settings.slots, new.settings.max_attempts), (7, 2));
+        assert_eq!(
+            (new.classes.current_index("refresh"), new.classes.current_index("update")),
+            (Some(2), None)
+        );
+        assert_eq!((changes.len(), new.settings.classes.len()), (1, 3));
     }
 }
--- a/crates/daemon/src/settings/check.rs
+++ b/crates/daemon/src/settings/check.rs
@@ -108,7 +108,7 @@
 ];
 
 /// All that is wrong with the text of a `config.json`; nothing where the sender would start with it.
-pub fn mistakes(text: &str) -> Vec<String> {
+pub fn find_errors(text: &str) -> Vec<String> {
     let config: Value = match serde_json::from_str(text) {
         Ok(config) => config,
         Err(e) => return vec![format!("line {}, column {}: {e}", e.line(), e.column())],
@@ -200,14 +200,14 @@
 
     #[test]
     fn every_mistake_is_said_at_once_by_its_key() {
-        assert!(mistakes(TEXT).is_empty(), "{:?}", mistakes(TEXT));
+        assert!(find_errors(TEXT).is_empty(), "{:?}", find_errors(TEXT));
         let text = TEXT
             .replace("\"slots\":7", "\"slots\":0")
             .replace("127.0.0.1:4", "nowhere")
             .replace("at_most_once", "odd")
             .replace("\"mostHeld\":230,", "")
             .replace("\"lateShare\":0.3", "\"lateShare\":1.5");
-        let wrong = mistakes(&text);
+        let wrong = find_errors(&text);
         for key in [
             "settings.familyInfo.slots: 0 is not",
             "known.members[0].host_port: \"nowhere\" is not",
@@ -228,14 +228,14 @@
         {
             let text = TEXT.replacen(from, to, 1);
             assert!(crate::settings::config::read(&text).is_err(), "{to}");
-            assert!(!mistakes(&text).is_empty(), "{to}");
+            assert!(!find_errors(&text).is_empty(), "{to}");
         }
         assert!(
-            mistakes("{\n  \"name\": }")[0].starts_with("line 2, column 11"),
+            find_errors("{\n  \"name\": }")[0].starts_with("line 2, column 11"),
             "{:?}",
-            mistakes("{\n  \"name\": }")
+            find_errors("{\n  \"name\": }")
         );
-        assert_eq!(mistakes("[]"), ["a configuration is a JSON object"]);
-        assert!(mistakes("{}").iter().any(|w| w == "settings: is missing"));
+        assert_eq!(find_errors("[]"), ["a configuration is a JSON object"]);
+        assert!(find_errors("{}").iter().any(|w| w == "settings: is missing"));
     }
 }
--- a/crates/daemon/src/settings/classes.rs
+++ b/crates/daemon/src/settings/classes.rs
@@ -12,133 +12,133 @@
 
 /// What the store is to hold of definitions from now on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Change {
-    Keep { tag: String, text: String },
-    Drop { tag: String },
+pub enum ClassChange {
+    Put { tag: String, text: String },
+    Delete { tag: String },
 }
 
 #[derive(Clone, Debug)]
-struct Place {
+struct Entry {
     /// Empty where the place is free.
     tag: String,
     class: Class,
     /// The configuration has it.
-    current: bool,
+    is_current: bool,
 }
 
 #[derive(Clone, Debug, Default)]
-pub struct Classes {
-    places: Vec<Place>,
+pub struct ClassTable {
+    entries: Vec<Entry>,
 }
 
 /// A definition as it is written. Definitions are the same if this is.
-pub fn text(class: &Class) -> String {
+pub fn definition_text(class: &Class) -> String {
     serde_json::to_string(class).unwrap_or_default()
 }
 
 /// The name in a tag.
-pub fn name(tag: &str) -> &str {
+pub fn tag_name(tag: &str) -> &str {
     tag.split_once(VERSION).map_or(tag, |t| t.0)
 }
 
-impl Classes {
+impl ClassTable {
     /// Those that the configuration has, first and in its order, and those that messages in the store use.
     /// `stored` are the definitions there, by tag.
     pub fn new(
         told: &[(String, Class)],
         stored: &BTreeMap<String, Class>,
         used: &BTreeSet<&str>,
-    ) -> (Self, Vec<Change>) {
+    ) -> (Self, Vec<ClassChange>) {
         let mut classes = Self::default();
         let mut changes = Vec::new();
         for (name, class) in told {
-            let wanted = text(class);
-            let same = stored.iter().find(|(tag, c)| self::name(tag) == name && text(c) == wanted);
+            let wanted = definition_text(class);
+            let same = stored.iter().find(|(tag, c)| tag_name(tag) == name && definition_text(c) == wanted);
             let tag = same.map(|(tag, _)| tag.clone()).unwrap_or_else(|| {
                 let tag = free_tag(name, |tag| stored.contains_key(tag));
-                changes.push(Change::Keep { tag: tag.clone(), text: wanted });
+                changes.push(ClassChange::Put { tag: tag.clone(), text: wanted });
                 tag
             });
-            classes.places.push(Place { tag, class: class.clone(), current: true });
+            classes.entries.push(Entry { tag, class: class.clone(), is_current: true });
         }
         for (tag, class) in stored {
-            if classes.place(tag).is_some() {
+            if classes.index_of(tag).is_some() {
                 continue;
             }
             if used.contains(tag.as_str()) {
-                classes.places.push(Place { tag: tag.clone(), class: class.clone(), current: false });
+                classes.entries.push(Entry { tag: tag.clone(), class: class.clone(), is_current: false });
             } else {
-                changes.push(Change::Drop { tag: tag.clone() });
+                changes.push(ClassChange::Delete { tag: tag.clone() });
             }
         }
         (classes, changes)
     }
 
     /// Takes the classes of a new configuration. `in_use` are the places that messages use.
-    pub fn retune(&mut self, told: &[(String, Class)], in_use: &BTreeSet<usize>) -> Vec<Change> {
+    pub fn reconfigure(&mut self, told: &[(String, Class)], in_use: &BTreeSet<usize>) -> Vec<ClassChange> {
         let mut changes = Vec::new();
         let mut current = BTreeSet::new();
         let mut new = Vec::new();
         for (name, class) in told {
-            let wanted = text(class);
-            let same = |p: &Place| self::name(&p.tag) == name && text(&p.class) == wanted;
-            match self.places.iter().position(same) {
+            let wanted = definition_text(class);
+            let same = |p: &Entry| tag_name(&p.tag) == name && definition_text(&p.class) == wanted;
+            match self.entries.iter().position(same) {
                 Some(n) => drop(current.insert(n)),
                 None => new.push((name, class, wanted)),
             }
         }
-        for (n, p) in self.places.iter_mut().enumerate() {
-            p.current = current.contains(&n);
-            if !p.current && !in_use.contains(&n) && !p.tag.is_empty() {
-                changes.push(Change::Drop { tag: std::mem::take(&mut p.tag) });
+        for (n, p) in self.entries.iter_mut().enumerate() {
+            p.is_current = current.contains(&n);
+            if !p.is_current && !in_use.contains(&n) && !p.tag.is_empty() {
+                changes.push(ClassChange::Delete { tag: std::mem::take(&mut p.tag) });
             }
         }
         for (name, class, text) in new {
-            let tag = free_tag(name, |tag| self.place(tag).is_some());
-            let place = Place { tag: tag.clone(), class: class.clone(), current: true };
-            match self.places.iter_mut().find(|p| p.tag.is_empty()) {
+            let tag = free_tag(name, |tag| self.index_of(tag).is_some());
+            let place = Entry { tag: tag.clone(), class: class.clone(), is_current: true };
+            match self.entries.iter_mut().find(|p| p.tag.is_empty()) {
                 Some(free) => *free = place,
-                None => self.places.push(place),
+                None => self.entries.push(place),
             }
             // A tag that is dropped and given again in one step is kept.
-            changes.retain(|c| !matches!(c, Change::Drop { tag: dropped } if *dropped == tag));
-            changes.push(Change::Keep { tag, text });
+            changes.retain(|c| !matches!(c, ClassChange::Delete { tag: dropped } if *dropped == tag));
+            changes.push(ClassChange::Put { tag, text });
         }
         changes
     }
 
     /// The place of a class that clients may use now.
-    pub fn open(&self, name: &str) -> Option<usize> {
-        self.places.iter().position(|p| p.current && self::name(&p.tag) == name)
+    pub fn current_index(&self, name: &str) -> Option<usize> {
+        self.entries.iter().position(|p| p.is_current && tag_name(&p.tag) == name)
     }
 
     /// The place of a tag that a record has.
-    pub fn place(&self, tag: &str) -> Option<usize> {
-        self.places.iter().position(|p| p.tag == tag && !tag.is_empty())
+    pub fn index_of(&self, tag: &str) -> Option<usize> {
+        self.entries.iter().position(|p| p.tag == tag && !tag.is_empty())
     }
 
-    pub fn tag(&self, place: usize) -> &str {
-        self.places.get(place).map_or("", |p| &p.tag)
+    pub fn tag_at(&self, place: usize) -> &str {
+        self.entries.get(place).map_or("", |p| &p.tag)
     }
 
     /// All places, for another process that takes over: tag, definition, and whether clients may use it.
-    pub fn places(&self) -> Vec<(String, Class, bool)> {
-        self.places.iter().map(|p| (p.tag.clone(), p.class.clone(), p.current)).collect()
+    pub fn entries(&self) -> Vec<(String, Class, bool)> {
+        self.entries.iter().map(|p| (p.tag.clone(), p.class.clone(), p.is_current)).collect()
     }
 
     /// The same places as another process had.
-    pub fn from_places(places: &[(String, Class, bool)]) -> Self {
-        let place = |(tag, class, current): &(String, Class, bool)| Place {
+    pub fn from_entries(places: &[(String, Class, bool)]) -> Self {
+        let place = |(tag, class, current): &(String, Class, bool)| Entry {
             tag: tag.clone(),
             class: class.clone(),
-            current: *current,
+            is_current: *current,
         };
-        Self { places: places.iter().map(place).collect() }
+        Self { entries: places.iter().map(place).collect() }
     }
 
     /// The definitions by place, for the decision module.
-    pub fn list(&self) -> Vec<Class> {
-        self.places.iter().map(|p| p.class.clone()).collect()
+    pub fn definitions(&self) -> Vec<Class> {
+        self.entries.iter().map(|p| p.class.clone()).collect()
     }
 }
 
@@ -166,35 +166,41 @@
     #[test]
     fn a_class_that_is_reordered_stays_and_one_that_is_changed_is_another() {
         let (mut classes, kept) =
-            Classes::new(&told(&[("a", Safe, 5), ("b", Unsafe, 9)]), &BTreeMap::new(), &BTreeSet::new());
-        assert_eq!((classes.open("a"), classes.open("b"), kept.len()), (Some(0), Some(1), 2));
+            ClassTable::new(&told(&[("a", Safe, 5), ("b", Unsafe, 9)]), &BTreeMap::new(), &BTreeSet::new());
+        assert_eq!(
+            (classes.current_index("a"), classes.current_index("b"), kept.len()),
+            (Some(0), Some(1), 2)
+        );
         // Reordered, with one more: nothing that is known moves.
-        classes.retune(&told(&[("c", Safe, 1), ("b", Unsafe, 9), ("a", Safe, 5)]), &BTreeSet::new());
-        assert_eq!(["a", "b", "c"].map(|n| classes.open(n)), [Some(0), Some(1), Some(2)]);
+        classes.reconfigure(&told(&[("c", Safe, 1), ("b", Unsafe, 9), ("a", Safe, 5)]), &BTreeSet::new());
+        assert_eq!(["a", "b", "c"].map(|n| classes.current_index(n)), [Some(0), Some(1), Some(2)]);
         // A stricter effect under the same name: messages under way keep the old one.
-        classes.retune(&told(&[("a", Unsafe, 5), ("b", Unsafe, 9)]), &BTreeSet::from([0, 2]));
-        assert_eq!((classes.open("a"), classes.open("c")), (Some(3), None));
-        assert_eq!((classes.place("a"), classes.tag(3), name(classes.tag(3))), (Some(0), "a\u{0}1", "a"));
-        assert_eq!((classes.list()[0].effect, classes.list()[3].effect), (Safe, Unsafe));
+        classes.reconfigure(&told(&[("a", Unsafe, 5), ("b", Unsafe, 9)]), &BTreeSet::from([0, 2]));
+        assert_eq!((classes.current_index("a"), classes.current_index("c")), (Some(3), None));
+        assert_eq!(
+            (classes.index_of("a"), classes.tag_at(3), tag_name(classes.tag_at(3))),
+            (Some(0), "a\u{0}1", "a")
+        );
+        assert_eq!((classes.definitions()[0].effect, classes.definitions()[3].effect), (Safe, Unsafe));
         // Once nothing uses them their places are free for others.
-        let changes = classes.retune(&told(&[("a", Unsafe, 5), ("d", Safe, 1)]), &BTreeSet::new());
-        assert_eq!(changes.iter().filter(|c| matches!(c, Change::Drop { .. })).count(), 3);
-        assert!(classes.open("d").is_some_and(|n| n < 3) && classes.list().len() == 4);
+        let changes = classes.reconfigure(&told(&[("a", Unsafe, 5), ("d", Safe, 1)]), &BTreeSet::new());
+        assert_eq!(changes.iter().filter(|c| matches!(c, ClassChange::Delete { .. })).count(), 3);
+        assert!(classes.current_index("d").is_some_and(|n| n < 3) && classes.definitions().len() == 4);
     }
 
     #[test]
     fn places_are_bounded_by_what_is_in_use_however_often_settings_change() {
-        let (mut classes, _) = Classes::new(&told(&[("a", Safe, 5)]), &BTreeMap::new(), &BTreeSet::new());
+        let (mut classes, _) = ClassTable::new(&told(&[("a", Safe, 5)]), &BTreeMap::new(), &BTreeSet::new());
         let mut stored = BTreeSet::from(["a".to_owned()]);
         for n in 0..1_000 {
-            for change in classes.retune(&told(&[("a", Safe, 6 + n)]), &BTreeSet::new()) {
+            for change in classes.reconfigure(&told(&[("a", Safe, 6 + n)]), &BTreeSet::new()) {
                 match change {
-                    Change::Keep { tag, .. } => drop(stored.insert(tag)),
-                    Change::Drop { tag } => assert!(stored.remove(&tag)),
+                    ClassChange::Put { tag, .. } => drop(stored.insert(tag)),
+                    ClassChange::Delete { tag } => assert!(stored.remove(&tag)),
                 }
             }
         }
-        assert!(classes.list().len() <= 2 && stored.len() == 1, "{stored:?}");
+        assert!(classes.definitions().len() <= 2 && stored.len() == 1, "{stored:?}");
     }
 
     #[test]
@@ -204,12 +210,15 @@
         stored.insert("a\u{0}1".into(), class(Unsafe, 5));
         let used = BTreeSet::from(["a", "gone"]);
         let now = told(&[("new", Safe, 1), ("a", Unsafe, 5)]);
-        let (classes, changes) = Classes::new(&now, &stored, &used);
-        assert_eq!((classes.open("new"), classes.open("a"), classes.tag(1)), (Some(0), Some(1), "a\u{0}1"));
-        let place = classes.place("gone").expect("a message has it");
-        assert_eq!((classes.open("gone"), classes.list()[place].deadline), (None, 7));
-        assert_eq!(classes.list()[classes.place("a").expect("in use")].effect, Safe);
-        assert!(changes.contains(&Change::Drop { tag: "unused".into() }));
+        let (classes, changes) = ClassTable::new(&now, &stored, &used);
+        assert_eq!(
+            (classes.current_index("new"), classes.current_index("a"), classes.tag_at(1)),
+            (Some(0), Some(1), "a\u{0}1")
+        );
+        let place = classes.index_of("gone").expect("a message has it");
+        assert_eq!((classes.current_index("gone"), classes.definitions()[place].deadline), (None, 7));
+        assert_eq!(classes.definitions()[classes.index_of("a").expect("in use")].effect, Safe);
+        assert!(changes.contains(&ClassChange::Delete { tag: "unused".into() }));
         assert_eq!(changes.len(), 2, "{changes:?}");
     }
 }
--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -32,24 +32,24 @@
 pub struct Config {
     /// The sender's name.
     pub name: String,
-    pub listen: SocketAddr,
+    pub listen_addr: SocketAddr,
     /// Where operators call, if they do.
-    pub admin: Option<SocketAddr>,
-    pub discovery: SocketAddr,
-    pub peer_listen: Option<SocketAddr>,
+    pub admin_addr: Option<SocketAddr>,
+    pub discovery_addr: SocketAddr,
+    pub peer_listen_addr: Option<SocketAddr>,
     /// Senders of the tier, by their numbers.
     pub peers: Vec<SocketAddr>,
     /// This one's number.
-    pub me: u32,
-    pub peers_all: Option<SocketAddr>,
+    pub own_number: u32,
+    pub broadcast_addr: Option<SocketAddr>,
     pub seed: u64,
     /// Descriptors that the process may hold.
-    pub sockets: usize,
+    pub max_descriptors: usize,
     /// Bytes of memory that the process may take.
-    pub memory: u64,
+    pub memory_bytes: u64,
     /// Bytes that the lasting folder may hold.
-    pub disk: u64,
-    pub known: EndpointList,
+    pub disk_bytes: u64,
+    pub initial_list: EndpointList,
     pub settings: Settings,
     pub names: Names,
 }
@@ -309,19 +309,19 @@
     };
     Ok(Config {
         name: file.name,
-        listen: file.listen,
-        admin: file.admin_addr,
-        discovery: file.discovery,
-        peer_listen: file.peer_listen,
+        listen_addr: file.listen,
+        admin_addr: file.admin_addr,
+        discovery_addr: file.discovery,
+        peer_listen_addr: file.peer_listen,
         peers: file.peers,
-        me: told.me,
-        peers_all: file.peers_all,
+        own_number: told.me,
+        broadcast_addr: file.peers_all,
         seed: seed.ok_or_else(|| ConfigError::Value("the seed is neither hex nor a number".into()))?,
-        sockets: file.limits.sockets,
-        memory: (file.limits.memory_mb.clamp(0.0, 1e9) * 1e6) as u64,
+        max_descriptors: file.limits.sockets,
+        memory_bytes: (file.limits.memory_mb.clamp(0.0, 1e9) * 1e6) as u64,
         // Of the readings of 'megabyte' the smaller one is safe under both.
-        disk: (file.limits.disk_mb.clamp(0.0, 1e6) * 1e6) as u64,
-        known: file.known,
+        disk_bytes: (file.limits.disk_mb.clamp(0.0, 1e6) * 1e6) as u64,
+        initial_list: file.known,
         settings,
         names,
     })
@@ -361,8 +361,8 @@
             (c.settings.classes[1].effect, c.settings.classes[1].deadline),
             (Effect::Unsafe, 24_000_000)
         );
-        assert_eq!((c.disk, c.memory), (3_000_000, 192_000_000));
-        assert_eq!((c.sockets, c.known.revision), (1024, 41));
+        assert_eq!((c.disk_bytes, c.memory_bytes), (3_000_000, 192_000_000));
+        assert_eq!((c.max_descriptors, c.initial_list.revision), (1024, 41));
     }
 
     #[test]
--- a/crates/daemon/src/settings/descriptors.rs
+++ b/crates/daemon/src/settings/descriptors.rs
@@ -12,55 +12,62 @@
 /// The socket for hand-overs, and the connection of one.
 const HAND_OVER: usize = 2;
 /// Operators' connections: a few of them and their tools. They are one of the second at most.
-pub const OPERATORS: usize = 24;
+pub const MAX_OPERATOR_CONNECTIONS: usize = 24;
 const OPERATORS_PART: usize = 16;
 /// With less than this part of all, clients' connections give way to one another all the time.
 const CLIENTS_PART: usize = 8;
 
 /// What connections that others open, or that may wait, are held to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Descriptors {
+pub struct DescriptorBudget {
     /// Clients' connections at once.
-    pub clients: usize,
+    pub client_connections: usize,
     /// Connections to endpoints that stand idle.
-    pub idle: usize,
+    pub idle_connections: usize,
     /// Operators' connections at once.
-    pub operators: usize,
+    pub operator_connections: usize,
     /// All of it fits, with room for a client.
-    pub fit: bool,
+    pub is_sufficient: bool,
 }
 
-impl Descriptors {
+impl DescriptorBudget {
     pub fn new(config: &Config) -> Self {
-        Self::of(config.sockets, config.settings.slots as usize)
+        Self::split(config.max_descriptors, config.settings.slots as usize)
     }
 
     /// Clients may fill their part: the watch, notices, calls, the store and operators have theirs beside it.
-    fn of(all: usize, slots: usize) -> Self {
-        let operators = OPERATORS.min(all / OPERATORS_PART).max(1);
+    fn split(all: usize, slots: usize) -> Self {
+        let operators = MAX_OPERATOR_CONNECTIONS.min(all / OPERATORS_PART).max(1);
         let left = all.saturating_sub(OWN + WATCHES + POSTS + HAND_OVER + operators + slots);
         let clients = (all / 2).min(left * 2 / 3).max(1);
         let idle = (all / 4).min(left.saturating_sub(clients));
-        Self { clients, idle, operators, fit: left > 0 }
+        Self {
+            client_connections: clients,
+            idle_connections: idle,
+            operator_connections: operators,
+            is_sufficient: left > 0,
+        }
     }
 
     /// Who may hold how many, in words.
-    pub fn shares(&self, config: &Config) -> String {
-        let Self { clients, idle, operators, .. } = self;
+    pub fn describe(&self, config: &Config) -> String {
+        let Self {
+            client_connections: clients, idle_connections: idle, operator_connections: operators, ..
+        } = self;
         let own = OWN + WATCHES + POSTS + HAND_OVER;
         format!(
             "limits.sockets {}: {clients} for clients' connections, {} for calls, {idle} for idle \
              connections to endpoints, {operators} for operators, {own} for the process itself",
-            config.sockets, config.settings.slots
+            config.max_descriptors, config.settings.slots
         )
     }
 
     /// What is too few, where anything is.
-    pub fn doubt(&self, config: &Config) -> Option<String> {
-        if !self.fit {
+    pub fn warning(&self, config: &Config) -> Option<String> {
+        if !self.is_sufficient {
             return Some("too few for all parts to work".into());
         }
-        let few = self.clients * CLIENTS_PART < config.sockets;
+        let few = self.client_connections * CLIENTS_PART < config.max_descriptors;
         few.then(|| "calls (familyInfo.slots) leave clients few places".into())
     }
 }
--- a/crates/daemon/src/settings/operator.rs
+++ b/crates/daemon/src/settings/operator.rs
@@ -1,6 +1,6 @@
 //! The operator's own file: what is off unless somebody wants it. `deploy/notchpoint.toml` is an example.
 
-use notchpoint_zones::{Rules, Zone};
+use notchpoint_zones::{FailureThresholds, ZoneId};
 use serde::Deserialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,30 +10,30 @@
 /// All that the file may set.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Operator {
+pub struct OperatorSettings {
     #[serde(default)]
-    pub recorder: Recorder,
+    pub recorder: RecorderSettings,
     #[serde(default)]
-    pub log: Log,
+    pub log: LogSettings,
     #[serde(default)]
-    pub store: Storage,
-    pub copies: Option<Copies>,
+    pub store: StoreSettings,
+    pub copies: Option<CopiesSettings>,
     #[serde(default)]
-    pub zones: Zones,
+    pub zones: ZoneSettings,
     /// Where it stands, if it was read from a file: some of it is read anew at SIGHUP.
     #[serde(skip)]
     pub file: Option<PathBuf>,
 }
 
-impl Operator {
+impl OperatorSettings {
     /// Sections that another text of the file says otherwise and that only a new process takes up.
-    pub fn waits(&self, new: &Self) -> Vec<&'static str> {
+    pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
         let same = [
             ("recorder", self.recorder == new.recorder),
             ("log", self.log == new.log),
             ("store", self.store == new.store),
             ("copies", self.copies == new.copies),
-            ("zones (they were off)", self.zones.wanted() || !new.zones.wanted()),
+            ("zones (they were off)", self.zones.is_enabled() || !new.zones.is_enabled()),
         ];
         same.into_iter().filter(|s| !s.1).map(|s| s.0).collect()
     }
@@ -42,7 +42,7 @@
 /// Copies of what this sender holds, at further senders.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Copies {
+pub struct CopiesSettings {
     /// Senders that keep a copy of each message before its client hears 202; 0 for none.
     #[serde(default)]
     pub count: usize,
@@ -64,13 +64,13 @@
     pub silence_ms: u64,
     /// The others.
     #[serde(default)]
-    pub senders: Vec<Other>,
+    pub senders: Vec<PeerSettings>,
 }
 
 /// Another sender, as this one reaches it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
-pub struct Other {
+pub struct PeerSettings {
     pub name: String,
     pub address: SocketAddr,
     pub zone: Option<String>,
@@ -103,9 +103,9 @@
 const SILENCE: std::ops::RangeInclusive<u64> = 300..=60_000;
 const KEEP: std::ops::RangeInclusive<f64> = 0.1..=1e5;
 
-impl Copies {
+impl CopiesSettings {
     /// All that is wrong, by key. `name` is this sender's, where it is known.
-    pub fn mistakes(&self, name: Option<&str>) -> Vec<String> {
+    pub fn find_errors(&self, name: Option<&str>) -> Vec<String> {
         let mut wrong = Vec::new();
         if self.count > MOST_COPIES {
             wrong.push(format!("copies.count: {} is not within 0 to {MOST_COPIES}", self.count));
@@ -146,7 +146,7 @@
     }
 
     /// What is sound, and may not be meant.
-    pub fn doubts(&self) -> Vec<String> {
+    pub fn find_warnings(&self) -> Vec<String> {
         let zones: BTreeSet<_> = self.senders.iter().filter_map(|s| s.zone.as_ref()).collect();
         let own = self.zone.as_ref();
         let apart = zones.iter().any(|z| Some(*z) != own) && (own.is_some() || zones.len() > 1);
@@ -158,7 +158,7 @@
     }
 }
 
-impl fmt::Display for Copies {
+impl fmt::Display for CopiesSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.count == 0 {
             return f.write_str("copies off");
@@ -181,7 +181,7 @@
 /// Zones that fail, as the senders of the fleet find together.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Zones {
+pub struct ZoneSettings {
     /// Calls' ends are pooled with other senders', and what is found of zones is said.
     pub watch: bool,
     /// A zone that is found failing is left, and returned to step by step.
@@ -209,9 +209,9 @@
 /// One destination, sender or zone is never enough.
 const ENOUGH: std::ops::RangeInclusive<usize> = 2..=100;
 
-impl Default for Zones {
+impl Default for ZoneSettings {
     fn default() -> Self {
-        let Rules { share, dests, senders, zones } = Rules::default();
+        let FailureThresholds { failed_share, destinations, senders, zones } = FailureThresholds::default();
         let (out, stay) = (Vec::new(), Vec::new());
         Self {
             watch: false,
@@ -219,34 +219,39 @@
             give_way: false,
             out,
             stay,
-            share,
-            destinations: dests,
+            share: failed_share,
+            destinations,
             senders,
             from_zones: zones,
         }
     }
 }
 
-impl Zones {
+impl ZoneSettings {
     /// What a fleet of so many senders goes by.
-    pub fn rules(&self, fleet: usize) -> Rules {
+    pub fn failure_thresholds(&self, fleet: usize) -> FailureThresholds {
         let senders = self.senders.min(fleet.max(*ENOUGH.start()));
-        Rules { share: self.share, dests: self.destinations, senders, zones: self.from_zones }
+        FailureThresholds {
+            failed_share: self.share,
+            destinations: self.destinations,
+            senders,
+            zones: self.from_zones,
+        }
     }
 
     /// Whether anything of it is wanted.
-    pub fn wanted(&self) -> bool {
+    pub fn is_enabled(&self) -> bool {
         self.watch || self.leave || !self.out.is_empty() || !self.stay.is_empty()
     }
 
     /// Zones that are pinned, and whether they stay.
-    pub fn pinned(&self) -> BTreeMap<Zone, bool> {
-        let out = self.out.iter().map(|name| (Zone::named(name), false));
-        out.chain(self.stay.iter().map(|name| (Zone::named(name), true))).collect()
+    pub fn pinned_zones(&self) -> BTreeMap<ZoneId, bool> {
+        let out = self.out.iter().map(|name| (ZoneId::from_name(name), false));
+        out.chain(self.stay.iter().map(|name| (ZoneId::from_name(name), true))).collect()
     }
 
     /// Zones that are pinned and that the configuration does not name.
-    pub fn unknown<'a>(&'a self, zones: &'a [String]) -> impl Iterator<Item = &'a String> {
+    pub fn unknown_zones<'a>(&'a self, zones: &'a [String]) -> impl Iterator<Item = &'a String> {
         self.out.iter().chain(&self.stay).filter(|name| !zones.contains(name))
     }
 
@@ -279,9 +284,9 @@
     }
 }
 
-impl fmt::Display for Zones {
+impl fmt::Display for ZoneSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if !self.wanted() {
+        if !self.is_enabled() {
             return f.write_str("zones are not watched");
         }
         write!(
@@ -309,7 +314,7 @@
 /// The store of what was taken on, in the folder that outlasts the process.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Storage {
+pub struct StoreSettings {
     pub durability: Durability,
     /// Kilobytes (1024 bytes) that one step of compaction looks through.
     pub step_kb: u32,
@@ -329,13 +334,13 @@
 /// Less makes compaction fall behind; more is read and copied in more than two milliseconds.
 const STEP: std::ops::RangeInclusive<u32> = 4..=512;
 
-impl Default for Storage {
+impl Default for StoreSettings {
     fn default() -> Self {
         Self { durability: Durability::Process, step_kb: 64 }
     }
 }
 
-impl fmt::Display for Storage {
+impl fmt::Display for StoreSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let outlasts = match self.durability {
             Durability::Process => "the process",
@@ -345,7 +350,7 @@
     }
 }
 
-impl Storage {
+impl StoreSettings {
     fn check(&self) -> Result<(), String> {
         let fits = STEP.contains(&self.step_kb);
         fits.then_some(()).ok_or_else(|| format!("store.step_kb: {} is not within 4 to 512", self.step_kb))
@@ -355,8 +360,8 @@
 /// The program's log, on standard output.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Log {
-    pub format: Format,
+pub struct LogSettings {
+    pub format: LogFormat,
     /// Each attempt, connection and message that ends has a line too.
     pub detail: bool,
 }
@@ -364,7 +369,7 @@
 /// How a line of the log looks.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Format {
+pub enum LogFormat {
     #[default]
     Text,
     Json,
@@ -373,8 +378,8 @@
 /// The flight recorder.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Recorder {
-    pub store: Store,
+pub struct RecorderSettings {
+    pub store: RecorderStore,
     /// Where segments (`store = "folder"`) and dumps lie.
     pub folder: Option<PathBuf>,
     /// What a recording takes at most, in megabytes (10^6 bytes). Each dump takes as much again.
@@ -383,7 +388,7 @@
 
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum Store {
+pub enum RecorderStore {
     Off,
     Memory,
     Folder,
@@ -392,72 +397,74 @@
 /// Less holds no state of a sender with some hundred messages; more than this is no ring.
 const LIMIT: std::ops::RangeInclusive<f64> = 0.25..=1e6;
 
-impl Default for Recorder {
+impl Default for RecorderSettings {
     fn default() -> Self {
-        Self { store: Store::Off, folder: None, limit_mb: 16.0 }
+        Self { store: RecorderStore::Off, folder: None, limit_mb: 16.0 }
     }
 }
 
-impl fmt::Display for Recorder {
+impl fmt::Display for RecorderSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let folder = self.folder.as_deref().unwrap_or(Path::new("")).display();
         match self.store {
-            Store::Off => write!(f, "recorder off"),
-            Store::Memory => write!(f, "recorder in memory, {} MB at most, dumps to {folder}", self.limit_mb),
-            Store::Folder => write!(f, "recorder in {folder}, {} MB at most", self.limit_mb),
+            RecorderStore::Off => write!(f, "recorder off"),
+            RecorderStore::Memory => {
+                write!(f, "recorder in memory, {} MB at most, dumps to {folder}", self.limit_mb)
+            }
+            RecorderStore::Folder => write!(f, "recorder in {folder}, {} MB at most", self.limit_mb),
         }
     }
 }
 
-impl Recorder {
+impl RecorderSettings {
     fn check(&self) -> Result<(), String> {
         if !LIMIT.contains(&self.limit_mb) {
             return Err(format!("recorder.limit_mb: {} is not within 0.25 to 1000000", self.limit_mb));
         }
-        if self.store != Store::Off && self.folder.is_none() {
+        if self.store != RecorderStore::Off && self.folder.is_none() {
             return Err("recorder.folder: is missing; segments and dumps need a place".into());
         }
         Ok(())
     }
 
     /// The limit in bytes.
-    pub fn limit(&self) -> u64 {
+    pub fn limit_bytes(&self) -> u64 {
         (self.limit_mb * 1e6) as u64
     }
 }
 
 /// Reads the file. Errors name it, and the line.
-pub fn read(path: &Path) -> Result<Operator, String> {
+pub fn read(path: &Path) -> Result<OperatorSettings, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
-    let operator: Operator = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
+    let operator: OperatorSettings = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     operator.recorder.check().and_then(|()| operator.store.check()).map_err(|e| format!("{name}: {e}"))?;
     operator.zones.check().map_err(|e| format!("{name}: {e}"))?;
-    let wrong = operator.copies.as_ref().map_or_else(Vec::new, |c| c.mistakes(None));
+    let wrong = operator.copies.as_ref().map_or_else(Vec::new, |c| c.find_errors(None));
     if !wrong.is_empty() {
         return Err(wrong.iter().map(|w| format!("{name}: {w}")).collect::<Vec<_>>().join("\n"));
     }
-    Ok(Operator { file: Some(path.to_owned()), ..operator })
+    Ok(OperatorSettings { file: Some(path.to_owned()), ..operator })
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn read_text(text: &str) -> Result<Operator, String> {
+    fn read_text(text: &str) -> Result<OperatorSettings, String> {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("notchpoint.toml");
         std::fs::write(&path, text).expect("written");
         let read = read(&path)?;
         assert_eq!(read.file, Some(path));
-        Ok(Operator { file: None, ..read })
+        Ok(OperatorSettings { file: None, ..read })
     }
 
     #[test]
     fn the_example_is_sound_and_switches_nothing_on() {
         let example = include_str!("../../../../deploy/notchpoint.toml");
-        assert_eq!(read_text(example), Ok(Operator::default()));
-        assert_eq!(read_text(""), Ok(Operator::default()));
+        assert_eq!(read_text(example), Ok(OperatorSettings::default()));
+        assert_eq!(read_text(""), Ok(OperatorSettings::default()));
     }
 
     #[test]
@@ -474,11 +481,11 @@
         ] {
             assert!(error.contains(said), "{said}: {error}");
         }
-        let copies: Operator = toml::from_str(text).expect("a form");
+        let copies: OperatorSettings = toml::from_str(text).expect("a form");
         let copies = copies.copies.expect("a part");
-        let wrong = copies.mistakes(Some("n0"));
+        let wrong = copies.find_errors(Some("n0"));
         assert!(wrong.iter().any(|w| w.contains("entry 3: n0 is this sender itself")), "{wrong:?}");
-        assert_eq!(copies.doubts(), ["copies.senders: none is known to stand in another zone"]);
+        assert_eq!(copies.find_warnings(), ["copies.senders: none is known to stand in another zone"]);
     }
 
     #[test]
--- a/crates/daemon/src/state/durability.rs
+++ b/crates/daemon/src/state/durability.rs
@@ -84,7 +84,7 @@
     use crate::state::journal::tests::{Broken, SOUND, SYNCS_FAIL};
     use crate::state::record::OpenMessage;
     use notchpoint_policy::MessageId;
-    use notchpoint_seam::real::SystemClock;
+    use notchpoint_seam::system::SystemClock;
     use notchpoint_store::{Durability, Options};
     use std::cell::Cell;
 
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -103,7 +103,8 @@
         let held = open.values().filter(|m| m.verdict.is_none()).count();
         let last = store.mark();
         let (store, owed, watch) = (Some(store), VecDeque::new(), None);
-        let now = Reading { boot: clock.boot()?, monotonic: clock.monotonic_now(), wall: clock.unix_now() };
+        let now =
+            Reading { boot: clock.boot_id()?, monotonic: clock.monotonic_now(), wall: clock.unix_now() };
         let (timeline, continuity) = Timeline::resume(saved, now);
         let mut journal = Self {
             store,
@@ -274,12 +275,14 @@
     }
 
     /// Writes which definitions are kept from now on, as one step. After an error nothing has changed.
-    pub fn update_classes(&mut self, changes: &[classes::Change]) -> io::Result<()> {
+    pub fn update_classes(&mut self, changes: &[classes::ClassChange]) -> io::Result<()> {
         let mut batch = Batch::default();
         for change in changes {
             match change {
-                classes::Change::Keep { tag, text } => batch.put(CLASSES, tag.as_bytes(), text.as_bytes()),
-                classes::Change::Drop { tag } => batch.delete(CLASSES, tag.as_bytes()),
+                classes::ClassChange::Put { tag, text } => {
+                    batch.put(CLASSES, tag.as_bytes(), text.as_bytes())
+                }
+                classes::ClassChange::Delete { tag } => batch.delete(CLASSES, tag.as_bytes()),
             }
         }
         if !batch.is_empty() {
@@ -445,8 +448,8 @@
 #[cfg(test)]
 pub mod tests {
     use super::*;
-    use notchpoint_seam::real::{Folder, SystemClock};
-    use notchpoint_seam::{File, Syncing};
+    use notchpoint_seam::system::{Folder, SystemClock};
+    use notchpoint_seam::{File, SyncFuture};
     use std::any::Any;
     use std::cell::Cell;
     use std::fs;
@@ -559,8 +562,8 @@
             self.0.read_at(name, offset, len)
         }
 
-        fn names(&self) -> io::Result<Vec<(String, u64)>> {
-            self.0.names()
+        fn list_files(&self) -> io::Result<Vec<(String, u64)>> {
+            self.0.list_files()
         }
 
         fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
@@ -578,8 +581,8 @@
             self.0.remove(name)
         }
 
-        fn sync_names(&self) -> io::Result<()> {
-            self.0.sync_names()
+        fn sync_directory(&self) -> io::Result<()> {
+            self.0.sync_directory()
         }
 
         fn lock(&self) -> io::Result<Box<dyn Any>> {
@@ -602,11 +605,11 @@
             if self.1.get() == SYNCS_FAIL { Err(io::ErrorKind::Other.into()) } else { self.0.sync() }
         }
 
-        fn syncing(&self) -> Syncing {
+        fn sync_in_background(&self) -> SyncFuture {
             if self.1.get() == SYNCS_FAIL {
                 Box::pin(std::future::ready(self.sync()))
             } else {
-                self.0.syncing()
+                self.0.sync_in_background()
             }
         }
     }
--- a/crates/daemon/src/state/legacy.rs
+++ b/crates/daemon/src/state/legacy.rs
@@ -32,7 +32,7 @@
     }
     store.sync_now()?;
     disk.remove(FILE)?;
-    disk.sync_names()?;
+    disk.sync_directory()?;
     tracing::info!("{} open messages carried over from the journal of an earlier build", open.len());
     Ok(())
 }
@@ -109,7 +109,7 @@
 mod tests {
     use super::*;
     use crate::state::journal::Journal;
-    use notchpoint_seam::real::{Folder, SystemClock};
+    use notchpoint_seam::system::{Folder, SystemClock};
     use notchpoint_store::Options;
     use std::fs;
     use std::path::Path;
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -1,13 +1,13 @@
 //! The folder that outlasts the process: how it is kept, and the commands that look at one.
 
 use crate::settings::config::Config;
-use crate::settings::operator::{Durability, Storage};
+use crate::settings::operator::{Durability, StoreSettings};
 use crate::state::operator_marks::OPERATOR_MARKS;
 use crate::state::record::{self, CLASSES, COPIES, MESSAGES};
 use crate::state::timeline::TIMELINE;
 use crate::stdout::print;
 use clap::Subcommand;
-use notchpoint_seam::real::Folder;
+use notchpoint_seam::system::Folder;
 use notchpoint_store::format::Record;
 use notchpoint_store::inspect::{self, Piece};
 use notchpoint_store::{Error, Options, Table, format};
@@ -22,13 +22,13 @@
 const RESERVE_MOST: u64 = 1 << 20;
 
 /// How the store is kept under a configuration.
-pub fn options(config: &Config, set: &Storage) -> Options {
+pub fn options(config: &Config, set: &StoreSettings) -> Options {
     let durability = match set.durability {
         Durability::Process => notchpoint_store::Durability::Process,
         Durability::Power => notchpoint_store::Durability::Power,
     };
-    let usual = Options::new(config.seed, config.disk);
-    let reserve = (config.disk / RESERVE_PART).min(RESERVE_MOST);
+    let usual = Options::new(config.seed, config.disk_bytes);
+    let reserve = (config.disk_bytes / RESERVE_PART).min(RESERVE_MOST);
     Options { durability, step: set.step_kb as usize * 1024, reserve, ..usual }
 }
 
--- a/crates/daemon/src/state/timeline/tests.rs
+++ b/crates/daemon/src/state/timeline/tests.rs
@@ -4,7 +4,7 @@
 use crate::state::record::OpenMessage;
 use notchpoint_policy::{EndpointId, MessageId};
 use notchpoint_seam::Clock;
-use notchpoint_seam::real::Folder;
+use notchpoint_seam::system::Folder;
 use notchpoint_store::Options;
 use std::cell::Cell;
 use std::path::Path;
@@ -24,7 +24,7 @@
         self.0.get().monotonic
     }
 
-    fn boot(&self) -> std::io::Result<Option<BootId>> {
+    fn boot_id(&self) -> std::io::Result<Option<BootId>> {
         Ok(self.0.get().boot)
     }
 }
--- a/crates/rehearsal/src/hosts.rs
+++ b/crates/rehearsal/src/hosts.rs
@@ -1,6 +1,6 @@
 //! Where processes run: in memory, or on this machine.
 
-use notchpoint_seam::{Network, Signal, World};
+use notchpoint_seam::{Environment, Network, Signal};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 
 /// What a daemon finds in the place of the world around it, by sender. A test takes a guard out by lying to
 /// it.
-pub type Around = Rc<dyn Fn(usize, World) -> World>;
+pub type Around = Rc<dyn Fn(usize, Environment) -> Environment>;
 
 /// What may be asked of a run in virtual time.
 #[derive(Clone, Default)]
--- a/crates/rehearsal/src/live.rs
+++ b/crates/rehearsal/src/live.rs
@@ -1,7 +1,7 @@
 //! The world of this machine: real processes, and real sockets on loopback addresses.
 
 use crate::hosts::{Hosts, Who};
-use notchpoint_seam::real::Sockets;
+use notchpoint_seam::system::SystemSockets;
 use notchpoint_seam::{Network, Signal};
 use rustix::process::{Pid, Signal as Number, kill_process};
 use std::cell::RefCell;
@@ -72,7 +72,7 @@
     }
 
     fn network(&self, _: Who) -> Rc<dyn Network> {
-        Rc::new(Sockets::default())
+        Rc::new(SystemSockets::default())
     }
 
     fn peers(&self, _: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
--- a/crates/rehearsal/src/virt/disk.rs
+++ b/crates/rehearsal/src/virt/disk.rs
@@ -66,7 +66,7 @@
         Ok(file[from..].iter().take(len).copied().collect())
     }
 
-    fn names(&self) -> io::Result<Vec<(String, u64)>> {
+    fn list_files(&self) -> io::Result<Vec<(String, u64)>> {
         self.alive()?;
         let files = self.store.files.borrow();
         Ok(files.iter().map(|(name, f)| (name.clone(), f.borrow().len() as u64)).collect())
@@ -92,7 +92,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.alive()
     }
 
--- a/crates/rehearsal/src/virt/mod.rs
+++ b/crates/rehearsal/src/virt/mod.rs
@@ -8,8 +8,11 @@
 use crate::scenario::Scenario;
 use disk::Store;
 use net::{Host, Net};
-use notchpoint::settings::operator::{Copies, Operator, Other, Recorder, Store as Recording, Zones};
-use notchpoint_seam::{BootId, Clock, Network, Signal, World};
+use notchpoint::settings::operator::{
+    CopiesSettings, OperatorSettings, PeerSettings, RecorderSettings, RecorderStore as Recording,
+    ZoneSettings,
+};
+use notchpoint_seam::{BootId, Clock, Environment, Network, Signal};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::io;
@@ -81,7 +84,7 @@
         self.0.elapsed().as_micros() as u64
     }
 
-    fn boot(&self) -> io::Result<Option<BootId>> {
+    fn boot_id(&self) -> io::Result<Option<BootId>> {
         Ok(Some(BootId([1; 16])))
     }
 }
@@ -114,18 +117,18 @@
     }
 
     /// What the operator's file says of zones.
-    fn leaving(&self) -> Zones {
-        Zones { watch: self.leave, leave: self.leave, ..Zones::default() }
+    fn leaving(&self) -> ZoneSettings {
+        ZoneSettings { watch: self.leave, leave: self.leave, ..ZoneSettings::default() }
     }
 
     /// What the operator's file says of copies.
-    fn copies(&self, sender: usize) -> Option<Copies> {
+    fn copies(&self, sender: usize) -> Option<CopiesSettings> {
         let senders = self.senders.borrow().len();
         let at = |n| SocketAddr::from((ip(0, n), COPIES));
         let zone = |n: usize| self.zones.get(n % self.zones.len().max(1)).cloned();
         let others = (0..senders).filter(|&n| n != sender);
-        let others = others.map(|n| Other { name: format!("n{n}"), address: at(n), zone: zone(n) });
-        (self.copies > 0).then(|| Copies {
+        let others = others.map(|n| PeerSettings { name: format!("n{n}"), address: at(n), zone: zone(n) });
+        (self.copies > 0).then(|| CopiesSettings {
             count: self.copies,
             listen: at(sender),
             when_short: Default::default(),
@@ -192,14 +195,14 @@
         let frozen = Rc::<Frozen>::default();
         let (signals, told) = channel(SIGNALS);
         let config = machine.config.clone();
-        let world = World {
+        let world = Environment {
             net: host.clone(),
             clock: self.clock.clone(),
             disk: machine.store.handle(host.dead()),
             signals: told,
             config: Box::new(move || Ok(config.borrow().clone())),
-            admin: None,
-            accept: None,
+            admin_addr: None,
+            client_listener: None,
         };
         let world = match &self.around {
             Some(around) => around(sender, world),
@@ -207,10 +210,10 @@
         };
         let ended = Rc::new(RefCell::new(None));
         let local = LocalSet::new();
-        let mut operator = Operator { copies, zones: self.leaving(), ..Operator::default() };
+        let mut operator = OperatorSettings { copies, zones: self.leaving(), ..OperatorSettings::default() };
         if let Some(folder) = &self.record {
             let folder = Some(folder.join(format!("n{sender}")));
-            operator.recorder = Recorder { store: Recording::Folder, folder, limit_mb: RECORDING_MB };
+            operator.recorder = RecorderSettings { store: Recording::Folder, folder, limit_mb: RECORDING_MB };
         }
         let main = local.spawn_local(notchpoint::sender::run(world, operator));
         let tell = ended.clone();
--- a/crates/rehearsal/src/virt/net.rs
+++ b/crates/rehearsal/src/virt/net.rs
@@ -6,8 +6,8 @@
 //! from one thread, on a runtime whose time is paused. Without latency a byte is there in the instant it is
 //! sent.
 
-use notchpoint_seam::net::Connecting;
-use notchpoint_seam::{Datagrams, Listener, Network, Stream};
+use notchpoint_seam::net::ConnectFuture;
+use notchpoint_seam::{DatagramSocket, Listener, Network, Stream};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cell::{Cell, RefCell};
@@ -344,7 +344,7 @@
         Ok(n)
     }
 
-    fn is_quiet(&self) -> bool {
+    fn has_no_unread_data(&self) -> bool {
         let way = self.reads();
         let ended = way.reset.get() || way.unread.get();
         !ended && (self.is_cut() || self.next().is_none_or(|at| at > Instant::now()))
@@ -430,7 +430,7 @@
 }
 
 impl Network for Host {
-    fn connect(&self, to: SocketAddr) -> Connecting {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let (net, ip, owner) = (self.net.clone(), self.ip, self.dead.clone());
         Box::pin(async move {
             if !net.latency.is_zero() {
@@ -461,13 +461,13 @@
         })
     }
 
-    fn listen_within(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
+    fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
         let at = SocketAddr::new(self.ip, within(name));
         self.net.listeners.borrow_mut().remove(&at);
         self.listen(at)
     }
 
-    fn connect_within(&self, name: &str) -> Connecting {
+    fn connect_local(&self, name: &str) -> ConnectFuture {
         self.connect(SocketAddr::new(self.ip, within(name)))
     }
 
@@ -482,7 +482,7 @@
         Ok(Rc::new(Listening { queue, net: self.net.clone() }))
     }
 
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Rc<dyn Datagrams>> {
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>> {
         let mut mailboxes = self.net.mailboxes.borrow_mut();
         if mailboxes.contains_key(&at) {
             return Err(ErrorKind::AddrInUse.into());
@@ -531,7 +531,7 @@
     }
 }
 
-impl Datagrams for Posting {
+impl DatagramSocket for Posting {
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         let mut letters = self.mailbox.letters.borrow_mut();
         *self.mailbox.waker.borrow_mut() = Some(cx.waker().clone());
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -67,7 +67,7 @@
 
     /// Nothing has come that was not read.
     pub fn is_quiet(&self) -> bool {
-        self.buffer.is_empty() && self.stream.is_quiet()
+        self.buffer.is_empty() && self.stream.has_no_unread_data()
     }
 
     /// Reads more; false at the end.
--- a/crates/rehearsal/tests/world/blind.rs
+++ b/crates/rehearsal/tests/world/blind.rs
@@ -2,8 +2,8 @@
 //! What the guard goes by is not what there is.
 
 use notchpoint_rehearsal::hosts::Around;
-use notchpoint_seam::net::Connecting;
-use notchpoint_seam::{Datagrams, Disk, File, Listener, Network, Stream, World};
+use notchpoint_seam::net::ConnectFuture;
+use notchpoint_seam::{DatagramSocket, Disk, Environment, File, Listener, Network, Stream};
 use notchpoint_store::format::{Header, Record, read_frame, records, salt};
 use notchpoint_store::{Batch, Table};
 use std::any::Any;
@@ -32,40 +32,43 @@
 
 pub fn sockets(to: Where, lies: &'static [Lie]) -> Around {
     let count = Rc::new(Cell::new(0));
-    Rc::new(move |_, world: World| {
+    Rc::new(move |_, world: Environment| {
         let net = Rc::new(Net { inner: world.net.clone(), to, lies, count: count.clone() });
-        World { net, ..world }
+        Environment { net, ..world }
     })
 }
 
 /// Changes what the daemon is told, from the truth.
 pub fn config(change: impl Fn(&mut serde_json::Value) + 'static) -> Around {
     let change = Rc::new(change);
-    Rc::new(move |_, world: World| {
+    Rc::new(move |_, world: Environment| {
         let (source, change) = (world.config, change.clone());
         let config = Box::new(move || {
             let mut told: serde_json::Value = serde_json::from_str(&source()?)?;
             change(&mut told);
             Ok(told.to_string())
         });
-        World { config, ..world }
+        Environment { config, ..world }
     })
 }
 
 /// Records of these kinds are not written, and are said to have been.
 pub fn unwritten(kinds: &'static [u8]) -> Around {
-    Rc::new(move |_, world: World| World { disk: Rc::new(Forgets(world.disk.clone(), kinds)), ..world })
+    Rc::new(move |_, world: Environment| Environment {
+        disk: Rc::new(Forgets(world.disk.clone(), kinds)),
+        ..world
+    })
 }
 
 /// From its second start on a process finds its folder empty.
 pub fn amnesia() -> Around {
     let starts = RefCell::new(BTreeMap::<usize, u32>::new());
-    Rc::new(move |sender, world: World| {
+    Rc::new(move |sender, world: Environment| {
         let mut starts = starts.borrow_mut();
         let n = starts.entry(sender).or_default();
         *n += 1;
         if *n > 1 {
-            let files = world.disk.names().expect("a folder");
+            let files = world.disk.list_files().expect("a folder");
             files.iter().for_each(|(name, _)| world.disk.remove(name).expect("removed"));
         }
         world
@@ -88,8 +91,8 @@
         self.0.read_at(name, offset, len)
     }
 
-    fn names(&self) -> io::Result<Vec<(String, u64)>> {
-        self.0.names()
+    fn list_files(&self) -> io::Result<Vec<(String, u64)>> {
+        self.0.list_files()
     }
 
     fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
@@ -106,8 +109,8 @@
         self.0.remove(name)
     }
 
-    fn sync_names(&self) -> io::Result<()> {
-        self.0.sync_names()
+    fn sync_directory(&self) -> io::Result<()> {
+        self.0.sync_directory()
     }
 
     fn lock(&self) -> io::Result<Box<dyn Any>> {
@@ -168,7 +171,7 @@
 }
 
 impl Network for Net {
-    fn connect(&self, to: SocketAddr) -> Connecting {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let connecting = self.inner.connect(to);
         if !to.to_string().starts_with(self.to) {
             return connecting;
@@ -184,16 +187,16 @@
         self.inner.listen(at)
     }
 
-    fn listen_within(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
-        self.inner.listen_within(name)
+    fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
+        self.inner.listen_local(name)
     }
 
-    fn connect_within(&self, name: &str) -> Connecting {
-        self.inner.connect_within(name)
+    fn connect_local(&self, name: &str) -> ConnectFuture {
+        self.inner.connect_local(name)
     }
 
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Rc<dyn Datagrams>> {
-        self.inner.datagrams(at)
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>> {
+        self.inner.bind_datagram(at)
     }
 }
 
@@ -275,8 +278,8 @@
         self.inner.try_write(buf)
     }
 
-    fn is_quiet(&self) -> bool {
-        self.inner.is_quiet()
+    fn has_no_unread_data(&self) -> bool {
+        self.inner.has_no_unread_data()
     }
 
     fn shutdown(&self, how: Shutdown) -> io::Result<()> {
--- a/crates/seam/src/disk.rs
+++ b/crates/seam/src/disk.rs
@@ -6,7 +6,7 @@
 use std::pin::Pin;
 
 /// A sync that is under way, off the thread that decides where the world has another.
-pub type Syncing = Pin<Box<dyn Future<Output = io::Result<()>>>>;
+pub type SyncFuture = Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
 /// The lasting folder.
 pub trait Disk {
@@ -26,7 +26,7 @@
     ///
     /// # Errors
     /// The folder cannot be read.
-    fn names(&self) -> io::Result<Vec<(String, u64)>>;
+    fn list_files(&self) -> io::Result<Vec<(String, u64)>>;
 
     /// A file to be written at its end, made if there is none.
     ///
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// Nothing is promised.
-    fn sync_names(&self) -> io::Result<()>;
+    fn sync_directory(&self) -> io::Result<()>;
 
     /// Keeps other processes out for as long as what it gives lives.
     ///
@@ -80,7 +80,7 @@
     fn sync(&self) -> io::Result<()>;
 
     /// The same, beside other work.
-    fn syncing(&self) -> Syncing {
+    fn sync_in_background(&self) -> SyncFuture {
         Box::pin(ready(self.sync()))
     }
 }
--- a/crates/seam/src/lib.rs
+++ b/crates/seam/src/lib.rs
@@ -1,5 +1,5 @@
 //! What a sender needs of the world around it, as narrow as it can be: sockets, the wall clock, the folder
-//! that outlasts it, its configuration and its signals. [`real`] is the system's own, by tokio; a rehearsal
+//! that outlasts it, its configuration and its signals. [`system`] is the system's own, by tokio; a rehearsal
 //! brings another. The daemon is the same code in both.
 //!
 //! The monotonic clock and timers are tokio's in every world: a rehearsal runs on a runtime whose time is
@@ -8,11 +8,11 @@
 
 pub mod disk;
 pub mod net;
-pub mod real;
 mod signals;
+pub mod system;
 
-pub use disk::{Disk, File, Syncing};
-pub use net::{Datagrams, Listener, Network, Stream};
+pub use disk::{Disk, File, SyncFuture};
+pub use net::{DatagramSocket, Listener, Network, Stream};
 
 use std::io;
 use std::net::SocketAddr;
@@ -30,7 +30,7 @@
     ///
     /// # Errors
     /// The system tells, and cannot be asked just now.
-    fn boot(&self) -> io::Result<Option<BootId>>;
+    fn boot_id(&self) -> io::Result<Option<BootId>>;
 }
 
 /// Names one boot of one machine.
@@ -52,7 +52,7 @@
 pub type ConfigSource = Box<dyn Fn() -> io::Result<String>>;
 
 /// All that surrounds one sender.
-pub struct World {
+pub struct Environment {
     /// Where connections come from and go to.
     pub net: Rc<dyn Network>,
     /// The wall clock.
@@ -64,8 +64,8 @@
     /// Its configuration.
     pub config: ConfigSource,
     /// Where operators call, if it was told beside the configuration.
-    pub admin: Option<SocketAddr>,
+    pub admin_addr: Option<SocketAddr>,
     /// The clients' listening socket, where the platform holds it: processes then take turns at it, and may
     /// hand over to one another.
-    pub accept: Option<Rc<dyn Listener>>,
+    pub client_listener: Option<Rc<dyn Listener>>,
 }
--- a/crates/seam/src/net.rs
+++ b/crates/seam/src/net.rs
@@ -11,12 +11,12 @@
 use std::task::{Context, Poll};
 
 /// A connection that is being made.
-pub type Connecting = Pin<Box<dyn Future<Output = io::Result<Rc<dyn Stream>>>>>;
+pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Rc<dyn Stream>>>>>;
 
 /// Where connections come from and go to.
 pub trait Network {
     /// Connects. It waits for as long as the system does; callers set their own limit.
-    fn connect(&self, to: SocketAddr) -> Connecting;
+    fn connect(&self, to: SocketAddr) -> ConnectFuture;
 
     /// Listens for connections.
     ///
@@ -29,16 +29,16 @@
     ///
     /// # Errors
     /// The place cannot be had.
-    fn listen_within(&self, name: &str) -> io::Result<Rc<dyn Listener>>;
+    fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>>;
 
     /// Connects to who listens at that private place.
-    fn connect_within(&self, name: &str) -> Connecting;
+    fn connect_local(&self, name: &str) -> ConnectFuture;
 
     /// Opens a socket for datagrams.
     ///
     /// # Errors
     /// The address cannot be had.
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Rc<dyn Datagrams>>;
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>>;
 }
 
 /// A connection. It ends when the last handle is dropped.
@@ -59,7 +59,7 @@
     fn try_write(&self, buf: &[u8]) -> io::Result<usize>;
     /// Whether the peer has said nothing that was not read yet, its end included. It asks the system itself:
     /// what the runtime knows of a socket is as old as its last look.
-    fn is_quiet(&self) -> bool;
+    fn has_no_unread_data(&self) -> bool;
     /// Ends one direction, or both.
     ///
     /// # Errors
@@ -92,7 +92,7 @@
 }
 
 /// A socket for datagrams.
-pub trait Datagrams {
+pub trait DatagramSocket {
     /// The next one, cut to the buffer's length, and who sent it.
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>>;
     /// Sends one; it may be lost.
--- a/crates/seam/src/real.rs
+++ b/crates/seam/src/system.rs
@@ -1,8 +1,9 @@
 //! The system's own sockets, clock, files and signals.
 
-use crate::net::Connecting;
+use crate::net::ConnectFuture;
 use crate::{
-    BootId, Clock, ConfigSource, Datagrams, Disk, File, Listener, Network, Stream, Syncing, World, signals,
+    BootId, Clock, ConfigSource, DatagramSocket, Disk, Environment, File, Listener, Network, Stream,
+    SyncFuture, signals,
 };
 use rustix::fs::FlockOperation;
 use rustix::process::{PidfdFlags, PidfdGetfdFlags, getpid, pidfd_getfd, pidfd_open};
@@ -26,7 +27,7 @@
 ///
 /// # Errors
 /// Signals cannot be watched.
-pub fn world(state: &Path, config: PathBuf, within: Option<PathBuf>) -> io::Result<World> {
+pub fn environment(state: &Path, config: PathBuf, local_dir: Option<PathBuf>) -> io::Result<Environment> {
     // First of all: without a handler a signal would end the process.
     let signals = signals::watch()?;
     let config: ConfigSource = Box::new(move || {
@@ -34,14 +35,14 @@
             .map_err(|e| io::Error::new(e.kind(), format!("{}: {e}", config.display())))
     });
     let disk = Rc::new(Folder(state.to_owned()));
-    Ok(World {
-        net: Rc::new(Sockets { within }),
+    Ok(Environment {
+        net: Rc::new(SystemSockets { local_dir }),
         clock: Rc::new(SystemClock),
         disk,
         signals,
         config,
-        admin: None,
-        accept: None,
+        admin_addr: None,
+        client_listener: None,
     })
 }
 
@@ -65,7 +66,7 @@
         seconds * MICROS_PER_SECOND + nanos / NANOS_PER_MICRO
     }
 
-    fn boot(&self) -> io::Result<Option<BootId>> {
+    fn boot_id(&self) -> io::Result<Option<BootId>> {
         let text = match fs::read_to_string(BOOT_ID) {
             Ok(text) => text,
             Err(why) if matches!(why.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => {
@@ -99,7 +100,7 @@
         Ok(bytes)
     }
 
-    fn names(&self) -> io::Result<Vec<(String, u64)>> {
+    fn list_files(&self) -> io::Result<Vec<(String, u64)>> {
         let mut found = Vec::new();
         for entry in fs::read_dir(&self.0)? {
             let (name, data) = entry.and_then(|e| Ok((e.file_name(), e.metadata()?)))?;
@@ -126,7 +127,7 @@
         }
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         fs::File::open(&self.0)?.sync_all()
     }
 
@@ -154,7 +155,7 @@
         self.sync_data()
     }
 
-    fn syncing(&self) -> Syncing {
+    fn sync_in_background(&self) -> SyncFuture {
         let file = match self.try_clone() {
             Ok(file) => file,
             Err(why) => return Box::pin(std::future::ready(Err(why))),
@@ -174,7 +175,7 @@
 ///
 /// # Errors
 /// There is no such descriptor, it is no socket, or it does not listen.
-pub fn inherited(descriptor: i32) -> io::Result<Rc<dyn Listener>> {
+pub fn inherited_listener(descriptor: i32) -> io::Result<Rc<dyn Listener>> {
     // The safe way to one's own descriptor by its number: as any process gets at another's.
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     let socket = pidfd_getfd(&own, descriptor, PidfdGetfdFlags::empty())?;
@@ -188,20 +189,20 @@
 
 /// The system's sockets.
 #[derive(Default)]
-pub struct Sockets {
+pub struct SystemSockets {
     /// Where sockets between processes of this machine lie, if anywhere.
-    pub within: Option<PathBuf>,
+    pub local_dir: Option<PathBuf>,
 }
 
-impl Sockets {
+impl SystemSockets {
     fn place(&self, name: &str) -> io::Result<PathBuf> {
         let none = || io::Error::new(ErrorKind::NotFound, "there is no private folder for sockets (TMPDIR)");
-        self.within.as_ref().map(|folder| folder.join(name)).ok_or_else(none)
+        self.local_dir.as_ref().map(|folder| folder.join(name)).ok_or_else(none)
     }
 }
 
-impl Network for Sockets {
-    fn connect(&self, to: SocketAddr) -> Connecting {
+impl Network for SystemSockets {
+    fn connect(&self, to: SocketAddr) -> ConnectFuture {
         Box::pin(async move { Ok(Rc::new(TcpStream::connect(to).await?) as Rc<dyn Stream>) })
     }
 
@@ -209,7 +210,7 @@
         Ok(Rc::new(TcpListener::from_std(bound(at)?)?))
     }
 
-    fn listen_within(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
+    fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
         let place = self.place(name)?;
         match fs::remove_file(&place) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
@@ -220,12 +221,12 @@
         Ok(Rc::new(listener))
     }
 
-    fn connect_within(&self, name: &str) -> Connecting {
+    fn connect_local(&self, name: &str) -> ConnectFuture {
         let place = self.place(name);
         Box::pin(async move { Ok(Rc::new(UnixStream::connect(place?).await?) as Rc<dyn Stream>) })
     }
 
-    fn datagrams(&self, at: SocketAddr) -> io::Result<Rc<dyn Datagrams>> {
+    fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>> {
         let socket = std::net::UdpSocket::bind(at)?;
         socket.set_nonblocking(true)?;
         Ok(Rc::new(UdpSocket::from_std(socket)?))
@@ -274,7 +275,7 @@
                 <$socket>::try_write(self, buf).map_err(lack_of_memory)
             }
 
-            fn is_quiet(&self) -> bool {
+            fn has_no_unread_data(&self) -> bool {
                 let peek = || SockRef::from(self).peek(&mut [MaybeUninit::uninit()]);
                 let interrupted = |peeked: &io::Result<usize>| {
                     peeked.as_ref().is_err_and(|why| why.kind() == ErrorKind::Interrupted)
@@ -319,7 +320,7 @@
     }
 }
 
-impl Datagrams for UdpSocket {
+impl DatagramSocket for UdpSocket {
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         let mut buf = ReadBuf::new(buf);
         UdpSocket::poll_recv_from(self, cx, &mut buf).map_ok(|from| (buf.filled().len(), from))
--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -6,7 +6,7 @@
 
 use hdrhistogram::Histogram;
 use notchpoint_seam::Disk;
-use notchpoint_seam::real::Folder;
+use notchpoint_seam::system::Folder;
 use notchpoint_store::{Batch, Durability, Options, Store, Table, Work};
 use redb::{Database, ReadableTable, TableDefinition};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -10,7 +10,7 @@
 use crate::plan::{Durability, Options, Plan, Room, Work, blocks};
 use crate::recover::{Found, Notes, Recovery, Tail, order};
 use crc32c::crc32c_append;
-use notchpoint_seam::disk::Syncing;
+use notchpoint_seam::disk::SyncFuture;
 use notchpoint_seam::{Disk, File};
 use std::any::Any;
 use std::io::{self, ErrorKind};
@@ -71,7 +71,7 @@
 /// A sync that is under way: await `done`, and hand it back with what came of it.
 pub struct Sync {
     /// What is to be awaited.
-    pub done: Option<Syncing>,
+    pub done: Option<SyncFuture>,
     segment: u32,
     point: Point,
 }
@@ -127,7 +127,7 @@
 
 pub(crate) fn read_found(disk: &dyn Disk) -> io::Result<Vec<Found>> {
     let mut found = Vec::new();
-    for (name, len) in disk.names()? {
+    for (name, len) in disk.list_files()? {
         if let Some(number) = number(&name) {
             found.push(Found { number, len, header: Header::read(&disk.read_at(&name, 0, HEADER)?) });
         }
@@ -286,7 +286,7 @@
         let takes = |names: &[(String, u64)], file: &str| {
             names.iter().find(|f| f.0 == file).map_or(0, |f| blocks(f.1))
         };
-        let names = store.disk.names()?;
+        let names = store.disk.list_files()?;
         store.others = names.iter().filter(|f| number(&f.0).is_none()).map(|f| blocks(f.1)).sum();
         store.others -= takes(&names, RESERVE);
         store.checkpoint_len = takes(&names, checkpoint::FILE);
@@ -525,7 +525,7 @@
             return Ok(None);
         }
         let point = Point { len: a.written, sum: a.sum, seq: self.seq };
-        Ok(Some(Sync { done: Some(a.file.syncing()), segment: a.header.number, point }))
+        Ok(Some(Sync { done: Some(a.file.sync_in_background()), segment: a.header.number, point }))
     }
 
     /// Takes in how a sync ended. After one that failed what it was for is written again elsewhere.
@@ -767,7 +767,7 @@
         }
         disk.rename(NEW, &name(header.number))?;
         if options.durability == Durability::Power {
-            disk.sync_names()?;
+            disk.sync_directory()?;
         }
         Ok(file)
     })();
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -214,7 +214,7 @@
         Ok(data[from..data.len().min(from.saturating_add(len))].to_vec())
     }
 
-    fn names(&self) -> io::Result<Vec<(String, u64)>> {
+    fn list_files(&self) -> io::Result<Vec<(String, u64)>> {
         self.0.op()?;
         Ok(self.0.files().into_iter().map(|(name, data)| (name, data.len() as u64)).collect())
     }
@@ -246,7 +246,7 @@
         Ok(())
     }
 
-    fn sync_names(&self) -> io::Result<()> {
+    fn sync_directory(&self) -> io::Result<()> {
         self.0.op()?;
         let mut state = self.0.state.borrow_mut();
         state.safe_names = state.names.clone();
@@ -440,7 +440,7 @@
 }
 
 /// What a future that is ready gives.
-fn futures_ready(mut done: notchpoint_seam::disk::Syncing) -> io::Result<()> {
+fn futures_ready(mut done: notchpoint_seam::disk::SyncFuture) -> io::Result<()> {
     let mut cx = std::task::Context::from_waker(std::task::Waker::noop());
     match done.as_mut().poll(&mut cx) {
         std::task::Poll::Ready(done) => done,
--- a/crates/zones/examples/fleet.rs
+++ b/crates/zones/examples/fleet.rs
@@ -1,6 +1,6 @@
-//! Fleets in virtual time through zones that fail, are cut, flap, or fail two seconds apart: who leaves, who
-//! is left behind, what is pushed over, and what it costs, beside senders that each find out for themselves;
-//! and what trials and notes come to by the fleet's size.
+//! Simulates fleets in virtual time while zones fail, are cut off, flap, or fail two seconds apart. Compares
+//! the failed calls, overloaded endpoints, and evacuations with those of senders that decide on their own.
+//! Also shows how the numbers of probes and notes depend on the size of the fleet.
 //!
 //! `cargo run --release -p notchpoint-zones --example fleet -- FOLDER [SEEDS [SENDERS]]` writes
 //! `zones-size.csv`, `zones-size.svg` and `zones-return.svg`.
@@ -9,19 +9,19 @@
 mod sim;
 
 use plotters::prelude::*;
-use sim::{Fails, Fleet, MS, S, nothing, z1};
+use sim::{Fails, Fleet, MS, S, none_fails, zone_1_fails};
 use std::fmt::Write;
 use std::path::PathBuf;
 
-type Failure = Box<dyn std::error::Error>;
+type BoxError = Box<dyn std::error::Error>;
 
 const ZONES: usize = 3;
-/// Messages a second of the whole fleet, whatever its size.
+/// The number of messages per second of the whole fleet, regardless of its size.
 const RATE: f64 = 600.0;
-const SIZES: [usize; 5] = [10, 30, 100, 300, 1_000];
+const FLEET_SIZES: [usize; 5] = [10, 30, 100, 300, 1_000];
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-enum Trouble {
+enum Fault {
     Fails,
     Cut,
     Flaps,
@@ -29,174 +29,185 @@
     Most,
 }
 
-const TROUBLES: [Trouble; 5] = [Trouble::Fails, Trouble::Cut, Trouble::Flaps, Trouble::Two, Trouble::Most];
+const FAULTS: [Fault; 5] = [Fault::Fails, Fault::Cut, Fault::Flaps, Fault::Two, Fault::Most];
 
-/// What one seed came to.
+/// The results of one seed.
 #[derive(Clone, Copy, Debug, Default)]
-struct Came {
-    /// Of the calls from the failure's begin until all is over, the share that failed.
-    failed: f64,
-    /// Calls to zones that fail, a second while they do.
-    trials: f64,
-    pushed_over: usize,
-    /// Senders that at some moment had left all zones, and that had not returned in the end.
-    none_whole: usize,
-    behind: usize,
-    /// Senders that left a zone that serves.
-    wrongly: usize,
+struct SeedResult {
+    /// The share of failed calls, from the beginning of the fault until 30 s after its end.
+    failed_share: f64,
+    /// The number of failed calls per second during the fault.
+    failed_per_s: f64,
+    overloads: usize,
+    /// How often a sender was seen to give no zone its full share.
+    without_full_zone: usize,
+    /// The number of senders that had not returned to a zone in the end.
+    not_returned: usize,
+    /// The number of senders that evacuated a zone that serves.
+    wrong_evacuations: usize,
 }
 
-fn fleet(seed: u64, senders: usize, together: bool) -> Fleet {
+fn fleet(seed: u64, senders: usize, is_cooperative: bool) -> Fleet {
     let mut fleet =
-        if together { Fleet::new(seed, senders, ZONES) } else { Fleet::watching(seed, senders, ZONES) };
+        if is_cooperative { Fleet::new(seed, senders, ZONES) } else { Fleet::watching(seed, senders, ZONES) };
     fleet.rate = RATE / senders as f64;
-    fleet.run(5 * S, &nothing);
+    fleet.run(5 * S, &none_fails);
     (fleet.calls, fleet.failed) = (0, 0);
     fleet
 }
 
-/// Runs so long, and looks at every half second whether somebody has left all zones.
-fn run(fleet: &mut Fleet, came: &mut Came, span: u64, fails: &Fails) {
-    let until = fleet.now + span;
+/// Runs the fleet and counts, every half second, the senders that give no zone its full share.
+fn run(fleet: &mut Fleet, result: &mut SeedResult, duration: u64, fails: &Fails) {
+    let until = fleet.now + duration;
     while fleet.now < until {
         fleet.run((S / 2).min(until - fleet.now), fails);
-        let whole = |i: &usize| (0..ZONES).any(|z| fleet.share(*i, z) >= 1.0);
-        came.none_whole += (0..fleet.senders.len()).filter(|i| !whole(i)).count();
+        let has_full_zone = |i: &usize| (0..ZONES).any(|z| fleet.share(*i, z) >= 1.0);
+        result.without_full_zone += (0..fleet.senders.len()).filter(|i| !has_full_zone(i)).count();
     }
 }
 
-fn play(seed: u64, senders: usize, together: bool, trouble: Trouble) -> Came {
-    let mut fleet = fleet(seed, senders, together);
-    let mut came = Came::default();
-    let long = (8 + seed % 12) * S;
+fn run_seed(seed: u64, senders: usize, is_cooperative: bool, fault: Fault) -> SeedResult {
+    let mut fleet = fleet(seed, senders, is_cooperative);
+    let mut result = SeedResult::default();
+    let duration = (8 + seed % 12) * S;
     let (calls, failed) = (fleet.calls, fleet.failed);
-    let begun = fleet.now;
-    match trouble {
-        Trouble::Fails => run(&mut fleet, &mut came, long, &z1),
-        Trouble::Most => run(&mut fleet, &mut came, long, &|_, z, d| z == 1 && d < 4),
-        Trouble::Two => {
-            run(&mut fleet, &mut came, 2 * S, &z1);
-            run(&mut fleet, &mut came, long, &|_, z, _| z > 0);
-            fleet.come_back(2);
+    let started_at = fleet.now;
+    match fault {
+        Fault::Fails => run(&mut fleet, &mut result, duration, &zone_1_fails),
+        Fault::Most => run(&mut fleet, &mut result, duration, &|_, z, d| z == 1 && d < 4),
+        Fault::Two => {
+            run(&mut fleet, &mut result, 2 * S, &zone_1_fails);
+            run(&mut fleet, &mut result, duration, &|_, z, _| z > 0);
+            fleet.recover_cold(2);
         }
-        Trouble::Flaps => {
+        Fault::Flaps => {
             for _ in 0..4 {
-                run(&mut fleet, &mut came, 7 * S, &z1);
-                run(&mut fleet, &mut came, 3 * S, &nothing);
+                run(&mut fleet, &mut result, 7 * S, &zone_1_fails);
+                run(&mut fleet, &mut result, 3 * S, &none_fails);
             }
         }
-        Trouble::Cut => {
-            fleet.cut = Box::new(|a, b| (a % 3, b % 3) == (0, 1) || (a % 3, b % 3) == (1, 0));
-            run(&mut fleet, &mut came, long, &|i, z, _| (i % 3, z) == (0, 1) || (i % 3, z) == (1, 0));
-            came.wrongly = (0..ZONES).map(|z| fleet.left(z)).sum();
-            fleet.cut = Box::new(|_, _| false);
+        Fault::Cut => {
+            fleet.is_cut = Box::new(|a, b| (a % 3, b % 3) == (0, 1) || (a % 3, b % 3) == (1, 0));
+            run(&mut fleet, &mut result, duration, &|i, z, _| (i % 3, z) == (0, 1) || (i % 3, z) == (1, 0));
+            result.wrong_evacuations = (0..ZONES).map(|z| fleet.evacuated_by(z)).sum();
+            fleet.is_cut = Box::new(|_, _| false);
         }
     }
-    came.trials = (fleet.failed - failed) as f64 / ((fleet.now - begun) as f64 / S as f64);
-    // A cut leaves nothing cold, and neither does a zone of which most was down: the rest took its calls.
-    if matches!(trouble, Trouble::Fails | Trouble::Two) {
-        fleet.come_back(1);
+    result.failed_per_s = (fleet.failed - failed) as f64 / ((fleet.now - started_at) as f64 / S as f64);
+    // A cut leaves no endpoint cold, nor does a zone where most destinations failed: the rest served calls.
+    if matches!(fault, Fault::Fails | Fault::Two) {
+        fleet.recover_cold(1);
     }
-    run(&mut fleet, &mut came, 30 * S, &nothing);
-    came.failed = (fleet.failed - failed) as f64 / (fleet.calls - calls).max(1) as f64;
-    came.pushed_over = fleet.pushed_over;
-    run(&mut fleet, &mut came, 120 * S, &nothing);
-    came.behind = (0..ZONES).map(|z| fleet.left(z)).sum();
-    came
+    run(&mut fleet, &mut result, 30 * S, &none_fails);
+    result.failed_share = (fleet.failed - failed) as f64 / (fleet.calls - calls).max(1) as f64;
+    result.overloads = fleet.overloads;
+    run(&mut fleet, &mut result, 120 * S, &none_fails);
+    result.not_returned = (0..ZONES).map(|z| fleet.evacuated_by(z)).sum();
+    result
 }
 
-/// Mean and standard error.
+/// Returns the mean and its standard error.
 fn mean(all: &[f64]) -> (f64, f64) {
     let n = all.len().max(1) as f64;
     let mean = all.iter().sum::<f64>() / n;
-    let var = all.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
-    (mean, (var / n).sqrt())
+    let variance = all.iter().map(|x| (x - mean).powi(2)).sum::<f64>() / (n - 1.0).max(1.0);
+    (mean, (variance / n).sqrt())
 }
 
-fn seeds(seeds: u64, senders: usize) -> Result<(), Failure> {
-    println!("{seeds} seeds of each trouble, {senders} senders, {RATE} messages a second");
-    println!("trouble  calls failed %, together and each alone   pushed over   none whole  behind  wrongly");
-    for trouble in TROUBLES {
-        // Threads of their own: a seed takes a second.
+fn compare_faults(seeds: u64, senders: usize) -> Result<(), BoxError> {
+    println!("{seeds} seeds of each fault, {senders} senders, {RATE} messages a second");
+    println!("fault    calls failed %, together and each alone   overloads     no full zone  behind  wrong");
+    for fault in FAULTS {
+        // Seeds run in parallel, since each takes a second.
         let threads = std::thread::available_parallelism().map_or(1, |n| n.get() as u64).min(4);
-        let one = |t: u64, together| {
-            std::thread::spawn(move || -> Vec<Came> {
-                let mine = (0..seeds).filter(|s| s % threads == t);
-                mine.map(|s| play(1_000 + s, senders, together, trouble)).collect()
+        let spawn = |t: u64, is_cooperative| {
+            std::thread::spawn(move || -> Vec<SeedResult> {
+                let own_seeds = (0..seeds).filter(|s| s % threads == t);
+                own_seeds.map(|s| run_seed(1_000 + s, senders, is_cooperative, fault)).collect()
             })
         };
-        let all = |together| -> Result<Vec<Came>, Failure> {
-            let running: Vec<_> = (0..threads).map(|t| one(t, together)).collect();
-            let mut came = Vec::new();
+        let all = |is_cooperative| -> Result<Vec<SeedResult>, BoxError> {
+            let running: Vec<_> = (0..threads).map(|t| spawn(t, is_cooperative)).collect();
+            let mut results = Vec::new();
             for thread in running {
-                came.extend(thread.join().map_err(|_| "a seed broke a rule of the model")?);
+                results.extend(thread.join().map_err(|_| "a seed violated an assertion of the simulation")?);
             }
-            Ok(came)
+            Ok(results)
         };
-        let (with, without) = (all(true)?, all(false)?);
-        let failed = |came: &[Came]| mean(&came.iter().map(|c| 100.0 * c.failed).collect::<Vec<_>>());
-        let sum = |came: &[Came], of: fn(&Came) -> usize| came.iter().map(of).sum::<usize>();
-        let ((a, a_se), (b, b_se)) = (failed(&with), failed(&without));
+        let (together, alone) = (all(true)?, all(false)?);
+        let failed_percent = |results: &[SeedResult]| {
+            mean(&results.iter().map(|r| 100.0 * r.failed_share).collect::<Vec<_>>())
+        };
+        let sum =
+            |results: &[SeedResult], of: fn(&SeedResult) -> usize| results.iter().map(of).sum::<usize>();
+        let ((mean, error), (alone_mean, alone_error)) = (failed_percent(&together), failed_percent(&alone));
         println!(
-            "{:8} {a:6.2} +- {a_se:.2}   {b:6.2} +- {b_se:.2}   {:6} ({} alone) {:6} {:6} {:6}",
-            format!("{trouble:?}"),
-            sum(&with, |c| c.pushed_over),
-            sum(&without, |c| c.pushed_over),
-            sum(&with, |c| c.none_whole),
-            sum(&with, |c| c.behind),
-            sum(&with, |c| c.wrongly),
+            "{:8} {mean:6.2} +- {error:.2}   {alone_mean:6.2} +- {alone_error:.2}   \
+             {:6} ({} alone) {:6} {:6} {:6}",
+            format!("{fault:?}"),
+            sum(&together, |r| r.overloads),
+            sum(&alone, |r| r.overloads),
+            sum(&together, |r| r.without_full_zone),
+            sum(&together, |r| r.not_returned),
+            sum(&together, |r| r.wrong_evacuations),
         );
     }
     Ok(())
 }
 
-struct Size {
+/// The results for one fleet size: rates per second, and times in seconds.
+struct SizeResult {
     senders: usize,
-    rest: f64,
+    notes_at_rest: f64,
     notes: f64,
-    tries: f64,
-    first: f64,
-    last: f64,
+    probes: f64,
+    first_evacuated_s: f64,
+    last_evacuated_s: f64,
 }
 
-/// A zone that fails for a minute, in fleets of different size with the same traffic.
-fn size(senders: usize) -> Size {
+/// Runs a fleet while a zone fails for a minute. The traffic does not depend on the size of the fleet.
+fn run_size(senders: usize) -> SizeResult {
     let mut fleet = fleet(7, senders, true);
     let before = fleet.notes;
-    fleet.run(8 * S, &nothing);
-    let rest = (fleet.notes - before) as f64 / senders as f64 / 8.0;
-    let begun = fleet.now;
+    fleet.run(8 * S, &none_fails);
+    let notes_at_rest = (fleet.notes - before) as f64 / senders as f64 / 8.0;
+    let started_at = fleet.now;
     let (mut first, mut last) = (None, None);
-    while last.is_none() && fleet.now < begun + 30 * S {
-        fleet.run(100 * MS, &z1);
-        let since = (fleet.now - begun) as f64 / S as f64;
-        let left = fleet.left(1);
-        first = first.or((left > 0).then_some(since));
-        last = (left == senders).then_some(since);
+    while last.is_none() && fleet.now < started_at + 30 * S {
+        fleet.run(100 * MS, &zone_1_fails);
+        let since = (fleet.now - started_at) as f64 / S as f64;
+        let evacuated_by = fleet.evacuated_by(1);
+        first = first.or((evacuated_by > 0).then_some(since));
+        last = (evacuated_by == senders).then_some(since);
     }
-    let (notes, tries) = (fleet.notes, fleet.tries);
-    fleet.run(60 * S, &z1);
-    Size {
+    let (notes, probes) = (fleet.notes, fleet.probes);
+    fleet.run(60 * S, &zone_1_fails);
+    SizeResult {
         senders,
-        rest,
+        notes_at_rest,
         notes: (fleet.notes - notes) as f64 / senders as f64 / 60.0,
-        tries: (fleet.tries - tries) as f64 / 60.0,
-        first: first.unwrap_or(f64::NAN),
-        last: last.unwrap_or(f64::NAN),
+        probes: (fleet.probes - probes) as f64 / 60.0,
+        first_evacuated_s: first.unwrap_or(f64::NAN),
+        last_evacuated_s: last.unwrap_or(f64::NAN),
     }
 }
 
-fn sizes(folder: &std::path::Path) -> Result<(), Failure> {
-    let rows: Vec<Size> = SIZES.into_iter().map(size).collect();
+fn compare_sizes(folder: &std::path::Path) -> Result<(), BoxError> {
+    let rows: Vec<SizeResult> = FLEET_SIZES.into_iter().map(run_size).collect();
     let mut table = String::from(
         "senders,notes_a_second_of_one_at_rest,notes_a_second_of_one_in_trouble,trials_a_second_of_all,\
          first_left_s,last_left_s\n",
     );
-    for r in &rows {
+    for row in &rows {
         writeln!(
             table,
             "{},{:.2},{:.2},{:.2},{:.1},{:.1}",
-            r.senders, r.rest, r.notes, r.tries, r.first, r.last
+            row.senders,
+            row.notes_at_rest,
+            row.notes,
+            row.probes,
+            row.first_evacuated_s,
+            row.last_evacuated_s
         )?;
     }
     print!("{table}");
@@ -211,16 +222,16 @@
         .y_label_area_size(45)
         .build_cartesian_2d((10f64..1_000f64).log_scale(), 0f64..8f64)?;
     chart.configure_mesh().x_desc("senders").y_desc("a second, or seconds").draw()?;
-    type Line = (&'static str, RGBColor, fn(&Size) -> f64);
+    type Line = (&'static str, RGBColor, fn(&SizeResult) -> f64);
     let lines: [Line; 4] = [
         ("notes a second, each sender", BLUE, |r| r.notes),
-        ("trials a second, whole fleet", RED, |r| r.tries),
-        ("first has left, s", GREEN, |r| r.first),
-        ("last has left, s", MAGENTA, |r| r.last),
+        ("probes a second, whole fleet", RED, |r| r.probes),
+        ("first sender has evacuated, s", GREEN, |r| r.first_evacuated_s),
+        ("last sender has evacuated, s", MAGENTA, |r| r.last_evacuated_s),
     ];
-    for (name, colour, of) in lines {
+    for (name, colour, value) in lines {
         chart
-            .draw_series(LineSeries::new(rows.iter().map(|r| (r.senders as f64, of(r))), &colour))?
+            .draw_series(LineSeries::new(rows.iter().map(|r| (r.senders as f64, value(r))), &colour))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
@@ -229,42 +240,47 @@
     Ok(())
 }
 
-/// A leave and a return: calls to the zone's endpoints each half second, and what of them failed.
-fn picture(folder: &std::path::Path, senders: usize) -> Result<(), Failure> {
+/// Plots an evacuation and a return: for each half second the calls to the zone, and those that failed.
+fn plot_return(folder: &std::path::Path, senders: usize) -> Result<(), BoxError> {
     let mut fleet = fleet(3, senders, true);
     let mut rows: Vec<(f64, f64, f64, f64)> = Vec::new();
-    let begun = fleet.now;
+    let started_at = fleet.now;
     for step in 0..90 {
-        let (there, failed) = (fleet.called[1], fleet.failed);
-        // All is well for 5 s, the zone is down for 12 s, and back.
+        let (calls, failed) = (fleet.calls_by_zone[1], fleet.failed);
+        // The zone serves for 5 s, is down for 12 s, and then recovers.
         if step == 34 {
-            fleet.come_back(1);
+            fleet.recover_cold(1);
         }
-        fleet.run(S / 2, if (10..34).contains(&step) { &z1 } else { &nothing });
+        fleet.run(S / 2, if (10..34).contains(&step) { &zone_1_fails } else { &none_fails });
         let share = (0..senders).map(|i| fleet.share(i, 1)).sum::<f64>() / senders as f64;
-        let at = (fleet.now - begun) as f64 / S as f64;
-        rows.push((at, 2.0 * (fleet.called[1] - there) as f64, 2.0 * (fleet.failed - failed) as f64, share));
+        let at = (fleet.now - started_at) as f64 / S as f64;
+        rows.push((
+            at,
+            2.0 * (fleet.calls_by_zone[1] - calls) as f64,
+            2.0 * (fleet.failed - failed) as f64,
+            share,
+        ));
     }
     let path = folder.join("zones-return.svg");
     let area = SVGBackend::new(&path, (760, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let most = rows.iter().map(|r| r.1).fold(1.0, f64::max);
+    let max_calls = rows.iter().map(|r| r.1).fold(1.0, f64::max);
     let mut chart = ChartBuilder::on(&area)
         .caption(format!("A zone down from 5 to 17 s, {senders} senders"), ("sans-serif", 16))
         .margin(10)
         .x_label_area_size(35)
         .y_label_area_size(45)
-        .build_cartesian_2d(0f64..45f64, 0f64..1.1 * most)?;
+        .build_cartesian_2d(0f64..45f64, 0f64..1.1 * max_calls)?;
     chart.configure_mesh().x_desc("seconds").y_desc("calls a second to the zone").draw()?;
     type Line = (&'static str, RGBColor, fn(&(f64, f64, f64, f64), f64) -> f64);
     let lines: [Line; 3] = [
         ("calls to the zone", BLUE, |r, _| r.1),
         ("calls that failed", RED, |r, _| r.2),
-        ("mean share of the senders (top: the whole)", GREEN, |r, most| r.3 * most),
+        ("mean share at the senders (top: full share)", GREEN, |r, max_calls| r.3 * max_calls),
     ];
-    for (name, colour, of) in lines {
+    for (name, colour, value) in lines {
         chart
-            .draw_series(LineSeries::new(rows.iter().map(|r| (r.0, of(r, most))), &colour))?
+            .draw_series(LineSeries::new(rows.iter().map(|r| (r.0, value(r, max_calls))), &colour))?
             .label(name)
             .legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
@@ -273,12 +289,12 @@
     Ok(())
 }
 
-fn main() -> Result<(), Failure> {
+fn main() -> Result<(), BoxError> {
     let mut args = std::env::args().skip(1);
-    let folder = PathBuf::from(args.next().ok_or("which folder?")?);
-    let count = args.next().map_or(Ok(20), |n| n.parse())?;
+    let folder = PathBuf::from(args.next().ok_or("usage: fleet FOLDER [SEEDS [SENDERS]]")?);
+    let seeds = args.next().map_or(Ok(20), |n| n.parse())?;
     let senders = args.next().map_or(Ok(300), |n| n.parse())?;
-    picture(&folder, 30)?;
-    sizes(&folder)?;
-    seeds(count, senders)
+    plot_return(&folder, 30)?;
+    compare_sizes(&folder)?;
+    compare_faults(seeds, senders)
 }
--- a/crates/zones/src/names.rs
+++ b/crates/zones/src/ids.rs
@@ -9,26 +9,26 @@
 /// A sender, by its number in the fleet: the platform gives the same number to the address that its notes
 /// come from, so nobody can write in another's name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place(pub u32);
+pub struct SenderId(pub u32);
 
 /// A zone, by its name; short, since notes are.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Zone(pub u32);
+pub struct ZoneId(pub u32);
 
 /// A destination; short, since notes are. Two that share a number count as one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub struct Dest(pub u32);
+pub struct DestinationHash(pub u32);
 
-impl Zone {
+impl ZoneId {
     /// The zone of this name.
-    pub fn named(name: &str) -> Self {
+    pub fn from_name(name: &str) -> Self {
         Self(xxh3_64(name.as_bytes()) as u32)
     }
 }
 
-impl Dest {
+impl DestinationHash {
     /// The destination of this number.
-    pub fn numbered(number: u64) -> Self {
+    pub fn from_number(number: u64) -> Self {
         Self(xxh3_64(&number.to_le_bytes()) as u32)
     }
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,36 +1,36 @@
 //! Whether a zone fails, as the senders of a fleet find together, and how far they leave it. No I/O and no
-//! clock: [`Zones`] is told what calls came to and what other senders wrote, and says what to write to whom,
-//! what it found, and what share of its calls each zone is to be sent.
+//! clock: [`ZoneStateMachine`] is told what calls came to and what other senders wrote, and says what
+//! to write to whom, what it found, and what share of its calls each zone is to be sent.
 //!
 //! - `evidence`: what this sender saw of late, by zone and destination.
 //! - `note`: what a sender writes to others, within one datagram: its own word and nobody else's.
 //! - `pool`: the newest word of each sender. Merging is a join: in any order, doubled or late, the same words
 //!   give the same pool.
-//! - `judge`: what the pool says of each zone. No sender's word counts for more than a few calls, and one
+//! - `assess`: what the pool says of each zone. No sender's word counts for more than a few calls, and one
 //!   sender, one destination or one link is never enough.
-//! - `course`: how far a zone is left, and what takes it further: the same machine at each sender, without
-//!   time, so that it can be checked through all its states.
-//! - `pace`: the steps of a return, and who tries.
+//! - `evacuation`: how far a zone is left, and what takes it further: the same machine at each sender,
+//!   without time, so that it can be checked through all its states.
+//! - `return_schedule`: the steps of a return, and who tries.
 //!
 //! Moments are microseconds; the zero of each clock is the caller's, and no two clocks are compared.
 #![warn(missing_docs)]
 
-mod course;
+mod assess;
+mod evacuation;
 mod evidence;
-mod judge;
+mod ids;
 #[cfg(test)]
 mod model;
-mod names;
 mod note;
-mod pace;
 mod pool;
-mod zones;
+mod return_schedule;
+mod state_machine;
 
-pub use course::{Course, Look, Trial, Why, followed};
-pub use evidence::{Came, WINDOW};
-pub use judge::{Finding, Rules, Standing};
-pub use names::{Dest, Micros, Place, Zone};
-pub use note::{FORM, LONGEST, Report, Seen, Taken, read, write};
-pub use pace::{Cold, Pace};
-pub use pool::{Merged, Pool};
-pub use zones::{Event, Output, Set, Stand, State, Zones};
+pub use assess::{FailureThresholds, Finding, Health};
+pub use evacuation::{DecisionInput, EvacuationState, ProbeResult, TransitionReason, quorum_len};
+pub use evidence::{CallResult, EVIDENCE_WINDOW};
+pub use ids::{DestinationHash, Micros, SenderId, ZoneId};
+pub use note::{MAX_NOTE_BYTES, NOTE_FORMAT, Observation, Report, ZoneEvacuation, decode, encode};
+pub use pool::{MergeResult, ReportPool};
+pub use return_schedule::{ColdStart, ReturnSchedule};
+pub use state_machine::{Event, Output, ZonePhase, ZoneStateMachine, ZoneStatus, ZonesConfig};
--- a/crates/zones/src/model.rs
+++ b/crates/zones/src/model.rs
@@ -6,11 +6,11 @@
 //! has heard and what is true any number of steps may lie; one that is lost was never heard. Which evidence
 //! comes when is left open, within what a zone that is up or down can give.
 
-use crate::course::{Course, Look, Trial, Why, followed};
-use crate::judge::{Rules, trial};
-use crate::names::{Dest, Place, Zone};
-use crate::note::{Seen, Taken};
-use crate::pool::Word;
+use crate::assess::{FailureThresholds, probe_result};
+use crate::evacuation::{DecisionInput, EvacuationState, ProbeResult, TransitionReason, quorum_len};
+use crate::ids::{DestinationHash, SenderId, ZoneId};
+use crate::note::{Observation, ZoneEvacuation};
+use crate::pool::ReportView;
 use stateright::{Checker, Expectation, HasDiscoveries, Model, Property};
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
@@ -20,7 +20,7 @@
 /// Steps of a return.
 const STEPS: u8 = 1;
 
-type Courses = [Course; Z];
+type Courses = [EvacuationState; Z];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct State {
@@ -40,7 +40,7 @@
     Restart(usize),
     Turn(usize),
     /// A sender decides about a zone: it is found failing, or its trials say this.
-    Decide(usize, usize, bool, Trial),
+    Decide(usize, usize, bool, ProbeResult),
     /// A sender that lies writes this to another.
     Lie(usize, Courses),
 }
@@ -58,7 +58,7 @@
 }
 
 /// Whether fleets come to agree, by their courses and the zones that are down: many states share these.
-type Known = Mutex<HashMap<([Courses; N], [bool; Z]), bool>>;
+type AgreementCache = Mutex<HashMap<([Courses; N], [bool; Z]), bool>>;
 
 #[derive(Clone)]
 struct Small {
@@ -71,26 +71,32 @@
     restarts: u8,
     /// Terms that are looked at.
     terms: u32,
-    known: Arc<Known>,
+    known: Arc<AgreementCache>,
 }
 
-fn zone(z: usize) -> Zone {
-    Zone(z as u32)
+fn zone(z: usize) -> ZoneId {
+    ZoneId(z as u32)
 }
 
 /// Two stand in the first zone, one in the second; where one lies, each stands alone.
-fn stands(i: usize, liar: bool) -> Zone {
+fn stands(i: usize, liar: bool) -> ZoneId {
     zone(if liar { i } else { i % 2 })
 }
 
 impl Small {
-    fn told(&self, i: usize, z: usize, own: Course, heard: &[Option<Courses>; N]) -> Option<Course> {
+    fn told(
+        &self,
+        i: usize,
+        z: usize,
+        own: EvacuationState,
+        heard: &[Option<Courses>; N],
+    ) -> Option<EvacuationState> {
         let others = (0..N).filter(|&j| j != i).filter_map(|j| Some((heard[j]?[z], stands(j, self.liar))));
-        let mut ahead: Vec<(Course, Zone)> = others.filter(|w| w.0 > own).collect();
+        let mut ahead: Vec<(EvacuationState, ZoneId)> = others.filter(|w| w.0 > own).collect();
         ahead.sort_by_key(|w| std::cmp::Reverse(w.0));
         match self.without {
             Without::Quorum => ahead.first().map(|w| w.0),
-            _ => followed(&ahead, 2, 2).map(|n| ahead[n - 1].0),
+            _ => quorum_len(&ahead, 2, 2).map(|n| ahead[n - 1].0),
         }
     }
 
@@ -100,36 +106,48 @@
         z: usize,
         courses: &Courses,
         heard: &[Option<Courses>; N],
-        evidence: (bool, Trial),
-    ) -> Option<(Course, Why)> {
-        let other = courses[1 - z].is_full() || self.without == Without::LastZone;
+        evidence: (bool, ProbeResult),
+    ) -> Option<(EvacuationState, TransitionReason)> {
+        let other = courses[1 - z].has_full_share() || self.without == Without::LastZone;
         let told = self.told(i, z, courses[z], heard);
         let (failing, trial) = evidence;
-        courses[z].next(&Look { failing, told, trial, waited: true, other, steps: STEPS })
+        courses[z].next(&DecisionInput {
+            is_failing: failing,
+            quorum_state: told,
+            probe_result: trial,
+            wait_elapsed: true,
+            has_other_zone: other,
+            return_steps: STEPS,
+        })
     }
 
     /// What trials say to a sender that has heard all, while the zones are as they are: the real judgement.
-    fn judged(&self, i: usize, z: usize, all: &[Courses; N], down: bool) -> Trial {
+    fn judged(&self, i: usize, z: usize, all: &[Courses; N], down: bool) -> ProbeResult {
         let (answered, failed) = if down { (0, 2) } else { (2, 0) };
-        let seen: Vec<Seen> =
-            (0..2).map(|d| Seen { zone: zone(z), dest: Dest(d), answered, failed }).collect();
+        let seen: Vec<Observation> = (0..2)
+            .map(|d| Observation { zone: zone(z), destination: DestinationHash(d), answered, failed })
+            .collect();
         let taken = |j: usize| {
-            let same = |c: Course| self.without != Without::LaterTerms || c.term == all[i][z].term;
-            let course = if same(all[j][z]) || all[j][z].is_full() { all[j][z] } else { Course::default() };
+            let same = |c: EvacuationState| self.without != Without::LaterTerms || c.term == all[i][z].term;
+            let course = if same(all[j][z]) || all[j][z].has_full_share() {
+                all[j][z]
+            } else {
+                EvacuationState::default()
+            };
             let hidden = course != all[j][z];
-            (vec![Taken { zone: zone(z), course, failed: 0 }], hidden)
+            (vec![ZoneEvacuation { zone: zone(z), state: course, consecutive_failures: 0 }], hidden)
         };
         let taken: Vec<_> = (0..N).map(taken).collect();
-        let words: Vec<Word<'_>> = (0..N)
+        let words: Vec<ReportView<'_>> = (0..N)
             .filter(|&j| !taken[j].1)
-            .map(|j| Word {
-                from: Place(j as u32),
-                stands: stands(j, self.liar),
-                courses: &taken[j].0,
-                seen: &seen,
+            .map(|j| ReportView {
+                from: SenderId(j as u32),
+                sender_zone: stands(j, self.liar),
+                evacuations: &taken[j].0,
+                observations: &seen,
             })
             .collect();
-        trial(zone(z), (all[i][z], &BTreeSet::new()), &words, &Rules::default(), N)
+        probe_result(zone(z), (all[i][z], &BTreeSet::new()), &words, &FailureThresholds::default(), N)
     }
 
     /// Whether a fleet in this state comes to leave just the zones that are down, once all hear all.
@@ -149,7 +167,7 @@
             for i in 0..N {
                 for z in 0..Z {
                     let heard = courses.map(Some);
-                    let failing = down[z] && courses[i][z].is_full();
+                    let failing = down[z] && courses[i][z].has_full_share();
                     let evidence = (failing, self.judged(i, z, &courses, down[z]));
                     if let Some((course, _)) = self.decide(i, z, &courses[i], &heard, evidence) {
                         courses[i][z] = course;
@@ -160,7 +178,8 @@
                 break;
             }
         }
-        let right = |c: &Courses| (0..Z).all(|z| if down[z] { c[z].is_out() } else { c[z].is_full() });
+        let right =
+            |c: &Courses| (0..Z).all(|z| if down[z] { c[z].is_evacuated() } else { c[z].has_full_share() });
         courses.iter().all(right)
     }
 }
@@ -189,18 +208,19 @@
                 all.push(Does::Restart(i));
             }
             for z in 0..zones {
-                all.push(Does::Decide(i, z, false, Trial::Open));
+                all.push(Does::Decide(i, z, false, ProbeResult::Inconclusive));
                 if state.down[z] {
-                    all.push(Does::Decide(i, z, true, Trial::Open));
-                    all.push(Does::Decide(i, z, false, Trial::Fails));
+                    all.push(Does::Decide(i, z, true, ProbeResult::Inconclusive));
+                    all.push(Does::Decide(i, z, false, ProbeResult::Failed));
                 } else {
-                    all.push(Does::Decide(i, z, false, Trial::Serves));
+                    all.push(Does::Decide(i, z, false, ProbeResult::Passed));
                 }
             }
             if self.liar {
-                let level = [0, 1, Course::FULL];
-                let lies = (0..=self.terms).flat_map(|term| level.map(|level| Course { term, level }));
-                all.extend(lies.map(|c| Does::Lie(i, [c, Course::default()])));
+                let level = [0, 1, EvacuationState::FULL_SHARE];
+                let lies =
+                    (0..=self.terms).flat_map(|term| level.map(|level| EvacuationState { term, level }));
+                all.extend(lies.map(|c| Does::Lie(i, [c, EvacuationState::default()])));
             }
         }
         // One at a time, as at least one zone always serves.
@@ -241,20 +261,20 @@
         vec![
             Property::always("a course only grows", |_, s: &State| !s.back),
             Property::always("no sender leaves all zones", |_, s: &State| {
-                s.courses.iter().all(|c| c.iter().any(|z| z.is_full()))
+                s.courses.iter().all(|c| c.iter().any(|z| z.has_full_share()))
             }),
             Property::always("one that lies leaves nothing", |m: &Small, s: &State| {
-                !m.liar || s.courses.iter().flatten().all(|c| c.is_full())
+                !m.liar || s.courses.iter().flatten().all(|c| c.has_full_share())
             }),
             Property::always("the fleet agrees once all hear all", |m: &Small, s: &State| {
                 let downs = [[false, false], [true, false], [false, true]];
                 m.liar || downs.into_iter().filter(|d| !(m.one && d[1])).all(|d| m.heals(s, d))
             }),
             Property::sometimes("a zone is left by all", |m: &Small, s: &State| {
-                m.liar || s.courses.iter().all(|c| c[0].is_out())
+                m.liar || s.courses.iter().all(|c| c[0].is_evacuated())
             }),
             Property::sometimes("and returned to by all", |m: &Small, s: &State| {
-                m.liar || s.courses.iter().all(|c| c[0].is_full() && c[0].term > 0)
+                m.liar || s.courses.iter().all(|c| c[0].has_full_share() && c[0].term > 0)
             }),
         ]
     }
--- a/crates/zones/src/note.rs
+++ b/crates/zones/src/note.rs
@@ -3,25 +3,25 @@
 //! It speaks for itself alone. Words of others are not passed on: nobody could tell who made them up, and
 //! each sender hears enough of the fleet at first hand.
 
-use crate::course::Course;
-use crate::names::{Dest, Zone};
+use crate::evacuation::EvacuationState;
+use crate::ids::{DestinationHash, ZoneId};
 use serde::{Deserialize, Serialize};
 
 /// The first byte of such a note; others on the same address begin with another.
-pub const FORM: u8 = 0xd3;
+pub const NOTE_FORMAT: u8 = 0xd3;
 /// A longer datagram is not allowed.
-pub const LONGEST: usize = 256;
+pub const MAX_NOTE_BYTES: usize = 256;
 /// Pairs and courses in a note: more do not fit.
-const PAIRS: usize = 32;
-const COURSES: usize = 6;
+const MAX_OBSERVATIONS: usize = 32;
+const MAX_EVACUATIONS: usize = 6;
 
 /// What a sender saw of a destination's endpoints in one zone, within the window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Seen {
+pub struct Observation {
     /// Where.
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// Of which destination.
-    pub dest: Dest,
+    pub destination: DestinationHash,
     /// Calls that were answered, 255 at most.
     pub answered: u8,
     /// Calls that failed, 255 at most.
@@ -30,55 +30,55 @@
 
 /// How far a sender has left a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Taken {
+pub struct ZoneEvacuation {
     /// Which.
-    pub zone: Zone,
+    pub zone: ZoneId,
     /// How far.
-    pub course: Course,
+    pub state: EvacuationState,
     /// How often in a row it has failed.
-    pub failed: u8,
+    pub consecutive_failures: u8,
 }
 
 /// What one sender says.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
     /// Where it stands.
-    pub stands: Zone,
+    pub sender_zone: ZoneId,
     /// Its process: drawn at each start.
-    pub life: u32,
+    pub incarnation: u32,
     /// Later reports of one process have higher numbers.
-    pub number: u32,
+    pub sequence: u32,
     /// How far it has left zones; those that were never left are not named.
-    pub courses: Vec<Taken>,
+    pub evacuations: Vec<ZoneEvacuation>,
     /// What it saw.
-    pub seen: Vec<Seen>,
+    pub observations: Vec<Observation>,
 }
 
 /// Writes a report, as much of it as fits: what stands first in it is what matters most.
-pub fn write(report: &Report) -> Vec<u8> {
+pub fn encode(report: &Report) -> Vec<u8> {
     let mut report = report.clone();
-    report.courses.truncate(COURSES);
-    report.seen.truncate(PAIRS);
+    report.evacuations.truncate(MAX_EVACUATIONS);
+    report.observations.truncate(MAX_OBSERVATIONS);
     loop {
-        let mut all = vec![FORM];
+        let mut all = vec![NOTE_FORMAT];
         all.extend(postcard::to_allocvec(&report).unwrap_or_default());
-        if all.len() <= LONGEST || report.seen.pop().is_none() {
+        if all.len() <= MAX_NOTE_BYTES || report.observations.pop().is_none() {
             return all;
         }
     }
 }
 
 /// Reads a note; nothing where it is none.
-pub fn read(bytes: &[u8]) -> Option<Report> {
-    let body = bytes.strip_prefix(&[FORM])?;
-    if bytes.len() > LONGEST {
+pub fn decode(bytes: &[u8]) -> Option<Report> {
+    let body = bytes.strip_prefix(&[NOTE_FORMAT])?;
+    if bytes.len() > MAX_NOTE_BYTES {
         return None;
     }
     let (report, rest) = postcard::take_from_bytes::<Report>(body).ok()?;
     let sound = rest.is_empty()
-        && report.seen.len() <= PAIRS
-        && report.courses.len() <= COURSES
-        && report.seen.iter().all(|s| s.answered | s.failed > 0);
+        && report.observations.len() <= MAX_OBSERVATIONS
+        && report.evacuations.len() <= MAX_EVACUATIONS
+        && report.observations.iter().all(|s| s.answered | s.failed > 0);
     sound.then_some(report)
 }
 
@@ -87,46 +87,54 @@
     use super::*;
 
     fn report(pairs: u32, courses: u32) -> Report {
-        let seen =
-            |n| Seen { zone: Zone(u32::MAX - n), dest: Dest(u32::MAX - n), answered: 255, failed: 255 };
-        let course = Course { term: u32::MAX, level: 254 };
-        let taken = |n| Taken { zone: Zone(u32::MAX - n), course, failed: 255 };
+        let seen = |n| Observation {
+            zone: ZoneId(u32::MAX - n),
+            destination: DestinationHash(u32::MAX - n),
+            answered: 255,
+            failed: 255,
+        };
+        let course = EvacuationState { term: u32::MAX, level: 254 };
+        let taken =
+            |n| ZoneEvacuation { zone: ZoneId(u32::MAX - n), state: course, consecutive_failures: 255 };
         Report {
-            stands: Zone(u32::MAX),
-            life: u32::MAX,
-            number: u32::MAX,
-            courses: (0..courses).map(taken).collect(),
-            seen: (0..pairs).map(seen).collect(),
+            sender_zone: ZoneId(u32::MAX),
+            incarnation: u32::MAX,
+            sequence: u32::MAX,
+            evacuations: (0..courses).map(taken).collect(),
+            observations: (0..pairs).map(seen).collect(),
         }
     }
 
     #[test]
     fn what_is_written_is_read_and_never_too_long() {
         for (pairs, courses) in [(0, 0), (1, 1), (100, 0), (100, 100), (0, 100)] {
-            let (all, bytes) = (report(pairs, courses), write(&report(pairs, courses)));
-            assert!(bytes.len() <= LONGEST, "{pairs} and {courses}: {}", bytes.len());
-            let read = read(&bytes).expect("it is one");
-            assert!(all.seen.starts_with(&read.seen) && all.courses.starts_with(&read.courses));
-            assert!(read.courses.len() >= all.courses.len().min(COURSES));
-            assert!(read.seen.len() >= all.seen.len().min(9), "{}", read.seen.len());
+            let (all, bytes) = (report(pairs, courses), encode(&report(pairs, courses)));
+            assert!(bytes.len() <= MAX_NOTE_BYTES, "{pairs} and {courses}: {}", bytes.len());
+            let read = decode(&bytes).expect("it is one");
+            assert!(
+                all.observations.starts_with(&read.observations)
+                    && all.evacuations.starts_with(&read.evacuations)
+            );
+            assert!(read.evacuations.len() >= all.evacuations.len().min(MAX_EVACUATIONS));
+            assert!(read.observations.len() >= all.observations.len().min(9), "{}", read.observations.len());
         }
     }
 
     #[test]
     fn what_is_cut_changed_or_another_note_is_passed_over_or_read_as_what_it_says() {
-        let bytes = write(&report(3, 2));
+        let bytes = encode(&report(3, 2));
         for cut in 0..bytes.len() {
-            assert_eq!(read(&bytes[..cut]), None, "cut at {cut}");
+            assert_eq!(decode(&bytes[..cut]), None, "cut at {cut}");
         }
         for at in 0..bytes.len() {
             for bit in 0..8 {
                 let mut wrong = bytes.clone();
                 wrong[at] ^= 1 << bit;
-                let _ = read(&wrong);
+                let _ = decode(&wrong);
             }
         }
-        assert_eq!(read(&[&bytes[..], &[0]].concat()), None);
-        assert_eq!(read(&[0xd1, 0, 1]), None);
-        assert_eq!(read(&[0xd2, 0]), None, "the form of the build before");
+        assert_eq!(decode(&[&bytes[..], &[0]].concat()), None);
+        assert_eq!(decode(&[0xd1, 0, 1]), None);
+        assert_eq!(decode(&[0xd2, 0]), None, "the form of the build before");
     }
 }
