--- a/crates/zones/tests/sim/mod.rs
+++ b/crates/zones/tests/sim/mod.rs
@@ -1,4 +1,5 @@
-//! Senders in virtual time, the notes between them, and endpoints that are down, cold, or pushed over.
+//! Simulates a fleet in virtual time: senders, the notes between them, and endpoints that are down, cold, or
+//! overloaded.
 #![allow(dead_code)]
 
 use notchpoint_zones::*;
@@ -9,181 +10,188 @@
 pub const MS: Micros = 1_000;
 pub const S: Micros = 1_000_000;
 
-/// Whether a call from a sender to a destination's endpoint in a zone fails.
+/// Returns whether a call of a sender to the endpoint of a destination in a zone fails.
 pub type Fails = dyn Fn(usize, usize, u32) -> bool;
 
-pub fn zone(n: usize) -> Zone {
-    Zone::named(&format!("z{n}"))
+pub fn zone(n: usize) -> ZoneId {
+    ZoneId::from_name(&format!("z{n}"))
 }
 
-pub fn nothing(_: usize, _: usize, _: u32) -> bool {
+pub fn none_fails(_: usize, _: usize, _: u32) -> bool {
     false
 }
 
-pub fn z1(_: usize, z: usize, _: u32) -> bool {
+pub fn zone_1_fails(_: usize, z: usize, _: u32) -> bool {
     z == 1
 }
 
-pub const COLD: Cold = Cold { start: 0.17, span: 9_200_000, over: 2.0 };
+pub const COLD_START: ColdStart = ColdStart { initial_share: 0.17, warm_up: 9_200_000, overload_factor: 2.0 };
 
-pub fn pace() -> Pace {
-    Pace::new(COLD)
+pub fn return_schedule() -> ReturnSchedule {
+    ReturnSchedule::new(COLD_START)
 }
 
-/// Endpoints are judged over so long.
-const TIP: Micros = 2 * S;
+/// The span over which the load of an endpoint is measured.
+const LOAD_SPAN: Micros = 2 * S;
 
-/// How a sender sends to one zone.
+/// How a sender routes calls to one zone.
 #[derive(Clone, Copy)]
-struct Lean {
+struct Routing {
     share: f64,
     credit: f64,
-    /// Destinations that it may still try, whatever the share.
-    tries: u64,
-    /// Destinations that are sent as if nothing had been said.
-    spared: u64,
+    /// Destinations that are still to be probed regardless of the share, as a bit set.
+    probes: u64,
+    /// Destinations whose calls are not reduced, as a bit set.
+    exempt: u64,
 }
 
 pub struct Fleet {
-    pub senders: Vec<Zones>,
-    sets: Vec<Set>,
-    leans: Vec<BTreeMap<usize, Lean>>,
-    /// Zones by number: a sender stands in its own number's.
+    pub senders: Vec<ZoneStateMachine>,
+    configs: Vec<ZonesConfig>,
+    routing: Vec<BTreeMap<usize, Routing>>,
+    /// The number of zones. Sender n runs in zone n modulo this number.
     zones: usize,
     listed: Vec<usize>,
-    dests: u32,
+    destinations: u32,
     pub now: Micros,
     rng: Pcg64,
-    /// Notes under way.
-    way: Vec<(Micros, usize, usize, Vec<u8>)>,
-    pub lost: f64,
-    pub late: Micros,
-    /// Notes and trials so far, calls that failed, and all.
+    /// Notes in transit: arrival time, receiver, sender, body.
+    in_transit: Vec<(Micros, usize, usize, Vec<u8>)>,
+    /// The share of notes that is lost, and the maximum latency of the others.
+    pub loss: f64,
+    pub max_latency: Micros,
+    /// The numbers of notes and probes sent so far, of calls that failed, and of all calls.
     pub notes: usize,
-    pub tries: usize,
+    pub probes: usize,
     pub failed: usize,
     pub calls: usize,
-    /// Calls by zone.
-    pub called: Vec<usize>,
-    /// Calls that each sender makes a second.
+    /// The number of calls by zone.
+    pub calls_by_zone: Vec<usize>,
+    /// The number of calls that each sender makes per second.
     pub rate: f64,
-    /// Senders call no zone but their own, but while their endpoint there rests.
-    pub own_only: bool,
-    /// By sender, zone and destination: failures in a row, and until when the endpoint is passed over. So the
-    /// module does, for itself.
-    rests: BTreeMap<(usize, usize, u32), (u32, Micros)>,
-    /// Who cannot write to whom.
-    pub cut: Box<dyn Fn(usize, usize) -> bool>,
-    pub said: Vec<(Micros, usize, Event)>,
-    /// Since when a zone is back, and the calls to each of its endpoints within the last while.
-    back: BTreeMap<usize, Micros>,
-    got: BTreeMap<(usize, u32), Vec<Micros>>,
-    pub pushed_over: usize,
-    starts: u64,
-    /// Who sends its clients elsewhere.
-    pub give_way: Vec<bool>,
+    /// Senders call only their own zone, except while their endpoint there is in backoff.
+    pub own_zone_only: bool,
+    /// By sender, zone and destination: the number of failures in a row, and when the backoff of the endpoint
+    /// ends. The decision module keeps the same backoff.
+    backoff: BTreeMap<(usize, usize, u32), (u32, Micros)>,
+    /// Returns whether the network is cut from the first sender to the second.
+    pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
+    pub events: Vec<(Micros, usize, Event)>,
+    /// When a zone recovered, and the calls to each of its endpoints within the load span.
+    recovered_at: BTreeMap<usize, Micros>,
+    recent_calls: BTreeMap<(usize, u32), Vec<Micros>>,
+    pub overloads: usize,
+    restarts: u64,
+    /// Whether each sender redirects its clients to other zones.
+    pub redirects_clients: Vec<bool>,
 }
 
 impl Fleet {
     pub fn new(seed: u64, n: usize, zones: usize) -> Self {
-        Self::with(seed, n, zones, Some(pace()))
+        Self::with(seed, n, zones, Some(return_schedule()))
     }
 
     pub fn watching(seed: u64, n: usize, zones: usize) -> Self {
         Self::with(seed, n, zones, None)
     }
 
-    fn with(seed: u64, n: usize, zones: usize, pace: Option<Pace>) -> Self {
-        let set = |i: usize| Set {
-            place: Place(i as u32),
-            fleet: n as u32,
-            stands: zone(i % zones),
-            writes: true,
-            rules: Rules { senders: 3.min(n), ..Rules::default() },
-            pace: pace.clone(),
+    fn with(seed: u64, n: usize, zones: usize, return_schedule: Option<ReturnSchedule>) -> Self {
+        let config = |i: usize| ZonesConfig {
+            sender: SenderId(i as u32),
+            fleet_size: n as u32,
+            own_zone: zone(i % zones),
+            can_send: true,
+            thresholds: FailureThresholds { senders: 3.min(n), ..FailureThresholds::default() },
+            return_schedule: return_schedule.clone(),
             pinned: BTreeMap::new(),
         };
-        let sets: Vec<Set> = (0..n).map(set).collect();
-        let begin = |(i, s): (usize, &Set)| Zones::new(s.clone(), seed.wrapping_mul(1_000) + i as u64, 0);
+        let configs: Vec<ZonesConfig> = (0..n).map(config).collect();
+        let start = |(i, c): (usize, &ZonesConfig)| {
+            ZoneStateMachine::new(c.clone(), seed.wrapping_mul(1_000) + i as u64, 0)
+        };
         let mut fleet = Self {
-            senders: sets.iter().enumerate().map(begin).collect(),
-            sets,
-            leans: vec![BTreeMap::new(); n],
+            senders: configs.iter().enumerate().map(start).collect(),
+            configs,
+            routing: vec![BTreeMap::new(); n],
             zones,
             listed: Vec::new(),
-            dests: 6,
+            destinations: 6,
             now: 0,
             rng: Pcg64::seed_from_u64(seed),
-            way: Vec::new(),
-            lost: 0.1,
-            late: 50 * MS,
+            in_transit: Vec::new(),
+            loss: 0.1,
+            max_latency: 50 * MS,
             notes: 0,
-            tries: 0,
+            probes: 0,
             failed: 0,
             calls: 0,
-            called: vec![0; zones],
+            calls_by_zone: vec![0; zones],
             rate: 20.0,
-            own_only: false,
-            rests: BTreeMap::new(),
-            cut: Box::new(|_, _| false),
-            said: Vec::new(),
-            back: BTreeMap::new(),
-            got: BTreeMap::new(),
-            pushed_over: 0,
-            starts: 0,
-            give_way: vec![false; n],
+            own_zone_only: false,
+            backoff: BTreeMap::new(),
+            is_cut: Box::new(|_, _| false),
+            events: Vec::new(),
+            recovered_at: BTreeMap::new(),
+            recent_calls: BTreeMap::new(),
+            overloads: 0,
+            restarts: 0,
+            redirects_clients: vec![false; n],
         };
-        fleet.list(&(0..zones).collect::<Vec<_>>());
+        fleet.set_listed_zones(&(0..zones).collect::<Vec<_>>());
         fleet
     }
 
-    /// Zones that the list names from now on.
-    pub fn list(&mut self, zones: &[usize]) {
+    /// Sets the zones that the endpoint list names from now on.
+    pub fn set_listed_zones(&mut self, zones: &[usize]) {
         self.listed = zones.to_vec();
-        for s in &mut self.senders {
-            s.list(zones.iter().map(|&z| zone(z)).collect());
+        for sender in &mut self.senders {
+            sender.set_listed_zones(zones.iter().map(|&z| zone(z)).collect());
         }
     }
 
-    /// A new process in a sender's place.
+    /// Replaces a sender by a new process.
     pub fn restart(&mut self, i: usize) {
-        self.starts += 1;
-        self.senders[i] = Zones::new(self.sets[i].clone(), 990_000 + self.starts, self.now);
-        self.senders[i].list(self.listed.iter().map(|&z| zone(z)).collect());
-        self.leans[i].clear();
+        self.restarts += 1;
+        self.senders[i] = ZoneStateMachine::new(self.configs[i].clone(), 990_000 + self.restarts, self.now);
+        self.senders[i].set_listed_zones(self.listed.iter().map(|&z| zone(z)).collect());
+        self.routing[i].clear();
     }
 
-    /// A zone's endpoints are cold from now on.
-    pub fn come_back(&mut self, z: usize) {
-        self.back.insert(z, self.now);
+    /// Makes the endpoints of a zone cold from now on.
+    pub fn recover_cold(&mut self, z: usize) {
+        self.recovered_at.insert(z, self.now);
     }
 
-    pub fn run(&mut self, how_long: Micros, fails: &Fails) {
-        let until = self.now + how_long;
+    pub fn run(&mut self, duration: Micros, fails: &Fails) {
+        let until = self.now + duration;
         while self.now < until {
             self.now += 10 * MS;
             let now = self.now;
-            let due: Vec<_> = self.way.extract_if(.., |w| w.0 <= now).collect();
+            let due: Vec<_> = self.in_transit.extract_if(.., |n| n.0 <= now).collect();
             for (_, to, from, body) in due {
-                self.hear(to, from, &body);
+                self.receive_note(to, from, &body);
             }
             for i in 0..self.senders.len() {
                 if self.rng.random_bool((self.rate / 100.0).min(1.0)) {
-                    let dest = self.rng.random_range(0..self.dests);
-                    if let Some(z) = self.choose(i, dest) {
-                        let over = self.push(z, dest);
-                        self.called[z] += 1;
-                        let came = if fails(i, z, dest) || over { Came::Failed } else { Came::Answered };
+                    let destination = self.rng.random_range(0..self.destinations);
+                    if let Some(z) = self.choose_zone(i, destination) {
+                        let is_overloaded = self.call_endpoint(z, destination);
+                        self.calls_by_zone[z] += 1;
+                        let result = if fails(i, z, destination) || is_overloaded {
+                            CallResult::Failed
+                        } else {
+                            CallResult::Answered
+                        };
                         (self.calls, self.failed) =
-                            (self.calls + 1, self.failed + usize::from(came == Came::Failed));
-                        if came == Came::Failed {
-                            let (fails, until) = self.rests.entry((i, z, dest)).or_default();
-                            *until = now + (S << (*fails).min(3));
-                            *fails += 1;
+                            (self.calls + 1, self.failed + usize::from(result == CallResult::Failed));
+                        if result == CallResult::Failed {
+                            let (failures, until) = self.backoff.entry((i, z, destination)).or_default();
+                            *until = now + (S << (*failures).min(3));
+                            *failures += 1;
                         } else {
-                            self.rests.remove(&(i, z, dest));
+                            self.backoff.remove(&(i, z, destination));
                         }
-                        self.senders[i].observe(now, now, zone(z), Dest(dest), came);
+                        self.senders[i].record_call(now, now, zone(z), DestinationHash(destination), result);
                     }
                 }
                 let mut out = Vec::new();
@@ -193,89 +201,98 @@
         }
     }
 
-    /// Where a message of a sender goes: to a zone that is tried, to one that has credit, or to any whole
-    /// one.
-    fn choose(&mut self, i: usize, dest: u32) -> Option<usize> {
+    /// Chooses the zone for a message of a sender: one that is probed, one that has credit, or any that
+    /// receives its full share.
+    fn choose_zone(&mut self, i: usize, destination: u32) -> Option<usize> {
         let part = 1.0 / self.listed.len().max(1) as f64;
-        for lean in self.leans[i].values_mut() {
-            lean.credit = (lean.credit + lean.share * part).min(1.0);
+        for routing in self.routing[i].values_mut() {
+            routing.credit = (routing.credit + routing.share * part).min(1.0);
         }
         let listed = self.listed.clone();
         for &z in &listed {
-            let Some(lean) = self.leans[i].get_mut(&z) else { continue };
-            if lean.tries & (1 << dest) > 0 {
-                lean.tries &= !(1 << dest);
-                self.tries += 1;
+            let Some(routing) = self.routing[i].get_mut(&z) else { continue };
+            if routing.probes & (1 << destination) > 0 {
+                routing.probes &= !(1 << destination);
+                self.probes += 1;
                 return Some(z);
             }
-            if lean.share < 1.0 && lean.credit >= 1.0 && lean.spared & (1 << dest) == 0 {
-                lean.credit -= 1.0;
+            if routing.share < 1.0 && routing.credit >= 1.0 && routing.exempt & (1 << destination) == 0 {
+                routing.credit -= 1.0;
                 return Some(z);
             }
         }
-        let whole =
-            |z: &usize| self.leans[i].get(z).is_none_or(|l| l.share >= 1.0 || l.spared & (1 << dest) > 0);
-        let mut open: Vec<usize> = listed.into_iter().filter(whole).collect();
-        // A rest is a preference: where all rest, one of them is called.
-        let rested = |z: &usize| self.rests.get(&(i, *z, dest)).is_none_or(|r| r.1 <= self.now);
-        if open.iter().any(rested) {
-            open.retain(rested);
+        let is_full = |z: &usize| {
+            self.routing[i].get(z).is_none_or(|r| r.share >= 1.0 || r.exempt & (1 << destination) > 0)
+        };
+        let mut open: Vec<usize> = listed.into_iter().filter(is_full).collect();
+        // Backoff is a preference: if all endpoints are in backoff, one of them is called.
+        let is_available =
+            |z: &usize| self.backoff.get(&(i, *z, destination)).is_none_or(|b| b.1 <= self.now);
+        if open.iter().any(is_available) {
+            open.retain(is_available);
         }
-        let own = i % self.zones;
-        if self.own_only && open.contains(&own) {
-            return Some(own);
+        let own_zone = i % self.zones;
+        if self.own_zone_only && open.contains(&own_zone) {
+            return Some(own_zone);
         }
         (!open.is_empty()).then(|| open[self.rng.random_range(0..open.len())])
     }
 
-    /// A call to an endpoint. Whether that is pushed over by it.
-    fn push(&mut self, z: usize, dest: u32) -> bool {
-        let Some(&back) = self.back.get(&z) else { return false };
-        let got = self.got.entry((z, dest)).or_default();
-        got.push(self.now);
-        got.retain(|&t| t + TIP > self.now);
-        // What it can do when warm is taken to be what would come in for it.
-        let whole = self.rate * self.senders.len() as f64 / (self.dests as usize * self.zones) as f64;
-        let warm = ((self.now - back) as f64 / COLD.span as f64).min(1.0);
-        let bears = whole * TIP as f64 / S as f64 * COLD.over * (COLD.start + (1.0 - COLD.start) * warm);
-        let over = got.len() as f64 > bears + 3.0 * bears.sqrt() + 3.0;
-        self.pushed_over += usize::from(over);
-        over
+    /// Adds a call to the load of an endpoint. Returns whether that overloads it.
+    fn call_endpoint(&mut self, z: usize, destination: u32) -> bool {
+        let Some(&recovered_at) = self.recovered_at.get(&z) else { return false };
+        let calls = self.recent_calls.entry((z, destination)).or_default();
+        calls.push(self.now);
+        calls.retain(|&t| t + LOAD_SPAN > self.now);
+        // The capacity of a warm endpoint is taken to be its even share of all calls.
+        let capacity =
+            self.rate * self.senders.len() as f64 / (self.destinations as usize * self.zones) as f64;
+        let warmth = ((self.now - recovered_at) as f64 / COLD_START.warm_up as f64).min(1.0);
+        let sustained = capacity * LOAD_SPAN as f64 / S as f64
+            * COLD_START.overload_factor
+            * (COLD_START.initial_share + (1.0 - COLD_START.initial_share) * warmth);
+        let is_overloaded = calls.len() as f64 > sustained + 3.0 * sustained.sqrt() + 3.0;
+        self.overloads += usize::from(is_overloaded);
+        is_overloaded
     }
 
-    pub fn hear(&mut self, to: usize, from: usize, body: &[u8]) {
+    pub fn receive_note(&mut self, to: usize, from: usize, body: &[u8]) {
         let mut out = Vec::new();
-        assert!(self.senders[to].heard(self.now, Place(from as u32), body, &mut out));
+        assert!(self.senders[to].receive_note(self.now, SenderId(from as u32), body, &mut out));
         self.carry_out(to, out);
     }
 
     fn carry_out(&mut self, i: usize, out: Vec<Output>) {
-        for o in out {
-            match o {
-                Output::Send(Place(to), body) => {
-                    assert!(body.len() <= LONGEST && to as usize != i);
+        for output in out {
+            match output {
+                Output::Send(SenderId(to), body) => {
+                    assert!(body.len() <= MAX_NOTE_BYTES && to as usize != i);
                     self.notes += 1;
                     let to = to as usize;
-                    if !self.rng.random_bool(self.lost) && !(self.cut)(i, to) {
-                        let at = self.now + self.rng.random_range(MS..self.late.max(2 * MS));
-                        self.way.push((at, to, i, body));
+                    if !self.rng.random_bool(self.loss) && !(self.is_cut)(i, to) {
+                        let at = self.now + self.rng.random_range(MS..self.max_latency.max(2 * MS));
+                        self.in_transit.push((at, to, i, body));
                     }
                 }
-                Output::Lean { zone: at, share, tries, spared } => {
-                    let z = (0..self.zones).find(|&z| zone(z) == at).expect("a zone");
+                Output::SetShare { zone: id, share, probe, exempt } => {
+                    let z = (0..self.zones).find(|&z| zone(z) == id).expect("a known zone");
                     let credit = self.rng.random_range(0.0..1.0);
-                    let lean =
-                        self.leans[i].entry(z).or_insert(Lean { share: 1.0, credit, tries: 0, spared: 0 });
-                    lean.share = share;
-                    lean.spared = spared.iter().map(|d| 1 << d.0).sum();
-                    if tries {
-                        lean.tries = (1 << self.dests) - 1;
+                    let routing = self.routing[i].entry(z).or_insert(Routing {
+                        share: 1.0,
+                        credit,
+                        probes: 0,
+                        exempt: 0,
+                    });
+                    routing.share = share;
+                    routing.exempt = exempt.iter().map(|d| 1 << d.0).sum();
+                    if probe {
+                        routing.probes = (1 << self.destinations) - 1;
                     } else {
-                        lean.tries = 0;
+                        routing.probes = 0;
                     }
                 }
-                Output::GiveWay(wanted) => self.give_way[i] = wanted,
-                Output::Say(event) => self.said.push((self.now, i, event)),
+                Output::RedirectClients(redirects) => self.redirects_clients[i] = redirects,
+                Output::Log(event) => self.events.push((self.now, i, event)),
             }
         }
     }
@@ -284,26 +301,26 @@
         self.senders[i].share(zone(z))
     }
 
-    pub fn course(&self, i: usize, z: usize) -> Course {
-        self.senders[i].stands().get(&zone(z)).map_or(Course::default(), |s| s.course)
+    pub fn evacuation(&self, i: usize, z: usize) -> EvacuationState {
+        self.senders[i].statuses().get(&zone(z)).map_or(EvacuationState::default(), |s| s.evacuation)
     }
 
-    /// How many senders do not give a zone its whole share.
-    pub fn left(&self, z: usize) -> usize {
+    /// Returns how many senders do not give a zone its full share.
+    pub fn evacuated_by(&self, z: usize) -> usize {
         (0..self.senders.len()).filter(|&i| self.share(i, z) < 1.0).count()
     }
 
-    /// The terms that senders have of a zone.
+    /// Returns the terms that the senders have for a zone.
     pub fn terms(&self, z: usize) -> BTreeSet<u32> {
-        (0..self.senders.len()).map(|i| self.course(i, z).term).collect()
+        (0..self.senders.len()).map(|i| self.evacuation(i, z).term).collect()
     }
 
-    /// How many senders find it failing.
-    pub fn finding(&self, z: usize) -> usize {
-        let failing = |i: &usize| {
-            let stand = self.senders[*i].stands().get(&zone(z));
-            stand.is_some_and(|s| s.standing == Standing::Failing)
+    /// Returns how many senders find a zone failing.
+    pub fn found_failing_by(&self, z: usize) -> usize {
+        let is_failing = |i: &usize| {
+            let status = self.senders[*i].statuses().get(&zone(z));
+            status.is_some_and(|s| s.health == Health::Failing)
         };
-        (0..self.senders.len()).filter(failing).count()
+        (0..self.senders.len()).filter(is_failing).count()
     }
 }
