--- a/crates/copies/src/failure_detector.rs
+++ b/crates/copies/src/failure_detector.rs
@@ -32,7 +32,7 @@
 
     /// Returns whether no heartbeat came for longer than usual, and for longer than `floor`.
     pub fn is_suspected(&self, now: Micros, floor: Micros) -> bool {
-        let usual = (self.gaps.usual(0) * USUAL_GAP_FACTOR) as Micros;
+        let usual = (self.gaps.upper_bound(0) * USUAL_GAP_FACTOR) as Micros;
         now.saturating_sub(self.last_heartbeat) > floor.max(usual)
     }
 }
--- a/crates/copies/src/replicator/owned.rs
+++ b/crates/copies/src/replicator/owned.rs
@@ -64,7 +64,7 @@
         let chosen: Vec<(Peer, Incarnation)> = available.iter().take(missing).map(|f| (f.3, f.4)).collect();
         for &(peer, incarnation) in &chosen {
             let usual =
-                self.links.get(&peer).map_or(0.0, |l| l.response_times.usual(*REPLICA_TIMEOUT.start()));
+                self.links.get(&peer).map_or(0.0, |l| l.response_times.upper_bound(*REPLICA_TIMEOUT.start()));
             let due = now + (usual as Micros).clamp(*REPLICA_TIMEOUT.start(), *REPLICA_TIMEOUT.end());
             self.owned.replica_timeouts.insert((due, id));
             if let Some(message) = self.owned.messages.get_mut(&id) {
--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -157,7 +157,7 @@
             connect_timeout: Duration::from_micros(set.connect_timeout),
             idle: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
             most_idle: DescriptorBudget::new(config).idle_connections,
-            second_copies: set.second_copies,
+            second_copies: set.parallel_attempts,
             trouble: RateLimitedWarning::default(),
             reasons: Rc::default(),
         });
@@ -451,7 +451,8 @@
             zone_monitor.record_outcome(endpoint, outcome, age);
         }
         let (over, allowance) = (end.over, end.allowance);
-        let _ = self.inputs.send(Input::Event(Event::Ended { id, attempt, outcome, over, allowance }));
+        let _ =
+            self.inputs.send(Input::Event(Event::Ended { id, attempt, outcome, is_final: over, allowance }));
     }
 
     /// The endpoint, where a call may begin now.
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -59,7 +59,7 @@
     async fn on(net: Rc<dyn Network>, bundle: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let mut config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
-        config.settings.second_copies = true;
+        config.settings.parallel_attempts = true;
         let journal = Rc::new(RefCell::new(journal(folder.path())));
         let (inputs, received) = unbounded_channel();
         let durability = DurabilityTracker::new(journal.clone());
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -594,7 +594,7 @@
 fn come_back(inbound: &Inbound, why: Refusal) -> Response<Full<Bytes>> {
     inbound.calls.reasons.count_refusal(why);
     let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    let advice = COME_BACK.min(inbound.terms.borrow().settings.max_advice);
+    let advice = COME_BACK.min(inbound.terms.borrow().settings.max_retry_after);
     if advice > 0
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", advice as f64 / 1e6))
     {
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -133,7 +133,7 @@
         (node.elsewhere, node.unheard) = (elsewhere, unheard);
         node.restore_marks();
         let entries = node.entries(&config.initial_list, true);
-        node.events.push(Event::List(ListNews::Restored(entries)));
+        node.events.push(Event::List(ListUpdate::Restored(entries)));
         node.resume(None);
         Ok(node)
     }
@@ -246,7 +246,7 @@
         for (&endpoint, name) in &marks.out_of_service {
             tracing::info!("endpoint {name} is out of service, as operators set it");
             self.calls.set_out(endpoint, true);
-            self.events.push(Event::Service { endpoint, out: true });
+            self.events.push(Event::Service { endpoint, out_of_service: true });
         }
     }
 
@@ -286,7 +286,7 @@
             tenant: place(&terms.names.tenants, &open.tenant),
             key: None,
             dest: DestinationId(open.dest),
-            again: true,
+            is_retry: true,
             expires_in: self.left(id),
         };
         // Its client may not have heard 202, and have handed it in again.
@@ -296,7 +296,7 @@
         if unsure {
             return None;
         }
-        Some(Event::Resumed { message, attempts, ran: self.ran(id) })
+        Some(Event::Resumed { message, attempts, ran_ago: self.ran(id) })
     }
 
     fn now(&self) -> Micros {
@@ -464,7 +464,7 @@
         self.enter_mark(MarkChange::OutOfService(id, name.to_owned(), out))?;
         if was != out {
             self.calls.set_out(id, out);
-            self.events.push(Event::Service { endpoint: id, out });
+            self.events.push(Event::Service { endpoint: id, out_of_service: out });
         }
         Ok(format!("{name} {}", if out { "is out of service" } else { "may serve" }))
     }
@@ -531,11 +531,15 @@
             }
             Input::ListUpdate(news) => {
                 let entries = self.entries(&news, news.complete);
-                Event::List(if news.complete { ListNews::Whole(entries) } else { ListNews::Changes(entries) })
+                Event::List(if news.complete {
+                    ListUpdate::Whole(entries)
+                } else {
+                    ListUpdate::Changes(entries)
+                })
             }
             // It may have ended just before another took its place.
             Input::WatchEnded(number) if !self.discovery.is_current(number) => return,
-            Input::WatchEnded(_) => Event::List(ListNews::Unavailable),
+            Input::WatchEnded(_) => Event::List(ListUpdate::Unavailable),
         };
         if let Event::Ended { id, .. } = event {
             let open = self.journal.borrow().get(id).is_some_and(|m| m.verdict.is_none());
@@ -587,8 +591,8 @@
     }
 
     /// Enters a list where calls are made from, and turns it into the module's form.
-    fn entries(&mut self, news: &EndpointList, whole: bool) -> Vec<Entry> {
-        let entries: Vec<Entry> = news.members.iter().map(|m| self.entry(m)).collect();
+    fn entries(&mut self, news: &EndpointList, whole: bool) -> Vec<ListEntry> {
+        let entries: Vec<ListEntry> = news.members.iter().map(|m| self.entry(m)).collect();
         if whole {
             self.members.clear();
         }
@@ -606,7 +610,10 @@
         }
         for (e, m) in entries.iter().zip(&news.members) {
             // The module makes no use of an endpoint whose kind the settings do not name.
-            let Some(&Kind { apart, bundle }) = self.kinds.get(e.kind as usize) else { continue };
+            let Some(&Kind { per_endpoint: apart, max_bundle: bundle }) = self.kinds.get(e.kind as usize)
+            else {
+                continue;
+            };
             let (live, bundle) = (e.phase == Phase::Live, bundle as usize);
             let target = Target { address: m.host_port, dest: e.dest, live, apart, bundle };
             self.calls.update_endpoint(e.endpoint, (e.phase != Phase::Gone).then_some(target));
@@ -622,10 +629,10 @@
         entries
     }
 
-    fn entry(&self, m: &Member) -> Entry {
+    fn entry(&self, m: &Member) -> ListEntry {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
         let names = &self.terms.borrow().names;
-        Entry {
+        ListEntry {
             endpoint: endpoint(&m.id),
             dest: DestinationId(m.cell),
             zone: place(&names.zones, &m.locality).unwrap_or(u32::MAX),
@@ -658,7 +665,7 @@
         for event in events {
             match event {
                 Event::Taken(message) => message.expires_in = self.left(message.id),
-                Event::Resumed { message, ran, .. } => {
+                Event::Resumed { message, ran_ago: ran, .. } => {
                     message.expires_in = self.left(message.id);
                     *ran = self.ran(message.id);
                 }
@@ -682,13 +689,15 @@
         let mut loads: Vec<(EndpointId, Vec<Item>)> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, timeout, within, proven_only } => {
+                Action::Send { id, endpoint, timeout, start_within: within, proven_only } => {
                     let [timeout, within] = [timeout, within].map(Duration::from_micros);
                     let attempt = Attempt { timeout, within, proven_only };
                     self.load(&mut loads, id, endpoint, attempt);
                 }
                 Action::Cancel { id, attempt } => self.calls.cancel(id, attempt),
-                Action::Refuse { id, after } => self.end(id, Verdict::Bounced(after.div_ceil(1_000))),
+                Action::Refuse { id, retry_after: after } => {
+                    self.end(id, Verdict::Bounced(after.div_ceil(1_000)))
+                }
                 Action::Fail { id } => self.end(id, Verdict::Dead),
                 Action::WakeAt(at) => {
                     let at = at.max(self.origin);
@@ -718,7 +727,7 @@
     fn compare_connections(&self, events: &[Event]) {
         let out = self.calls.attempts_out();
         let ended = events.iter().filter(|e| matches!(e, Event::Ended { .. })).count();
-        let believed = self.sender.attempts_out();
+        let believed = self.sender.attempts_in_flight();
         assert_eq!(believed, out + ended, "attempts out: believed, and real with those that ended");
         let real = self.calls.idle();
         for (id, believed) in self.sender.idle_connections() {
@@ -740,7 +749,7 @@
         // One that the first line of its answer has settled is over for the journal; the module hears of it
         // once the rest of the answer has come, or not come.
         let settled = |id| journal.get(id).is_none() && self.attempts.get(&id).is_some_and(|a| a.out > 0);
-        let held = self.sender.open().into_iter().map(|o| o.0).filter(|id| !settled(*id));
+        let held = self.sender.open_messages().into_iter().map(|o| o.0).filter(|id| !settled(*id));
         let held: Vec<MessageId> = held.collect();
         assert_eq!(held, owed, "messages held, and owed by the journal");
     }
--- a/crates/daemon/src/handover/protocol.rs
+++ b/crates/daemon/src/handover/protocol.rs
@@ -147,7 +147,7 @@
 /// What the old process tells the owner of something that happened at it.
 pub fn told(input: Input) -> Option<Frame> {
     match input {
-        Input::Event(Event::Ended { id, attempt, outcome, over, allowance }) => {
+        Input::Event(Event::Ended { id, attempt, outcome, is_final: over, allowance }) => {
             Some(Frame::Ended { id, attempt, outcome, over, allowance })
         }
         Input::PredecessorAttemptEnded { id, attempt, outcome, over } => {
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -30,7 +30,7 @@
     /// What the decisions are told of it.
     pub fn message(&self, expires_in: Micros) -> Message {
         let Self { id, class, tenant, dest, again } = *self;
-        Message { id, class, tenant, key: None, dest, again, expires_in }
+        Message { id, class, tenant, key: None, dest, is_retry: again, expires_in }
     }
 }
 
--- a/crates/daemon/src/platform/zone_monitor.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -66,7 +66,11 @@
 }
 
 fn cold(set: &Settings) -> ColdStart {
-    ColdStart { initial_share: set.start_share, warm_up: set.cold, overload_factor: set.fall_multiple }
+    ColdStart {
+        initial_share: set.start_capacity,
+        warm_up: set.warm_up,
+        overload_factor: set.overload_factor,
+    }
 }
 
 impl ZoneMonitor {
@@ -81,7 +85,7 @@
             return None;
         }
         let numbers = Numbers::of(config.own_number, config.settings.senders, config.peers.len());
-        let writes = numbers.is_some() && config.settings.may_note && config.settings.senders > 1;
+        let writes = numbers.is_some() && config.settings.may_send_notes && config.settings.senders > 1;
         if !writes {
             tracing::warn!("zones: no other sender can be written to: no zone is found failing");
         }
@@ -210,8 +214,8 @@
             let _ = self.inputs.send(Input::Event(Event::Zone {
                 zone,
                 share: 1.0,
-                tries: false,
-                spared: Vec::new(),
+                probe: false,
+                exempt: Vec::new(),
             }));
         }
         let zone_monitor = self.clone();
@@ -261,7 +265,12 @@
                     let name = self.called(zone);
                     if let Some(zone) = self.zones.iter().position(|z| *z == name) {
                         let zone = zone as u32;
-                        let _ = self.inputs.send(Input::Event(Event::Zone { zone, share, tries, spared }));
+                        let _ = self.inputs.send(Input::Event(Event::Zone {
+                            zone,
+                            share,
+                            probe: tries,
+                            exempt: spared,
+                        }));
                     }
                 }
                 Output::RedirectClients(wanted) => self.give_way(wanted),
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -329,7 +329,7 @@
         let admission = Rc::new(Admission::default());
         let zone_monitor = ZoneMonitor::from_settings(&self.operator.zones, &config, &inputs);
         self.told.begin(&text, &inputs, &flight, zone_monitor.clone());
-        let peers = match config.peer_listen_addr.filter(|_| config.settings.may_note) {
+        let peers = match config.peer_listen_addr.filter(|_| config.settings.may_send_notes) {
             Some(address) => {
                 let bind = || Peers::bind(address, &config, &*self.net, inputs.clone(), zone_monitor.clone());
                 match self.patiently("address for notes", bind).await? {
--- a/crates/daemon/src/settings/active.rs
+++ b/crates/daemon/src/settings/active.rs
@@ -25,7 +25,7 @@
     /// Whether messages of the class with this tag must not be repeated, as far as is known.
     pub fn is_unsafe_to_repeat(&self, tag: &str) -> bool {
         let class = self.classes.index_of(tag).and_then(|n| self.settings.classes.get(n));
-        class.is_none_or(|c| c.effect != Effect::Safe)
+        class.is_none_or(|c| c.effect != Effect::Idempotent)
     }
 
     /// Those of a process that starts; `stored` are the classes that the store knows by tag, `used` the tags
@@ -60,15 +60,19 @@
             classes: classes.definitions(),
             max_held: new.max_held,
             max_attempts: new.max_attempts,
-            max_advice: new.max_advice,
+            max_retry_after: new.max_retry_after,
             over_share_worth: new.over_share_worth,
-            tenants: if tenants { new.tenants.clone() } else { old.tenants.clone() },
-            fade: new.fade,
-            clients_mark: new.clients_mark,
-            start_share: new.start_share,
-            cold: new.cold,
-            fall_multiple: new.fall_multiple,
-            fall_after: new.fall_after,
+            tenant_allowances: if tenants {
+                new.tenant_allowances.clone()
+            } else {
+                old.tenant_allowances.clone()
+            },
+            worth_decay: new.worth_decay,
+            clients_mark_retries: new.clients_mark_retries,
+            start_capacity: new.start_capacity,
+            warm_up: new.warm_up,
+            overload_factor: new.overload_factor,
+            overload_after: new.overload_after,
             key_rest: new.key_rest,
             ..old.clone()
         };
@@ -84,8 +88,8 @@
             ("settings.bounds.connectTimeoutS", new.connect_timeout == old.connect_timeout),
             ("settings.bounds.multiplex", new.multiplex == old.multiplex),
             ("settings.bounds.cancelling", new.may_cancel == old.may_cancel),
-            ("settings.bounds.parallelTries", new.second_copies == old.second_copies),
-            ("settings.bounds.peerMessages", new.may_note == old.may_note),
+            ("settings.bounds.parallelTries", new.parallel_attempts == old.parallel_attempts),
+            ("settings.bounds.peerMessages", new.may_send_notes == old.may_send_notes),
         ];
         let waits = waits.into_iter().filter(|w| !w.1).map(|w| w.0).collect();
         (Self { settings: set, classes, names: self.names.clone() }, changes, waits)
--- a/crates/daemon/src/settings/classes.rs
+++ b/crates/daemon/src/settings/classes.rs
@@ -150,50 +150,70 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use notchpoint_policy::{Effect, Group};
+    use notchpoint_policy::{DedupScope, Effect};
 
     fn class(effect: Effect, deadline: u64) -> Class {
-        let (group, memory, wanted, worth, late_share) = (Group::All, 0, 1, 0.1, 0.3);
-        Class { effect, group, memory, wanted, deadline, worth, late_share, in_order: false }
+        let (group, memory, wanted, worth, late_share) = (DedupScope::All, 0, 1, 0.1, 0.3);
+        Class {
+            effect,
+            dedup_scope: group,
+            dedup_window: memory,
+            target_time: wanted,
+            deadline,
+            worth,
+            late_share,
+            in_order: false,
+        }
     }
 
     fn told(classes: &[(&str, Effect, u64)]) -> Vec<(String, Class)> {
         classes.iter().map(|&(name, effect, deadline)| (name.to_owned(), class(effect, deadline))).collect()
     }
 
-    use Effect::{Safe, Unsafe};
+    use Effect::{AtMostOnce, Idempotent};
 
     #[test]
     fn a_class_that_is_reordered_stays_and_one_that_is_changed_is_another() {
-        let (mut classes, kept) =
-            ClassTable::new(&told(&[("a", Safe, 5), ("b", Unsafe, 9)]), &BTreeMap::new(), &BTreeSet::new());
+        let (mut classes, kept) = ClassTable::new(
+            &told(&[("a", Idempotent, 5), ("b", AtMostOnce, 9)]),
+            &BTreeMap::new(),
+            &BTreeSet::new(),
+        );
         assert_eq!(
             (classes.current_index("a"), classes.current_index("b"), kept.len()),
             (Some(0), Some(1), 2)
         );
         // Reordered, with one more: nothing that is known moves.
-        classes.reconfigure(&told(&[("c", Safe, 1), ("b", Unsafe, 9), ("a", Safe, 5)]), &BTreeSet::new());
+        classes.reconfigure(
+            &told(&[("c", Idempotent, 1), ("b", AtMostOnce, 9), ("a", Idempotent, 5)]),
+            &BTreeSet::new(),
+        );
         assert_eq!(["a", "b", "c"].map(|n| classes.current_index(n)), [Some(0), Some(1), Some(2)]);
         // A stricter effect under the same name: messages under way keep the old one.
-        classes.reconfigure(&told(&[("a", Unsafe, 5), ("b", Unsafe, 9)]), &BTreeSet::from([0, 2]));
+        classes.reconfigure(&told(&[("a", AtMostOnce, 5), ("b", AtMostOnce, 9)]), &BTreeSet::from([0, 2]));
         assert_eq!((classes.current_index("a"), classes.current_index("c")), (Some(3), None));
         assert_eq!(
             (classes.index_of("a"), classes.tag_at(3), tag_name(classes.tag_at(3))),
             (Some(0), "a\u{0}1", "a")
         );
-        assert_eq!((classes.definitions()[0].effect, classes.definitions()[3].effect), (Safe, Unsafe));
+        assert_eq!(
+            (classes.definitions()[0].effect, classes.definitions()[3].effect),
+            (Idempotent, AtMostOnce)
+        );
         // Once nothing uses them their places are free for others.
-        let changes = classes.reconfigure(&told(&[("a", Unsafe, 5), ("d", Safe, 1)]), &BTreeSet::new());
+        let changes =
+            classes.reconfigure(&told(&[("a", AtMostOnce, 5), ("d", Idempotent, 1)]), &BTreeSet::new());
         assert_eq!(changes.iter().filter(|c| matches!(c, ClassChange::Delete { .. })).count(), 3);
         assert!(classes.current_index("d").is_some_and(|n| n < 3) && classes.definitions().len() == 4);
     }
 
     #[test]
     fn places_are_bounded_by_what_is_in_use_however_often_settings_change() {
-        let (mut classes, _) = ClassTable::new(&told(&[("a", Safe, 5)]), &BTreeMap::new(), &BTreeSet::new());
+        let (mut classes, _) =
+            ClassTable::new(&told(&[("a", Idempotent, 5)]), &BTreeMap::new(), &BTreeSet::new());
         let mut stored = BTreeSet::from(["a".to_owned()]);
         for n in 0..1_000 {
-            for change in classes.reconfigure(&told(&[("a", Safe, 6 + n)]), &BTreeSet::new()) {
+            for change in classes.reconfigure(&told(&[("a", Idempotent, 6 + n)]), &BTreeSet::new()) {
                 match change {
                     ClassChange::Put { tag, .. } => drop(stored.insert(tag)),
                     ClassChange::Delete { tag } => assert!(stored.remove(&tag)),
@@ -205,11 +225,11 @@
 
     #[test]
     fn what_the_store_holds_is_found_again_by_name_and_definition() {
-        let old = told(&[("a", Safe, 5), ("gone", Safe, 7), ("unused", Safe, 8)]);
+        let old = told(&[("a", Idempotent, 5), ("gone", Idempotent, 7), ("unused", Idempotent, 8)]);
         let mut stored: BTreeMap<String, Class> = old.into_iter().collect();
-        stored.insert("a\u{0}1".into(), class(Unsafe, 5));
+        stored.insert("a\u{0}1".into(), class(AtMostOnce, 5));
         let used = BTreeSet::from(["a", "gone"]);
-        let now = told(&[("new", Safe, 1), ("a", Unsafe, 5)]);
+        let now = told(&[("new", Idempotent, 1), ("a", AtMostOnce, 5)]);
         let (classes, changes) = ClassTable::new(&now, &stored, &used);
         assert_eq!(
             (classes.current_index("new"), classes.current_index("a"), classes.tag_at(1)),
@@ -217,7 +237,7 @@
         );
         let place = classes.index_of("gone").expect("a message has it");
         assert_eq!((classes.current_index("gone"), classes.definitions()[place].deadline), (None, 7));
-        assert_eq!(classes.definitions()[classes.index_of("a").expect("in use")].effect, Safe);
+        assert_eq!(classes.definitions()[classes.index_of("a").expect("in use")].effect, Idempotent);
         assert!(changes.contains(&ClassChange::Delete { tag: "unused".into() }));
         assert_eq!(changes.len(), 2, "{changes:?}");
     }
--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -226,18 +226,18 @@
 fn class(c: &ClassTold) -> Result<Class, ConfigError> {
     Ok(Class {
         effect: match c.effect.as_str() {
-            "idempotent" => Effect::Safe,
-            "deduplicated" => Effect::Keyed,
-            "at_most_once" => Effect::Unsafe,
+            "idempotent" => Effect::Idempotent,
+            "deduplicated" => Effect::Deduplicated,
+            "at_most_once" => Effect::AtMostOnce,
             other => return Err(ConfigError::Value(format!("unknown effect {other}"))),
         },
-        group: match c.group.as_str() {
-            "" | "all" => Group::All,
-            "zone" => Group::Zone,
-            _ => Group::Endpoint,
+        dedup_scope: match c.group.as_str() {
+            "" | "all" => DedupScope::All,
+            "zone" => DedupScope::Zone,
+            _ => DedupScope::Endpoint,
         },
-        memory: down(c.memory_span_s)?,
-        wanted: down(c.slo_s)?,
+        dedup_window: down(c.memory_span_s)?,
+        target_time: down(c.slo_s)?,
         deadline: down(c.deadline_s)?,
         worth: c.worth,
         late_share: c.late_share,
@@ -259,42 +259,42 @@
         max_attempts: b.max_attempts,
         senders: told.siblings,
         zone: zone.map_or(u32::MAX, |z| z as u32),
-        second_copies: b.parallel_tries,
+        parallel_attempts: b.parallel_tries,
         may_cancel: b.cancelling,
         // The protocol has no probe.
         may_probe: false,
-        may_note: b.peer_messages && file.peer_listen.is_some() && file.peers_all.is_some(),
+        may_send_notes: b.peer_messages && file.peer_listen.is_some() && file.peers_all.is_some(),
         list: match told.discovery.as_str() {
             "push" => ListMode::Push,
             "ask" => ListMode::Ask,
             other => return Err(ConfigError::Value(format!("unknown discovery mode {other}"))),
         },
         classes: told.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenants: told.parties.iter().map(|p| p.allowance_per_s.unwrap_or(f64::MAX)).collect(),
+        tenant_allowances: told.parties.iter().map(|p| p.allowance_per_s.unwrap_or(f64::MAX)).collect(),
         over_share_worth: told.over_share_worth,
         kinds: (0..kinds.len())
             .map(|i| Kind {
-                apart: info.kind_apart.get(i).copied().unwrap_or(false),
-                bundle: info.bundle_max.get(i).copied().unwrap_or(1).max(1),
+                per_endpoint: info.kind_apart.get(i).copied().unwrap_or(false),
+                max_bundle: info.bundle_max.get(i).copied().unwrap_or(1).max(1),
             })
             .collect(),
-        fade: match info.fades.as_deref() {
-            None | Some("even") => Fade::Even,
-            Some("by_half") => Fade::ByHalf,
+        worth_decay: match info.fades.as_deref() {
+            None | Some("even") => WorthDecay::Linear,
+            Some("by_half") => WorthDecay::Halving,
             Some(other) => return Err(ConfigError::Value(format!("unknown fade {other}"))),
         },
-        clients_mark: told.clients.marks_retry,
-        start_share: safety.start_capacity,
-        cold: up(safety.cold_s)?,
-        fall_multiple: safety.overload_factor,
-        fall_after: down(safety.tip_after_s)?,
+        clients_mark_retries: told.clients.marks_retry,
+        start_capacity: safety.start_capacity,
+        warm_up: up(safety.cold_s)?,
+        overload_factor: safety.overload_factor,
+        overload_after: down(safety.tip_after_s)?,
         key_rest: up(safety.key_rest_s)?,
         connect_timeout: up(b.connect_timeout_s)?,
         conn_idle: down(b.conn_idle_s)?,
         multiplex: b.multiplex,
-        conns_told: true,
+        connections_reported: true,
         tick: up(told.tick_s)?,
-        max_advice: if b.retry_after { down(b.max_retry_after_s)? } else { 0 },
+        max_retry_after: if b.retry_after { down(b.max_retry_after_s)? } else { 0 },
     };
     settings.check().map_err(ConfigError::Settings)?;
     let seed = match &file.seed {
@@ -356,10 +356,10 @@
         let c = read(TEXT).expect("sound");
         assert_eq!((c.settings.slots, c.settings.tick, c.settings.conn_idle), (7, 5_000, 5_000_000));
         assert_eq!((c.settings.zone, c.settings.senders, c.seed), (1, 3, 0x8c1f_30d2_7a5b_e964));
-        assert_eq!(c.settings.kinds[0], Kind { apart: true, bundle: 20 });
+        assert_eq!(c.settings.kinds[0], Kind { per_endpoint: true, max_bundle: 20 });
         assert_eq!(
             (c.settings.classes[1].effect, c.settings.classes[1].deadline),
-            (Effect::Unsafe, 24_000_000)
+            (Effect::AtMostOnce, 24_000_000)
         );
         assert_eq!((c.disk_bytes, c.memory_bytes), (3_000_000, 192_000_000));
         assert_eq!((c.max_descriptors, c.initial_list.revision), (1024, 41));
--- a/crates/limits/examples/curve.rs
+++ b/crates/limits/examples/curve.rs
@@ -241,6 +241,6 @@
         "an event: {breaks:.1} ns in Breaks, {latency:.1} ns in Latency, {rate:.1} ns in Rate (a call: sent, \
          answered)"
     );
-    println!("({blamed}, {:.0}, {:.1})", l.usual(1), r.through(EVENTS * 1_000));
+    println!("({blamed}, {:.0}, {:.1})", l.upper_bound(1), r.through(EVENTS * 1_000));
     limits(&folder)
 }
--- a/crates/limits/src/latency.rs
+++ b/crates/limits/src/latency.rs
@@ -10,9 +10,9 @@
 ///
 /// ```
 /// let mut l = notchpoint_limits::Latency::default();
-/// assert_eq!(l.usual(1_000_000), 1_000_000.0); // nothing is known: what is wanted
+/// assert_eq!(l.upper_bound(1_000_000), 1_000_000.0); // nothing is known: what is wanted
 /// (0..100).for_each(|_| l.observe(20_000));
-/// assert!((l.usual(1_000_000) - 20_000.0).abs() < 1.0);
+/// assert!((l.upper_bound(1_000_000) - 20_000.0).abs() < 1.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
@@ -37,7 +37,7 @@
     }
 
     /// The slowest answer that is still usual; `unknown` while there was none.
-    pub fn usual(&self, unknown: Micros) -> f64 {
+    pub fn upper_bound(&self, unknown: Micros) -> f64 {
         if self.smoothed == 0.0 { unknown as f64 } else { self.smoothed + 4.0 * self.deviation }
     }
 
--- a/crates/limits/tests/estimators.rs
+++ b/crates/limits/tests/estimators.rs
@@ -77,7 +77,7 @@
             l.observe(took + took * jitter / 100 * (n % 2));
         }
         let slowest = (took + took * jitter / 100) as f64;
-        prop_assert!(l.usual(1) >= slowest * 0.999, "{} of {slowest}", l.usual(1));
+        prop_assert!(l.upper_bound(1) >= slowest * 0.999, "{} of {slowest}", l.upper_bound(1));
         prop_assert!(l.best() <= l.mean(1) && l.mean(1) <= slowest);
         prop_assert!(!l.is_slow(3.0));
         // Four times as slow for a while: that shows, and is not forgotten at once.
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,7 +1,7 @@
-//! Every decision of the library. Its interface (settings, events, actions) is `src/interface.rs`.
+//! All decisions of the library. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! The ordinary path is one fractional AIMD window for each destination or route apart, after "Stop
-//! Hard-Coding Your Agent Concurrency: Let It Tune Itself From What It Observes". All else guards it.
+//! The main path is one fractional AIMD window for each route, after "Stop Hard-Coding Your Agent
+//! Concurrency: Let It Tune Itself From What It Observes". Everything else protects it.
 
 use crate::interface::Outcome::{
     Cancelled, ConnectFailed, Failed, Full, Moot, NotSent, Reset, Served, Spoilt, TimedOut,
@@ -21,81 +21,82 @@
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
-/// Window: where it starts and its floor, what a served call adds, what congestion leaves of it.
+/// The initial and least window, its growth per served call, and the factor that congestion applies.
 const FLOOR: f64 = 1.0;
 const STEP: f64 = 0.5;
 const CUT: f64 = 0.5;
-/// No growth for so long after a cut: many call times, so that a cut is felt before it is undone.
+/// The window does not grow for this long after a cut. It spans many calls, so that a cut takes effect first.
 const COOLDOWN: Micros = 8 * SEC;
-/// A destination may hold this share of the slots, and the second while it fails or is slow.
+/// The share of the slots that a destination may occupy, normally and while it fails or is slow.
 const CEILING: f64 = 0.75;
 const CEILING_TROUBLED: f64 = 0.5;
-/// Less of the told allowance than this left: the window holds.
+/// The window does not grow while less than this share of the reported rate limit is left.
 const LOW_ALLOWANCE: f64 = 0.1;
-/// Least rest after a refusal that told no wait. The pace that was learned sets how long it is.
+/// The least backoff after a refusal without a wait. The learned rate sets its usual length.
 const REST: Micros = 250 * MS;
-/// It is longer where few messages come in: by this share of the time between two, up to a limit.
+/// With few messages the backoff is this share of the time between two of them, up to a limit.
 const REST_FLOW: f64 = 0.5;
 const REST_MOST: Micros = 4 * SEC;
-/// A route rests so long after a call that this side could not send: what failed here is not mended by asking
-/// at once, and each try costs as much as a call.
+/// The backoff of a route after a call that this side could not send: an immediate retry would not mend the
+/// fault, and each try costs as much as a call.
 const LOCAL_REST: Micros = 100 * MS;
-/// Pace: what a served call makes of it, and what a note of a refusal does.
+/// The factors that a served call and a note of a refusal apply to the pace.
 const PACE_UP: f64 = 1.3;
-/// So many refusals in a row, none served between: a drowned limit, not just a full one.
+/// After this many refusals in a row a limit counts as overwhelmed, not just as reached.
 const DROWNED: u32 = 2;
 const PACE_HEARD: f64 = 0.7;
-/// Least wait before a breaker's trial, since most outages that a sender sees are brief stalls.
+/// The least wait before a trial call of the breaker. Most outages that a sender sees are brief stalls.
 const TRIAL_WAIT: Micros = 500 * MS;
-/// So many failed calls, none served in between, open the breaker: one may be chance.
+/// This many failed calls with none served in between open the breaker; one may be random.
 const FAILS_OPEN: u32 = 2;
-/// Plain errors say less: destinations err now and then when sound.
+/// The same for plain errors, which are a weaker sign: healthy destinations return some.
 const ERRORS_OPEN: u32 = 3;
-/// Calls failed, but the last served one is no older than this: lost answers, not an outage that leaves a
-/// destination cold. Longer would risk a ramp left out after a short crash.
+/// If calls failed but one was served within this time, answers were lost; there was no outage that needs a
+/// slow start. A longer time could omit the slow start after a short crash.
 const OUTAGE_LEAST: Micros = 3 * SEC;
-/// A call is overdue after so many times the estimate of the slowest usual answer, and this at least.
+/// A call is overdue after this multiple of the latency bound, and after this time at least.
 const OVERDUE_TIMES: f64 = 2.0;
 const OVERDUE_LEAST: Micros = 500 * MS;
-/// It is late, and may be called off where its slot is worth more, after the estimate and this at least.
+/// A call is late, and may be cancelled for its slot, after the latency bound and this time at least.
 const LATE_LEAST: Micros = 250 * MS;
-/// Time-outs in the same measure, for what may be repeated: after overdue, so that the breaker acts first.
+/// The time-out of repeatable messages as a multiple of the latency bound. Calls become overdue before it, so
+/// that the breaker reacts first.
 const TIMEOUT_TIMES: f64 = 3.0;
-/// An endpoint that failed is passed over for so long, doubling; by class after so many errors.
+/// The backoff of a failed endpoint, which doubles; for a class it starts after this many errors.
 const ENDPOINT_REST: Micros = SEC;
 const ERRORS_REST: u32 = 2;
-/// A destination answering so many times slower than its best counts as slow.
+/// A destination counts as slow at this multiple of its best latency.
 const SLOW_TIMES: f64 = 3.0;
-/// A queue is taken to move at this rate at least (messages a second).
+/// The least rate at which a queue is assumed to move, in messages per second.
 const RATE_LEAST: f64 = 1.0;
-/// While held work waits for credit, it is looked at this often.
+/// The interval at which held messages that wait for credit are checked.
 const RAMP_LOOK: Micros = 100 * MS;
-/// Of the room to hold messages this share is kept free, so that the choice of what to shed is ours.
+/// Load shedding keeps this share of the room for messages free, so that the sender selects what to shed.
 const ROOM_FREE: f64 = 0.05;
-/// Guesses: what is left of an outage that shows, and what a call takes.
+/// The assumed remaining time of an outage, and the assumed duration of a call.
 const OUTAGE_GUESS: Micros = 6 * SEC;
 const CALL_GUESS: Micros = 300 * MS;
-/// Weight of what a message earns beside what waiting would lose.
+/// The weight of a message's worth beside the worth that it loses by waiting.
 const EARNS: f64 = 0.2;
-/// A call that goes silent on a connection idle for so long says nothing of its destination.
+/// A call without an answer is no sign of its destination if its connection had been idle for this long.
 const IDLE_DOUBT: Micros = 500 * MS;
-/// A reset connection that had been idle for less was closed in that very moment, which teaches nothing.
+/// A connection that is reset after less idle time was closed at that instant; its age is not learned.
 const CROSSING: Micros = 20 * MS;
-/// A connection idle for this share of the time after which one was found dropped is still used.
+/// Connections are used up to this share of the idle time after which one was found closed.
 const IDLE_SHARE: f64 = 0.75;
-/// A message that failed by itself waits so long before its next attempt, doubling.
+/// The backoff of a message after an error or a failed connect, which doubles.
 const AGAIN: Micros = 150 * MS;
-/// A repeat has arrived so long after it was decided that it may begin: the process may be held up for 150 ms
-/// before its first byte.
+/// A repeat may begin only if it would still be in time this much later: the process may stall for 150 ms
+/// before the first byte.
 const ARRIVES: Micros = 250 * MS;
-/// A watch that failed is asked for again after this, and one without an answer is given up after the second.
-/// Together with what an attempt takes it stays under the 6 s after which changes count as told; shorter, a
-/// hundred senders drown a service that has room for few calls, and none is answered.
+/// The delay before a failed watch is renewed, and the time-out of an unanswered one. With the duration of an
+/// attempt they stay under the 6 s after which changes must be known. If they were shorter, a hundred senders
+/// would overload a service that has room for few calls, and none would be answered.
 const WATCH_AGAIN: Micros = 2 * SEC;
 const WATCH_LAST: Micros = 3 * SEC;
-/// What was known of a route apart that left the list is kept for so long.
+/// How long the state of a route is kept after the list dropped it.
 const FORGET: Micros = 60 * SEC;
-/// How long a note of an outage waits for a second, and the least time between two written about a route.
+/// How long a note of an outage waits for a second one, and the least time between two notes about a route.
 const NOTE_SPAN: Micros = 5 * SEC;
 const NOTE_LEAST: Micros = 2 * SEC;
 
@@ -115,7 +116,7 @@
         (self.fails, self.errors, self.fulls) = (0, 0, 0);
         match self.health {
             Health::Open { failed: true, .. } if gap >= OUTAGE_LEAST => {
-                // Who had nothing to try with, or was told to wait, learns no more by that than by a trial.
+                // A sender that could not try meanwhile counts no more than the time between two trials.
                 let gap = (now - self.failed_at).min((SEC as f64 / trials) as Micros);
                 self.health = Health::Ramp { since: now, gap };
             }
@@ -124,7 +125,7 @@
         }
     }
 
-    /// Opens the breaker, or pushes out the next trial of an open one.
+    /// Opens the breaker, or postpones the next trial of an open one.
     fn open(&mut self, now: Micros, failed_now: bool, wait: Micros) {
         let (since, failed, ramp) = match self.health {
             Health::Open { since, failed, ramp, .. } => (since, failed || failed_now, ramp),
@@ -136,7 +137,7 @@
         self.health = Health::Open { since, until: now + wait, failed, trial: None, ramp };
     }
 
-    /// Calls that the window lets go. One whose answer is lost holds no place in it.
+    /// Returns how many calls the window still admits. A call whose answer is lost takes no place in it.
     fn room(&self) -> usize {
         let limit = if self.fails > 0 { 1 } else { self.window as u32 };
         limit.saturating_sub(self.out - self.lost) as usize
@@ -144,12 +145,12 @@
 }
 
 impl Endpoint {
-    /// Passes the endpoint over, doubling, from so many failures on. By class, it guards against ones that
-    /// fail one class, unseen by the window; also bad releases, broken accounts. Bad messages wait in vain.
+    /// Counts a failure and backs off, doubling, from `from` failures on. Per class, it avoids endpoints that
+    /// fail one class, which the window does not show (bad releases, accounts). Faulty messages wait in vain.
     fn fail(&mut self, class: Option<usize>, now: Micros, from: u32) {
         let (fails, until) = self.rests.entry(class).or_default();
         if class.is_none() && now < *until {
-            return; // It was sent before the rest began: the same trouble.
+            return; // The call was sent before the backoff began: it is the same failure.
         }
         *fails += 1;
         if *fails >= from {
@@ -159,7 +160,7 @@
 }
 
 impl Sender {
-    /// Takes in all events of one moment, then makes one dispatch pass. `now` must not run backwards.
+    /// Processes all events of one turn, then dispatches messages once. `now` must not go backwards.
     pub fn handle(&mut self, now: Micros, events: &[Event], out: &mut Vec<Action>) {
         self.now = now.clamp(self.now, FAR);
         self.wake = self.wake.filter(|&w| w > self.now);
@@ -167,18 +168,18 @@
         for e in events {
             match e {
                 Event::Taken(m) => self.taken(m, 0, None),
-                Event::Resumed { message, attempts, ran } => self.resumed(message, *attempts, *ran),
-                Event::Ended { id, attempt, outcome, over, allowance } => {
-                    self.ended(*id, *attempt, *outcome, *over, *allowance);
+                Event::Resumed { message, attempts, ran_ago } => self.resumed(message, *attempts, *ran_ago),
+                Event::Ended { id, attempt, outcome, is_final, allowance } => {
+                    self.ended(*id, *attempt, *outcome, *is_final, *allowance);
                 }
                 Event::Withdrawn(id) => self.finish(*id),
                 Event::List(news) => self.list(news),
                 Event::Note { from, body } => self.note(*from, body),
                 Event::Unused(id) => self.idle(*id, true),
                 Event::Closed(id) => self.idle(*id, false),
-                Event::Service { endpoint, out } => self.service(*endpoint, *out),
+                Event::Service { endpoint, out_of_service } => self.service(*endpoint, *out_of_service),
                 Event::Settings(set) => self.retune(set),
-                Event::Zone { zone, share, tries, spared } => self.set_zone(*zone, *share, *tries, spared),
+                Event::Zone { zone, share, probe, exempt } => self.set_zone(*zone, *share, *probe, exempt),
                 Event::Wake | Event::Probed { .. } => {}
             }
         }
@@ -199,8 +200,8 @@
         (span as f64 * (0.75 + 0.5 * self.rng.f64())) as Micros
     }
 
-    fn list(&mut self, news: &ListNews) {
-        if *news == ListNews::Unavailable {
+    fn list(&mut self, news: &ListUpdate) {
+        if *news == ListUpdate::Unavailable {
             let ask = self.set.list == ListMode::Ask;
             self.watch_at = if ask { self.now + self.jitter(WATCH_AGAIN) } else { self.watch_at };
             return;
@@ -213,62 +214,62 @@
         self.forget_unlisted(FORGET);
         let dests = &self.dests;
         self.leans.values_mut().for_each(|l| l.keep(|d| dests.contains_key(&d)));
-        if !matches!(news, ListNews::Restored(_)) {
+        if !matches!(news, ListUpdate::Restored(_)) {
             self.watch_at = Micros::MAX;
         }
     }
 
-    /// New settings bind from now on: what has had all its attempts under them waits for nothing.
+    /// Applies new settings. Messages that have no attempt left under them are given up.
     fn retune(&mut self, set: &Settings) {
         self.set_terms(set);
         let spent = self.held.iter().filter(|(_, h)| !h.done && h.out == 0 && !self.may(h).0);
         spent.map(|(&id, _)| id).collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(id));
     }
 
-    /// Operators restart what they take out: it comes back cold, from an outage that no call has seen.
+    /// Operators restart what they take out of service, so it returns cold after an outage without calls.
     fn service(&mut self, id: EndpointId, out: bool) {
         let (news, others) = self.set_out(id, out);
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| news && !out) else { return };
-        (e.cold_until, e.no_room) = (self.now + self.set.cold, 0);
+        (e.cold_until, e.no_room) = (self.now + self.set.warm_up, 0);
         e.rests.clear();
-        let apart = self.dests.get(&e.dest).is_some_and(|d| d.apart).then_some(id);
-        if let Some(r) = self.routes.get_mut(&(e.dest, apart)).filter(|_| !others) {
+        let endpoint = self.dests.get(&e.dest).is_some_and(|d| d.per_endpoint).then_some(id);
+        if let Some(r) = self.routes.get_mut(&(e.dest, endpoint)).filter(|_| !others) {
             (r.health, r.fails, r.errors) = (Health::Ramp { since: self.now, gap: 0 }, 0, 0);
             (r.credit, r.credit_at) = (r.credit.min(1.0), self.now);
         }
     }
 
-    /// An earlier process may have sent it: its attempts count, and what may have run binds as ever.
-    fn resumed(&mut self, m: &Message, attempts: u32, ran: Option<(Micros, EndpointId)>) {
-        let ran = ran.map(|(ago, endpoint)| (self.now.saturating_sub(ago), endpoint));
-        self.taken(m, attempts, ran);
+    /// Resumes a message of an earlier process. Earlier attempts count, as does one that may have run.
+    fn resumed(&mut self, m: &Message, attempts: u32, ran_ago: Option<(Micros, EndpointId)>) {
+        let ran_at = ran_ago.map(|(ago, endpoint)| (self.now.saturating_sub(ago), endpoint));
+        self.taken(m, attempts, ran_at);
         if self.held.get(&m.id).is_some_and(|h| !h.done && !self.may(h).0) {
             self.give_up(m.id);
         }
     }
 
-    fn taken(&mut self, m: &Message, attempts: u32, ran: Option<(Micros, EndpointId)>) {
-        let class = self.set.classes.get(m.class as usize).map(|c| (c.wanted, c.deadline, c.in_order));
-        let Some((wanted, deadline, in_order)) = class else {
-            return self.out.push(Action::Refuse { id: m.id, after: 0 });
+    fn taken(&mut self, m: &Message, attempts: u32, ran_at: Option<(Micros, EndpointId)>) {
+        let class = self.set.classes.get(m.class as usize).map(|c| (c.target_time, c.deadline, c.in_order));
+        let Some((target, deadline, in_order)) = class else {
+            return self.out.push(Action::Refuse { id: m.id, retry_after: 0 });
         };
         if self.held.contains_key(&m.id) {
             return;
         }
         let expires = self.now + m.expires_in.min(FAR);
-        // Where clients mark what they hand in again, what is unmarked is fresh, even with little time left.
-        let fresh = self.set.clients_mark && !m.again;
-        let aim = if fresh { self.now + wanted } else { (expires + wanted).saturating_sub(deadline) };
+        // If clients mark retries, an unmarked message is new even if it has little time left.
+        let fresh = self.set.clients_mark_retries && !m.is_retry;
+        let aim = if fresh { self.now + target } else { (expires + target).saturating_sub(deadline) };
         let over_share = m.tenant.is_some_and(|t| self.over_share(t as usize));
         let key = m.key.clone().filter(|_| in_order);
         if let Some(k) = &key {
             self.keys.entry(k.clone()).or_default().0.push_back(m.id);
         }
         let class = m.class as usize;
-        // No call of this process bears the number that stands for earlier attempts.
+        // This number of earlier attempts belongs to no call of this process.
         let attempts = vec![u64::MAX; attempts as usize];
         let held =
-            Held { class, dest: m.dest, key, over_share, aim, expires, attempts, ran, ..Held::default() };
+            Held { class, dest: m.dest, key, over_share, aim, expires, attempts, ran_at, ..Held::default() };
         self.held.insert(m.id, held);
         self.live += 1;
         let now = self.now;
@@ -283,8 +284,8 @@
         while self.live as f64 > room.max(1.0) && self.shed() {}
     }
 
-    /// Room is short: refuses what earns least for the time that it will fill a place. It guards against a
-    /// rush to one destination, or dead ones, pushing out the rest; it hurts where the wait is misjudged.
+    /// Refuses the message with the least worth per time that it would be held. This keeps a rush to one
+    /// destination, or failed destinations, from displacing other messages; it errs if the wait is misjudged.
     fn shed(&mut self) -> bool {
         let mut victim: Option<(f64, MessageId)> = None;
         for (dest, d) in self.waiting() {
@@ -297,65 +298,65 @@
             }
         }
         let Some((_, id)) = victim else { return false };
-        self.out.push(Action::Refuse { id, after: SEC.min(self.set.max_advice) });
+        self.out.push(Action::Refuse { id, retry_after: SEC.min(self.set.max_retry_after) });
         self.finish(id);
         true
     }
 
-    /// How long until a message that joins this queue would be answered, as far as can be told.
+    /// Estimates how long a message that joins this queue waits until it is answered.
     fn expected_wait(&self, dest: DestinationId, d: &Dest) -> Micros {
         let live = d.endpoints.iter().any(|e| self.endpoints[e].live);
         let shut = self.routes.range(routes_of(dest)).all(|(_, r)| matches!(r.health, Health::Open { .. }));
         let base = if !live || shut { OUTAGE_GUESS } else { CALL_GUESS };
-        let rate = d.flow(self.now).max(RATE_LEAST) / d.part() * d.bundle.max(1) as f64;
+        let rate = d.flow(self.now).max(RATE_LEAST) / d.part() * d.max_bundle.max(1) as f64;
         base + (d.queue.len() as f64 / rate * SEC as f64) as Micros
     }
 
-    /// The one place that says whether a message may be sent again, and whether it may be refused.
-    /// Nothing that may have run is sent or refused beyond what its effect allows.
+    /// Returns whether a message may be sent, and whether it may be refused. No other code decides it, so
+    /// that nothing that may have run is sent or refused beyond what its effect allows.
     fn may(&self, h: &Held) -> (bool, bool) {
         let c = &self.set.classes[h.class];
         let left = h.tries() < self.set.max_attempts as usize;
-        match (c.effect, h.ran) {
+        match (c.effect, h.ran_at) {
             (_, None) => (left && h.out == 0, h.out == 0),
-            (Effect::Safe, _) => (left && h.out == 0, true),
-            (Effect::Keyed, Some((since, _))) => {
-                let known = |span| self.now + span < since + c.memory;
-                // Refused, its client comes again after the advice at the latest, with a whole deadline.
-                let harmless = c.group == Group::All && known(self.set.max_advice + c.deadline);
-                (left && h.out == 0 && known(OVERDUE_LEAST), h.out == 0 && harmless)
+            (Effect::Idempotent, _) => (left && h.out == 0, true),
+            (Effect::Deduplicated, Some((since, _))) => {
+                let known = |span| self.now + span < since + c.dedup_window;
+                // Its client retries after the longest advice at the latest, with a whole new deadline.
+                let safe = c.dedup_scope == DedupScope::All && known(self.set.max_retry_after + c.deadline);
+                (left && h.out == 0 && known(OVERDUE_LEAST), h.out == 0 && safe)
             }
-            (Effect::Unsafe, _) => (false, false),
+            (Effect::AtMostOnce, _) => (false, false),
         }
     }
 
-    /// For how long an attempt that is decided now may still begin: a repeat has to arrive while it is known.
+    /// Returns how long an attempt may take to begin: a repeat must arrive within the deduplication window.
     fn start_within(&self, h: &Held) -> Micros {
         let c = &self.set.classes[h.class];
         let known = h
-            .ran
-            .filter(|_| c.effect == Effect::Keyed)
-            .map(|(since, _)| (since + c.memory).saturating_sub(ARRIVES));
+            .ran_at
+            .filter(|_| c.effect == Effect::Deduplicated)
+            .map(|(since, _)| (since + c.dedup_window).saturating_sub(ARRIVES));
         known.map_or(h.expires, |at| at.min(h.expires)).saturating_sub(self.now)
     }
 
-    /// For a keyed message that may have run: only to who would drop the repeat.
+    /// Returns whether the endpoint may receive the message: a repeat goes only where it would be dropped.
     fn may_go_to(&self, h: &Held, id: EndpointId) -> bool {
         let c = &self.set.classes[h.class];
-        match (c.effect, h.ran, c.group) {
-            (Effect::Keyed, Some((_, e)), Group::Endpoint) => e == id,
-            (Effect::Keyed, Some((_, e)), Group::Zone) => {
+        match (c.effect, h.ran_at, c.dedup_scope) {
+            (Effect::Deduplicated, Some((_, e)), DedupScope::Endpoint) => e == id,
+            (Effect::Deduplicated, Some((_, e)), DedupScope::Zone) => {
                 self.endpoints.get(&e).map(|x| x.zone) == Some(self.endpoints[&id].zone)
             }
             _ => true,
         }
     }
 
-    /// The last word where no more can be done: a refusal if it may be one, else no promise. It comes at
-    /// once, so a client that may try again is told when: after as long as the next trial would wait.
+    /// Ends a message that cannot be sent again: with a refusal if it may be refused, otherwise as failed. A
+    /// refusal comes early, so it advises the client to wait as long as a trial would.
     fn give_up(&mut self, id: MessageId) {
-        let (refuse, after) = (self.may(&self.held[&id]).1, TRIAL_WAIT.min(self.set.max_advice));
-        self.out.push(if refuse { Action::Refuse { id, after } } else { Action::Fail { id } });
+        let (refuse, retry_after) = (self.may(&self.held[&id]).1, TRIAL_WAIT.min(self.set.max_retry_after));
+        self.out.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
 
@@ -366,36 +367,34 @@
         self.keys.retain(|_, k| !k.0.is_empty() || k.1 > now);
     }
 
-    /// With an attempt out its time-out at the deadline answers as well; else a turn earlier.
+    /// Returns when a message is given up: at its deadline if an attempt is in flight, else two ticks before.
     fn answer_by(&self, h: &Held) -> Micros {
         if h.out > 0 { h.expires } else { h.expires.saturating_sub(2 * self.set.tick) }
     }
 
-    /// Silence counts before the time-out does: a call overdue with nothing heard since it was sent opens the
-    /// breaker. It guards against hung and silent destinations; it might hold back one that has only a slow
-    /// message, for a trial's time.
+    /// Opens the breaker of a route with an overdue call if none sent since was served. This detects hung
+    /// destinations before time-outs do; it may pause a route that has only a slow message until a trial.
     fn find_silent(&mut self) {
         let wait = self.jitter(TRIAL_WAIT);
         let mut silent = Vec::new();
         for (&id, c) in &mut self.calls {
             let Some(r) = self.routes.get_mut(&c.route) else { continue };
             if self.now >= c.overdue && r.last_ok > c.sent && !c.lost {
-                // What was sent later was served: it is the connection that fell silent, or a slow message.
-                // It is waited for, but holds no place in the window, which one such call could fill for as
-                // long as its message lives. Its endpoint is passed over unless that has answered since.
+                // A later call was served, so only this connection is silent or the message is slow. The call
+                // continues but takes no place in the window, which it could fill until its message expires.
+                // Its endpoint is avoided unless it has answered since.
                 (c.lost, r.lost) = (true, r.lost + 1);
                 [&mut self.late, &mut r.late].into_iter().for_each(|l| l.lose(c.stage));
-                let alone = self.dests.get(&c.route.0).is_none_or(|d| d.apart || d.endpoints.len() < 2);
-                if let Some(e) =
-                    self.endpoints.get_mut(&c.endpoint).filter(|e| e.answered <= c.sent && !alone)
+                let only = self.dests.get(&c.route.0).is_none_or(|d| d.per_endpoint || d.endpoints.len() < 2);
+                if let Some(e) = self.endpoints.get_mut(&c.endpoint).filter(|e| e.answered <= c.sent && !only)
                 {
                     e.fail(None, self.now, 1);
                 }
                 continue;
             }
             if self.now >= c.overdue && (IDLE_DOUBT..FAR).contains(&c.idle) {
-                // Idle connections may be dropped unseen: the connection is blamed first, and those idle as
-                // long are closed. A hung destination shows by the next call, on a fresh connection.
+                // An idle connection may have been dropped silently. It is blamed first, and connections idle
+                // for as long are closed; a hung destination shows in the next call, on a new connection.
                 let old = if self.now < self.idle_safe.1 { self.idle_safe.0 } else { FAR };
                 self.idle_safe = (old.min(c.idle * 3 / 4), self.now + FORGET);
                 (c.idle, c.overdue) = (FAR, c.overdue + (c.overdue - c.sent));
@@ -403,7 +402,7 @@
             }
             match r.health {
                 _ if self.now < c.overdue || r.last_ok > c.sent => {}
-                // The next trial does not wait for this one's time-out, which may be an unsafe message's.
+                // The next trial does not wait for the time-out of this one, which may be long.
                 Health::Open { trial: Some(t), .. } if t == id => r.open(self.now, false, wait),
                 Health::Open { .. } => {}
                 _ => {
@@ -450,7 +449,7 @@
         d: &Dest,
         barred: &[EndpointId],
     ) -> Option<(f64, EndpointId, MessageId)> {
-        // Best is what gains most for the time that it holds a slot: a call of many messages, a quick route.
+        // The best call has the most priority per time in a slot: many messages, or a fast route.
         if self.share_hold(dest).is_some() {
             return None;
         }
@@ -461,7 +460,7 @@
             if barred.contains(&id) || self.endpoint_hold(id).is_some() {
                 continue;
             }
-            let Some(r) = self.routes.get(&(dest, d.apart.then_some(id))) else { continue };
+            let Some(r) = self.routes.get(&(dest, d.per_endpoint.then_some(id))) else { continue };
             let Ok(trial) = self.route_ready(r, flow) else { continue };
             let lives = self.set.conn_idle.min(d.trusted(self.now));
             let cold = !e.idle.iter().any(|&t| t + lives > self.now);
@@ -472,25 +471,26 @@
         let wait = self.expected_wait(dest, d);
         for &(trial, .., endpoint) in &ends {
             let trial = trial || self.is_tried(endpoint);
-            let risk = |id| if trial { self.set.classes[self.held[id].class].effect } else { Effect::Safe };
+            let risk =
+                |id| if trial { self.set.classes[self.held[id].class].effect } else { Effect::Idempotent };
             let able = d.queue.iter().filter(|id| self.sendable(**id, endpoint));
             let found = able.min_by(|a, b| risk(a).cmp(&risk(b)).then(self.order(a, b, wait)));
             if let Some(&id) = found {
                 let index = |q: &MessageId| self.index(&self.held[q], wait);
                 let mut rest: Vec<MessageId> = Vec::new();
-                if !trial && d.bundle > 1 {
+                if !trial && d.max_bundle > 1 {
                     rest.extend(d.queue.iter().filter(|q| **q != id && self.sendable(**q, endpoint)));
                     rest.sort_by(|a, b| index(b).total_cmp(&index(a)));
                 }
-                let load = self.load(endpoint, id, rest, d.bundle);
-                let took = self.routes[&(dest, d.apart.then_some(endpoint))].latency.mean(CALL_GUESS);
+                let load = self.load(endpoint, id, rest, d.max_bundle);
+                let took = self.routes[&(dest, d.per_endpoint.then_some(endpoint))].latency.mean(CALL_GUESS);
                 return Some((load.iter().map(index).sum::<f64>() / took, endpoint, id));
             }
         }
         None
     }
 
-    /// Order of serving: what would be lost by waiting for the queue once more, then what is earned.
+    /// Returns the priority of a message: the worth lost by waiting `wait` longer, and part of its worth.
     fn index(&self, h: &Held, wait: Micros) -> f64 {
         let now = h.worth(&self.set, self.now + CALL_GUESS);
         now - h.worth(&self.set, self.now + CALL_GUESS + wait) + EARNS * now
@@ -504,28 +504,28 @@
     fn send_call(&mut self, endpoint: EndpointId, id: MessageId, barred: &mut Vec<EndpointId>) {
         let dest = self.endpoints[&endpoint].dest;
         let d = &self.dests[&dest];
-        let route_id = (dest, d.apart.then_some(endpoint));
+        let route_id = (dest, d.per_endpoint.then_some(endpoint));
         let trial = self.is_trial(endpoint);
         let mut load = vec![id];
-        if d.bundle > 1 {
+        if d.max_bundle > 1 {
             barred.push(endpoint);
             let wait = self.expected_wait(dest, d);
             let wary =
                 |q: &MessageId| self.endpoints[&endpoint].rests.contains_key(&Some(self.held[q].class));
-            // A call ends with the first of its messages whose time is up: those near it go together.
+            // A call ends when the first of its messages expires, so messages close to that share a call.
             let near = |q: &MessageId| self.held[q].expires < self.now + OVERDUE_LEAST;
             let fit = |q: &MessageId| !wary(q) && near(q) == near(&id) && self.sendable(*q, endpoint);
             let able = |q: &&MessageId| **q != id && !trial && fit(q);
             let mut rest: Vec<MessageId> = d.queue.iter().filter(able).copied().collect();
             rest.sort_by(|a, b| self.order(a, b, wait));
-            load = self.load(endpoint, id, rest, d.bundle);
+            load = self.load(endpoint, id, rest, d.max_bundle);
         }
         let call = self.next_call;
         self.next_call += 1;
         let r = &self.routes[&route_id];
         let class = self.held[&id].class;
-        let unknown = self.set.classes[class].wanted;
-        let usual = r.latency.usual(unknown);
+        let unknown = self.set.classes[class].target_time;
+        let usual = r.latency.upper_bound(unknown);
         let overdue = self.now + ((OVERDUE_TIMES * usual) as Micros).max(OVERDUE_LEAST);
         let late = (usual as Micros).max(LATE_LEAST);
         let now = self.now;
@@ -533,7 +533,7 @@
         let stale = self.is_stale(&self.endpoints[&endpoint]);
         let mut used = None;
         if let Some(e) = self.endpoints.get_mut(&endpoint) {
-            e.idle.retain(|&t| self.set.conns_told || t + self.set.conn_idle > now);
+            e.idle.retain(|&t| self.set.connections_reported || t + self.set.conn_idle > now);
             if stale {
                 e.idle.clear();
                 self.out.push(Action::CloseIdle { endpoint });
@@ -551,12 +551,12 @@
         for &id in &load {
             let timeout = self.timeout(&self.held[&id], &self.routes[&route_id]);
             fresh.until = fresh.until.max(now.saturating_add(timeout));
-            let within = self.start_within(&self.held[&id]);
-            // The idle connection that is counted on may have ended by now, and a new one take its place.
+            let start_within = self.start_within(&self.held[&id]);
+            // The expected idle connection may have ended, and a new one would replace it.
             let careful = self.is_unsafe(&self.held[&id]);
             let proven_only = careful && unproven == 0;
             unproven = unproven.saturating_sub(u32::from(careful));
-            self.out.push(Action::Send { id, endpoint, timeout, within, proven_only });
+            self.out.push(Action::Send { id, endpoint, timeout, start_within, proven_only });
             if let Some(h) = self.held.get_mut(&id) {
                 h.attempts.push(call);
                 h.out += 1;
@@ -568,7 +568,7 @@
             (e.out, e.unheard) = (e.out + 1, e.unheard + unheard);
             (e.gap, e.used) = (now - e.used, now);
             self.leans.entry(e.zone).and_modify(|l| l.sent(dest));
-            // After a rest one message of the class tries; the others wait for what it finds.
+            // After a backoff one message of the class is sent; the others wait for its outcome.
             if let Some((_, until)) = e.rests.get_mut(&Some(class)).filter(|r| r.0 >= ERRORS_REST) {
                 *until = now + ENDPOINT_REST;
             }
@@ -583,18 +583,18 @@
         }
     }
 
-    /// Time-outs follow observed latency. A safe message gains by another try; an unsafe one loses all by an
-    /// early time-out, so it gets the time that it has left.
+    /// Returns the time-out, which follows the observed latency. A message that must not be repeated, or has
+    /// no attempt left, would be lost by an early time-out, so it gets all the time that is left.
     fn timeout(&self, h: &Held, r: &Route) -> Micros {
         let c = &self.set.classes[h.class];
         let left = h.expires.saturating_sub(self.now).max(1);
-        if c.effect == Effect::Unsafe || h.tries() + 1 >= self.set.max_attempts as usize {
+        if c.effect == Effect::AtMostOnce || h.tries() + 1 >= self.set.max_attempts as usize {
             return left;
         }
-        ((TIMEOUT_TIMES * r.latency.usual(c.wanted)) as Micros).max(c.wanted).min(left)
+        ((TIMEOUT_TIMES * r.latency.upper_bound(c.target_time)) as Micros).max(c.target_time).min(left)
     }
 
-    /// Asks to be woken when the next thing falls due that no event announces.
+    /// Requests a wake-up at the next time at which something is due without an event.
     fn plan_wake(&mut self) {
         let now = self.now;
         let mut next = self.watch_at;
--- a/crates/policy/src/choice/guard.rs
+++ b/crates/policy/src/choice/guard.rs
@@ -30,7 +30,7 @@
         }
         let trial = match &r.health {
             Health::Open { trial: Some(_), .. } => {
-                hold = both(hold, Some(Hold::open(Guard::Breaker)));
+                hold = both(hold, Some(Hold::until_event(Guard::Breaker)));
                 true
             }
             Health::Open { until, .. } => {
@@ -40,7 +40,7 @@
             }
             _ => {
                 let full = r.room() == 0;
-                hold = both(hold, full.then(|| Hold::open(Guard::Window)));
+                hold = both(hold, full.then(|| Hold::until_event(Guard::Window)));
                 false
             }
         };
@@ -49,7 +49,7 @@
 
     /// Holds a destination that has its share of the slots: what hangs there must leave room for others.
     pub(super) fn share_hold(&self, dest: DestinationId) -> Option<Hold> {
-        (self.share_room(dest) == 0).then(|| Hold::open(Guard::Share))
+        (self.share_room(dest) == 0).then(|| Hold::until_event(Guard::Share))
     }
 
     /// Calls that a destination may still start before it holds its share of the slots.
@@ -62,15 +62,15 @@
     pub(super) fn endpoint_hold(&self, id: EndpointId) -> Option<Hold> {
         let e = &self.endpoints[&id];
         if !e.live {
-            return Some(Hold::open(Guard::Drained));
+            return Some(Hold::until_event(Guard::Drained));
         }
         if self.left_alone(e) {
-            return Some(Hold::open(Guard::Zone));
+            return Some(Hold::until_event(Guard::Zone));
         }
         let mut fellows = self.dests[&e.dest].endpoints.iter().map(|o| &self.endpoints[o]);
         // Cold among others that serve: one call at a time, so that it is not pushed over.
         if self.now < e.cold_until && e.out > 0 && fellows.any(|o| o.live && self.now >= o.cold_until) {
-            return Some(Hold::open(Guard::Cold));
+            return Some(Hold::until_event(Guard::Cold));
         }
         // A rest is a preference: where all live endpoints rest, the route's breaker decides on trials.
         let rest = self.rest(e)?;
@@ -115,16 +115,16 @@
             hold = both(hold, Some(Hold::until(Guard::Again, h.not_before)));
         }
         if !self.may(h).0 {
-            hold = both(hold, Some(Hold::open(Guard::Spent)));
+            hold = both(hold, Some(Hold::until_event(Guard::Spent)));
         } else if !self.may_go_to(h, endpoint) {
-            hold = both(hold, Some(Hold::open(Guard::Repeat)));
+            hold = both(hold, Some(Hold::until_event(Guard::Repeat)));
         }
         if self.is_unsafe(h) && self.endpoints[&endpoint].unheard > 0 && self.unsafe_room(endpoint) == 0 {
-            hold = both(hold, Some(Hold::open(Guard::Unproven)));
+            hold = both(hold, Some(Hold::until_event(Guard::Unproven)));
         }
         let Some(k) = h.key.as_ref().and_then(|k| self.keys.get(k)) else { return hold };
         if k.0.front() != Some(&id) {
-            hold = both(hold, Some(Hold::open(Guard::Key)));
+            hold = both(hold, Some(Hold::until_event(Guard::Key)));
         } else if self.now < k.1 {
             hold = both(hold, Some(Hold::until(Guard::Key, k.1)));
         }
@@ -143,9 +143,9 @@
         for (dest, d) in self.waiting() {
             let (share, flow) = (self.share_hold(dest), d.flow(self.now));
             let end = |&id: &EndpointId| {
-                let route = self.routes.get(&(dest, d.apart.then_some(id)));
-                let route =
-                    route.map_or(Some(Hold::open(Guard::Drained)), |r| self.route_ready(r, flow).err());
+                let route = self.routes.get(&(dest, d.per_endpoint.then_some(id)));
+                let route = route
+                    .map_or(Some(Hold::until_event(Guard::Drained)), |r| self.route_ready(r, flow).err());
                 (id, both(both(share, self.endpoint_hold(id)), route))
             };
             let ends: Vec<(EndpointId, Option<Hold>)> = d.endpoints.iter().map(end).collect();
@@ -154,10 +154,10 @@
                 let first = held.min_by_key(|h| h.map(|h| (h.until.is_none(), h.until)));
                 let passed = self.passed.contains(&dest);
                 let hold = match first {
-                    None => Hold::open(Guard::Drained),
-                    Some(None) if full && self.passed.is_empty() => Hold::open(Guard::Slots),
-                    Some(None) => Hold::open(Guard::Order),
-                    Some(Some(h)) if passed && h.guard.is_room() => Hold::open(Guard::Order),
+                    None => Hold::until_event(Guard::Drained),
+                    Some(None) if full && self.passed.is_empty() => Hold::until_event(Guard::Slots),
+                    Some(None) => Hold::until_event(Guard::Order),
+                    Some(Some(h)) if passed && h.guard.is_capacity_limit() => Hold::until_event(Guard::Order),
                     Some(Some(h)) => h,
                 };
                 all.push((id, dest, hold));
--- a/crates/policy/src/choice/notes.rs
+++ b/crates/policy/src/choice/notes.rs
@@ -9,7 +9,7 @@
         let Some(r) = self.routes.get_mut(&route) else { return };
         let told = if matches!(what, Word::Full | Word::Scarce) { &mut r.full_told } else { &mut r.told };
         let timed = matches!(what, Word::Wait(_)); // told only where it is news
-        if !self.set.may_note || self.set.senders < 2 || !timed && self.now < *told + NOTE_LEAST {
+        if !self.set.may_send_notes || self.set.senders < 2 || !timed && self.now < *told + NOTE_LEAST {
             return;
         }
         *told = if timed { *told } else { self.now.max(1) };
@@ -20,7 +20,7 @@
     /// one who was served ends an outage. What cannot be read is passed over; lost notes cost only time.
     pub(super) fn note(&mut self, from: u32, body: &[u8]) {
         let now = self.now;
-        let Some((word, route)) = note::read(body).filter(|_| self.set.may_note) else { return };
+        let Some((word, route)) = note::read(body).filter(|_| self.set.may_send_notes) else { return };
         let spread = self.rest_span(route) as f64 / 2.0;
         let Some(r) = self.routes.get_mut(&route) else { return };
         match word {
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -8,7 +8,7 @@
         id: MessageId,
         attempt: u32,
         outcome: Outcome,
-        over: bool,
+        is_final: bool,
         told: Option<Allowance>,
     ) {
         let now = self.now;
@@ -20,7 +20,7 @@
         // Reset sooner than any answer ever came, on a connection that had been idle: nobody was there. That
         // tells how long connections live, and nothing of load or health.
         let latency = self.routes.get(&call.route).map(|r| r.latency).unwrap_or_default();
-        let (best, usual) = (latency.best(), latency.usual(0));
+        let (best, usual) = (latency.best(), latency.upper_bound(0));
         let stale = outcome == Reset && call.idle > 0 && ((now - call.sent) as f64) < best / 2.0;
         if let Some(d) = self.dests.get_mut(&call.route.0).filter(|_| stale && call.idle >= CROSSING) {
             let safe = d.trusted(now).min((call.idle as f64 * IDLE_SHARE) as Micros);
@@ -46,8 +46,8 @@
         h.congested |= congestion;
         call.cut |= cut;
         if matches!(outcome, Failed | Spoilt | TimedOut | Reset | Cancelled) {
-            let ran = (call.sent, call.endpoint);
-            h.ran = Some(h.ran.map_or(ran, |r| if r.0 <= ran.0 { r } else { ran }));
+            let run = (call.sent, call.endpoint);
+            h.ran_at = Some(h.ran_at.map_or(run, |r| if r.0 <= run.0 { r } else { run }));
         }
         if matches!(outcome, Failed | ConnectFailed) {
             h.not_before = now + (AGAIN << h.tries().min(4));
@@ -91,7 +91,7 @@
                     self.scarce[e.kind] = now + FORGET;
                 }
                 if matches!(outcome, Served | Failed | Full { .. }) {
-                    if !self.set.conns_told {
+                    if !self.set.connections_reported {
                         e.idle.push(now);
                     }
                     // A connection that would lie idle until it closes may be the one that another sender
@@ -110,7 +110,7 @@
         }
         let h = &self.held[&id];
         let again = self.may(h).0 && now < self.answer_by(h);
-        match (over || outcome == Served || h.done, h.out, again) {
+        match (is_final || outcome == Served || h.done, h.out, again) {
             (true, ..) => self.finish(id),
             (_, 0, true) => {
                 self.enqueue(h.dest, id);
@@ -143,7 +143,7 @@
         let local_rest = if outcome == NotSent { self.jitter(LOCAL_REST) } else { 0 };
         let ceiling = self.ceiling(route.0);
         let flow = self.dests.get(&route.0).map_or(0.0, |d| d.flow(now));
-        let alone = self.dests.get(&route.0).is_none_or(|d| d.apart || d.endpoints.len() < 2);
+        let alone = self.dests.get(&route.0).is_none_or(|d| d.per_endpoint || d.endpoints.len() < 2);
         let Some(r) = self.routes.get_mut(&route) else { return };
         let Some(e) = self.endpoints.get_mut(&call.endpoint) else { return };
         let was_trial = matches!(r.health, Health::Open { trial: Some(t), .. } if t == id);
@@ -193,7 +193,7 @@
                 open = was_trial.then_some("refuses all");
             }
             TimedOut | Reset | ConnectFailed => {
-                e.idle.retain(|_| self.set.conns_told);
+                e.idle.retain(|_| self.set.connections_reported);
                 // A lost call's endpoint rests since it was overdue.
                 if !call.lost {
                     e.fail(None, now, if alone { u32::MAX } else { 1 });
--- a/crates/policy/src/choice/slots.rs
+++ b/crates/policy/src/choice/slots.rs
@@ -86,12 +86,12 @@
         let kept = chance * h.worth(&self.set, self.now + answer);
         let c = &self.set.classes[h.class];
         let repeat = match c.effect {
-            Effect::Safe => true,
-            Effect::Keyed => {
-                let since = h.ran.map_or(self.now, |r| r.0);
-                c.group == Group::All && self.now + OVERDUE_LEAST < since + c.memory
+            Effect::Idempotent => true,
+            Effect::Deduplicated => {
+                let since = h.ran_at.map_or(self.now, |r| r.0);
+                c.dedup_scope == DedupScope::All && self.now + OVERDUE_LEAST < since + c.dedup_window
             }
-            Effect::Unsafe => false,
+            Effect::AtMostOnce => false,
         };
         let again = repeat && h.tries() < self.set.max_attempts as usize;
         let wait = self.dests.get(&h.dest).map_or(0, |d| self.expected_wait(h.dest, d));
@@ -107,7 +107,7 @@
             let (share, flow) = (self.share_room(dest), d.flow(self.now));
             let (mut room, mut seen, mut queue) = (0, BTreeSet::new(), BTreeSet::new());
             for &e in d.endpoints.iter().filter(|e| self.endpoint_hold(**e).is_none()) {
-                let route = (dest, d.apart.then_some(e));
+                let route = (dest, d.per_endpoint.then_some(e));
                 let Some(r) = self.routes.get(&route) else { continue };
                 let Ok(trial) = self.route_ready(r, flow) else { continue };
                 queue.extend(d.queue.iter().filter(|q| self.sendable(**q, e)).take(LOOKED));
@@ -120,7 +120,7 @@
             let wait = self.expected_wait(dest, d);
             let mut queue: Vec<MessageId> = queue.into_iter().collect();
             queue.sort_by(|a, b| self.order(a, b, wait));
-            let calls = queue.chunks(d.bundle.max(1)).take(LOOKED);
+            let calls = queue.chunks(d.max_bundle.max(1)).take(LOOKED);
             ready.places += room.min(share).min(calls.len());
             if room.min(share) > 0 {
                 let gain = |c: &[MessageId]| c.iter().map(|id| self.index(&self.held[id], wait)).sum::<f64>();
--- a/crates/policy/src/choice/tests.rs
+++ b/crates/policy/src/choice/tests.rs
@@ -3,12 +3,12 @@
 use super::*;
 
 fn settings() -> Settings {
-    let kinds = vec![Kind { apart: false, bundle: 1 }, Kind { apart: true, bundle: 2 }];
+    let kinds = vec![Kind { per_endpoint: false, max_bundle: 1 }, Kind { per_endpoint: true, max_bundle: 2 }];
     let class = Class {
-        effect: Effect::Safe,
-        group: Group::All,
-        memory: 0,
-        wanted: SEC,
+        effect: Effect::Idempotent,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        target_time: SEC,
         deadline: 6 * SEC,
         worth: 1.0,
         late_share: 0.0,
@@ -20,28 +20,28 @@
         max_attempts: 8,
         senders: 1,
         zone: 0,
-        second_copies: false,
+        parallel_attempts: false,
         may_cancel: true,
         may_probe: false,
-        may_note: false,
+        may_send_notes: false,
         list: ListMode::Push,
         classes: vec![class],
-        tenants: vec![],
+        tenant_allowances: vec![],
         over_share_worth: 1.0,
         kinds,
-        fade: Fade::Even,
-        clients_mark: true,
-        start_share: 0.2,
-        cold: SEC,
-        fall_multiple: 2.0,
-        fall_after: SEC,
+        worth_decay: WorthDecay::Linear,
+        clients_mark_retries: true,
+        start_capacity: 0.2,
+        warm_up: SEC,
+        overload_factor: 2.0,
+        overload_after: SEC,
         key_rest: 0,
         connect_timeout: SEC,
         conn_idle: SEC,
         multiplex: 1,
-        conns_told: false,
+        connections_reported: false,
         tick: 5 * MS,
-        max_advice: SEC,
+        max_retry_after: SEC,
     }
 }
 
@@ -53,13 +53,14 @@
     for n in 0..200u64 {
         now += SEC;
         let (endpoint, dest) = (EndpointId(n), DestinationId(n));
-        let entry = Entry { endpoint, dest, zone: 0, kind: (n % 2) as u32, phase: Phase::Live };
+        let entry = ListEntry { endpoint, dest, zone: 0, kind: (n % 2) as u32, phase: Phase::Live };
         let id = MessageId(n);
-        let message = Message { id, class: 0, tenant: None, key: None, dest, again: false, expires_in: SEC };
-        let gone = Entry { phase: Phase::Gone, ..entry.clone() };
-        let list = |e| Event::List(ListNews::Changes(vec![e]));
+        let message =
+            Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in: SEC };
+        let gone = ListEntry { phase: Phase::Gone, ..entry.clone() };
+        let list = |e| Event::List(ListUpdate::Changes(vec![e]));
         sender.handle(now, &[list(entry), Event::Taken(message)], &mut out);
-        let ended = Event::Ended { id, attempt: 0, outcome: Served, over: true, allowance: None };
+        let ended = Event::Ended { id, attempt: 0, outcome: Served, is_final: true, allowance: None };
         sender.handle(now + MS, &[ended, list(gone)], &mut out);
     }
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 200);
@@ -79,19 +80,19 @@
 }
 
 impl Churn {
-    fn entry(&mut self) -> Entry {
+    fn entry(&mut self) -> ListEntry {
         let endpoint = self.random.u64(..12);
         let phase = [Phase::Live, Phase::Live, Phase::Draining, Phase::Gone][self.random.usize(..4)];
         let (dest, kind) = (DestinationId(endpoint / 2), (endpoint / 2 % 2) as u32);
-        Entry { endpoint: EndpointId(endpoint), dest, zone: 0, kind, phase }
+        ListEntry { endpoint: EndpointId(endpoint), dest, zone: 0, kind, phase }
     }
 
     fn event(&mut self) -> Option<Event> {
         Some(match self.random.u8(..10) {
             0..=2 => {
-                Event::List(ListNews::Changes((0..self.random.usize(1..4)).map(|_| self.entry()).collect()))
+                Event::List(ListUpdate::Changes((0..self.random.usize(1..4)).map(|_| self.entry()).collect()))
             }
-            3 => Event::List(ListNews::Whole((0..self.random.usize(..9)).map(|_| self.entry()).collect())),
+            3 => Event::List(ListUpdate::Whole((0..self.random.usize(..9)).map(|_| self.entry()).collect())),
             4..=6 => {
                 self.next += 1;
                 // Some go to a destination that no list names.
@@ -103,16 +104,19 @@
                     tenant: None,
                     key: None,
                     dest,
-                    again: false,
+                    is_retry: false,
                     expires_in,
                 })
             }
             7..=8 if !self.out.is_empty() => {
                 let (id, attempt) = self.out.swap_remove(self.random.usize(..self.out.len()));
                 let outcome = [Served, Full { wait: None }, TimedOut, ConnectFailed][self.random.usize(..4)];
-                Event::Ended { id, attempt, outcome, over: outcome == Served, allowance: None }
+                Event::Ended { id, attempt, outcome, is_final: outcome == Served, allowance: None }
             }
-            9 => Event::Service { endpoint: EndpointId(self.random.u64(..12)), out: self.random.bool() },
+            9 => Event::Service {
+                endpoint: EndpointId(self.random.u64(..12)),
+                out_of_service: self.random.bool(),
+            },
             _ => return None,
         })
     }
--- a/crates/policy/src/choice/unproven.rs
+++ b/crates/policy/src/choice/unproven.rs
@@ -15,7 +15,7 @@
     /// Whether a call there would try whether its route, or zone, serves again.
     pub(super) fn is_trial(&self, id: EndpointId) -> bool {
         let dest = self.endpoints[&id].dest;
-        let route = self.routes.get(&(dest, self.dests[&dest].apart.then_some(id)));
+        let route = self.routes.get(&(dest, self.dests[&dest].per_endpoint.then_some(id)));
         route.is_some_and(|r| matches!(r.health, Health::Open { .. })) || self.is_tried(id)
     }
 
@@ -29,7 +29,7 @@
 
     /// Whether a connection that has been idle since then still stands, as far as is known.
     pub(super) fn stands(&self, since: Micros) -> bool {
-        self.set.conns_told || since + self.set.conn_idle > self.now
+        self.set.connections_reported || since + self.set.conn_idle > self.now
     }
 
     /// How many messages that must not be repeated the next call there may carry. A new connection may be
@@ -52,7 +52,7 @@
     }
 
     pub(super) fn is_unsafe(&self, h: &Held) -> bool {
-        self.set.classes[h.class].effect == Effect::Unsafe
+        self.set.classes[h.class].effect == Effect::AtMostOnce
     }
 
     /// What goes in a call with its first message: of the rest, in their order, as many as may.
--- a/crates/policy/src/choice/view.rs
+++ b/crates/policy/src/choice/view.rs
@@ -4,7 +4,7 @@
 
 impl Sender {
     /// What is believed of the routes of a destination, or of all.
-    pub fn views(&self, dest: Option<DestinationId>) -> Vec<RouteView> {
+    pub fn route_views(&self, dest: Option<DestinationId>) -> Vec<RouteView> {
         let range = match dest {
             Some(d) => self.routes.range(routes_of(d)),
             None => self.routes.range(..),
@@ -13,18 +13,18 @@
             dest,
             endpoint,
             window: r.window,
-            out: r.out,
+            in_flight: r.out,
             lost: r.lost,
-            cut: r.last_cut.zip(r.cut_by),
-            rest_until: r.rest_until,
-            admits: r.rate.estimate(),
+            last_cut: r.last_cut.zip(r.cut_by),
+            paused_until: r.rest_until,
+            admitted_rate: r.rate.estimate(),
             hold: self.route_ready(r, self.dests.get(&dest).map_or(0.0, |d| d.flow(self.now))).err(),
         };
         range.map(view).collect()
     }
 
     /// All messages that are not answered yet, with class and destination, and whether a call of them is out.
-    pub fn open(&self) -> Vec<(MessageId, u32, DestinationId, bool)> {
+    pub fn open_messages(&self) -> Vec<(MessageId, u32, DestinationId, bool)> {
         let open = self.held.iter().filter(|(_, h)| !h.done);
         open.map(|(&id, h)| (id, h.class as u32, h.dest, h.out > 0)).collect()
     }
@@ -45,7 +45,7 @@
     }
 
     /// Attempts that are out.
-    pub fn attempts_out(&self) -> usize {
+    pub fn attempts_in_flight(&self) -> usize {
         self.held.values().map(|h| h.out as usize).sum()
     }
 
--- a/crates/policy/src/credit.rs
+++ b/crates/policy/src/credit.rs
@@ -21,13 +21,15 @@
             // each goes on as if it had been back for all of that, and then grows with time, what all of
             // them send together grows as fast as what it can do. It is warm for certain, and this ends,
             // only a whole cold time after a call was served.
-            Health::Ramp { since, gap } => (now - since + gap / 2).max(gap) as f64 / set.cold.max(1) as f64,
+            Health::Ramp { since, gap } => {
+                (now - since + gap / 2).max(gap) as f64 / set.warm_up.max(1) as f64
+            }
             // It may be back since just now, and the trials of all senders add up.
             Health::Open { .. } => 0.0,
             Health::Closed => return self.pace,
         };
         let meter = if self.rate.estimate().is_none() { METER_ROOM } else { METER };
-        meter * set.fall_multiple * (set.start_share + (1.0 - set.start_share) * warm)
+        meter * set.overload_factor * (set.start_capacity + (1.0 - set.start_capacity) * warm)
     }
 
     /// Credit that time brings, in calls a second.
@@ -54,8 +56,9 @@
         self.pace = (self.pace * by).max(PACE_LEAST);
     }
 
-    /// Counts up the credit of a route: for one more message (in part, where routes are apart), and for time.
-    /// By own traffic, so that any number of senders together stay under what the destination can bear.
+    /// Accrues the credit of a route: for `more` messages (in part if each endpoint is a route) and for time.
+    /// Credit follows this sender's own traffic, so that any number of senders together stay under what the
+    /// destination can bear.
     pub fn accrue(&mut self, set: &Settings, now: Micros, more: f64, rate: f64) {
         if !self.metered() {
             return;
@@ -67,7 +70,7 @@
         let more = if now < waits { 0.0 } else { more };
         let more = self.share(set, now) * more + self.refill(set, now, rate) * dt;
         (self.credit, self.credit_at) = ((self.credit + more).min(1.0), now);
-        if matches!(self.health, Health::Ramp { since, .. } if now >= since + set.cold) {
+        if matches!(self.health, Health::Ramp { since, .. } if now >= since + set.warm_up) {
             self.health = Health::Closed;
         }
     }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,193 +1,216 @@
-//! What a caller hands to a [`Sender`](crate::Sender) and what it gets back. No decision is made here.
+//! Types that a caller passes to a [`Sender`](crate::Sender) and receives from it. They hold no decisions.
 
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A moment or a span, in whole microseconds. The zero of the clock is the caller's.
+/// A point in time or a duration in whole microseconds. The caller defines the zero of the clock.
 pub type Micros = u64;
 
-/// A message, named by the caller. An id is not used twice in a sender's life.
+/// Identifies a message. The caller assigns it and never reuses one within a sender's life.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MessageId(pub u64);
 
-/// A destination: another firm's system, with one or more endpoints.
+/// Identifies a destination: the system of another company, with one or more endpoints.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct DestinationId(pub u64);
 
-/// An endpoint, numbered by the caller; the number keeps its meaning for the sender's life. Where senders
-/// write to each other, it is the same at all of them, as a destination's number is.
+/// Identifies an endpoint. The caller assigns the number, which keeps its meaning for the sender's life.
+/// Senders that exchange notes use the same numbers for endpoints and destinations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EndpointId(pub u64);
 
-/// How often a message may take effect.
+/// States how often a message may take effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum Effect {
-    /// May be repeated freely.
-    Safe,
-    /// Repeats are dropped for a while by a group of endpoints.
-    Keyed,
-    /// Must never run twice.
-    Unsafe,
+    /// The message may be repeated freely.
+    #[serde(rename = "Safe")]
+    Idempotent,
+    /// The endpoints in its [`DedupScope`] drop repeats within the deduplication window.
+    #[serde(rename = "Keyed")]
+    Deduplicated,
+    /// The message must never run twice.
+    #[serde(rename = "Unsafe")]
+    AtMostOnce,
 }
 
-/// The endpoints of a destination that drop each other's repeats.
+/// The endpoints of a destination that share one deduplication window and drop each other's repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Group {
+pub enum DedupScope {
     /// All endpoints of the destination.
     All,
-    /// Those in one zone.
+    /// The endpoints in one zone.
     Zone,
-    /// Only the endpoint that had the first try.
+    /// Only the endpoint that received the first attempt.
     Endpoint,
 }
 
-/// How worth falls once the wanted time has passed.
+/// How the worth of a message falls once its target time has passed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Fade {
-    /// Evenly, down to the late share at the deadline.
-    Even,
-    /// By half with each further wanted time, but not under the late share.
-    ByHalf,
+pub enum WorthDecay {
+    /// Linearly, down to the late share at the deadline.
+    Linear,
+    /// By half with each further target time, but not below the late share.
+    Halving,
 }
 
-/// A class of message.
+/// A class of messages. Its JSON form is stored and keeps the names that the attributes give.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Class {
-    /// Whether it may be repeated.
+    /// Whether a message may be repeated.
     pub effect: Effect,
-    /// For keyed messages: who drops repeats.
-    pub group: Group,
-    /// For keyed messages: for how long, from the earliest attempt that may have run.
-    pub memory: Micros,
-    /// Full worth if delivered within this time of being handed in first.
-    pub wanted: Micros,
-    /// Given up after this time.
+    /// For deduplicated messages: the endpoints that drop repeats.
+    #[serde(rename = "group")]
+    pub dedup_scope: DedupScope,
+    /// For deduplicated messages: how long repeats are dropped, from the earliest attempt that may have run.
+    #[serde(rename = "memory")]
+    pub dedup_window: Micros,
+    /// A message has its full worth if it is delivered within this time of first being submitted.
+    #[serde(rename = "wanted")]
+    pub target_time: Micros,
+    /// A message is given up after this time.
     pub deadline: Micros,
-    /// Worth of one message.
+    /// The worth of one message.
     pub worth: f64,
-    /// Share of the worth left at the deadline.
+    /// The share of the worth that is left at the deadline.
     pub late_share: f64,
-    /// Messages with the same key go one at a time, in the order taken.
+    /// Messages with the same key are sent one at a time, in the order in which they were accepted.
     pub in_order: bool,
 }
 
 /// A kind of destination.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Kind {
-    /// Each endpoint is a route of its own, with its own limit and outages.
-    pub apart: bool,
-    /// Messages that may share one call.
-    pub bundle: u32,
+    /// Each endpoint is a route of its own, with its own limit and its own outages.
+    pub per_endpoint: bool,
+    /// The most messages that one call carries.
+    pub max_bundle: u32,
 }
 
-/// How news of the endpoint list arrives.
+/// How updates of the endpoint list arrive.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ListMode {
-    /// Changes come unasked.
+    /// The service pushes changes without a request.
     Push,
-    /// Changes come only to who watches or fetches.
+    /// Changes arrive only in response to a watch or a fetch.
     Ask,
 }
 
-/// What a sender is told at its start. See [`Settings::check`].
+/// The settings of a sender. See [`Settings::check`].
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Settings {
-    /// Calls out at once.
+    /// The most calls in flight at once.
     pub slots: u32,
-    /// Messages held at once, sent or not.
+    /// The most messages held at once, sent or not.
     pub max_held: u32,
-    /// Attempts for one message.
+    /// The most attempts for one message.
     pub max_attempts: u32,
-    /// Senders that share the destinations, this one included.
+    /// The number of senders that share the destinations, including this one.
     pub senders: u32,
-    /// The zone that this sender stands in.
+    /// The zone in which this sender runs.
     pub zone: u32,
-    /// Two attempts of a message may be out at once.
-    pub second_copies: bool,
-    /// Attempts may be called off.
+    /// Two attempts of a message may be in flight at once.
+    pub parallel_attempts: bool,
+    /// Attempts may be cancelled.
     pub may_cancel: bool,
     /// Endpoints may be probed.
     pub may_probe: bool,
-    /// Notes to other senders are allowed.
-    pub may_note: bool,
-    /// How the list is followed.
+    /// Notes may be sent to other senders.
+    pub may_send_notes: bool,
+    /// How updates of the endpoint list arrive.
     pub list: ListMode,
-    /// Classes; messages name them by position.
+    /// The classes; messages refer to them by position.
     pub classes: Vec<Class>,
-    /// For each tenant the messages a second, over all senders, that count in full.
-    pub tenants: Vec<f64>,
-    /// What a message over its tenant's share is worth, as a share.
+    /// For each tenant, the messages per second over all senders that have full worth.
+    pub tenant_allowances: Vec<f64>,
+    /// The share of its worth that a message above its tenant's allowance has.
     pub over_share_worth: f64,
-    /// Kinds of destination; list entries name them by position.
+    /// The kinds of destination; list entries refer to them by position.
     pub kinds: Vec<Kind>,
-    /// How worth falls.
-    pub fade: Fade,
-    /// Clients mark the messages that they hand in again.
-    pub clients_mark: bool,
-    /// A returning destination has this share of its capacity or more.
-    pub start_share: f64,
-    /// And all of it after this long.
-    pub cold: Micros,
-    /// Sent more than this multiple of what it can do ...
-    pub fall_multiple: f64,
-    /// ... for this long, a cold destination falls over.
-    pub fall_after: Micros,
-    /// After an attempt that may still run, its key rests so long.
+    /// How the worth of a message falls once its target time has passed.
+    pub worth_decay: WorthDecay,
+    /// Clients mark the messages that they submit again.
+    pub clients_mark_retries: bool,
+    /// The least share of its capacity that a destination has when it returns from an outage.
+    pub start_capacity: f64,
+    /// The time after which a destination that returned has its full capacity again.
+    pub warm_up: Micros,
+    /// A destination that is warming up fails if it receives more than this multiple of its capacity ...
+    pub overload_factor: f64,
+    /// ... for this long.
+    pub overload_after: Micros,
+    /// How long an ordering key is blocked after an attempt that may still run.
     pub key_rest: Micros,
-    /// A connection not made within this time has failed.
+    /// A connection that is not established within this time has failed.
     pub connect_timeout: Micros,
     /// Idle connections are closed after this time.
     pub conn_idle: Micros,
-    /// Calls that one connection carries at once.
+    /// The most concurrent calls on one connection.
     pub multiplex: u32,
-    /// The caller tells of each connection that stands idle, and of each idle one that ends. Else both are
-    /// guessed from outcomes.
-    pub conns_told: bool,
+    /// The caller reports each connection that becomes idle and each idle connection that ends. Otherwise
+    /// both are inferred from outcomes.
+    pub connections_reported: bool,
     /// The least time between two turns.
     pub tick: Micros,
-    /// Longest advice on when to come back that clients heed; 0 where none is passed on.
-    pub max_advice: Micros,
+    /// The longest retry delay that clients respect; 0 if refusals carry none.
+    pub max_retry_after: Micros,
 }
 
-/// Why settings were turned down.
+/// The reason why settings were rejected.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub String);
 
 impl fmt::Display for SettingsError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "settings make no sense: {}", self.0)
+        write!(f, "invalid settings: {}", self.0)
     }
 }
 
 impl std::error::Error for SettingsError {}
 
 impl Settings {
-    /// Turns down settings under which no sender could work.
+    /// Rejects settings with which no sender could work.
     pub fn check(&self) -> Result<(), SettingsError> {
-        let share = |x: f64| (0.0..=1.0).contains(&x);
-        let sound = |x: f64| x.is_finite() && x >= 0.0;
-        let no = |what: &str| Err(SettingsError(what.to_owned()));
+        let is_share = |x: f64| (0.0..=1.0).contains(&x);
+        let is_valid = |x: f64| x.is_finite() && x >= 0.0;
+        let reject = |reason: &str| Err(SettingsError(reason.to_owned()));
         if self.slots == 0 || self.max_held == 0 || self.max_attempts == 0 || self.senders == 0 {
-            return no("slots, messages held, attempts and senders must be at least one");
+            return reject("slots, held messages, attempts and senders must each be at least 1");
         }
         if self.classes.is_empty() || self.kinds.is_empty() || self.multiplex == 0 {
-            return no("there must be a class, a kind of destination and a call for each connection");
+            return reject("at least one class, kind of destination and call per connection is required");
         }
-        if !share(self.over_share_worth) || !share(self.start_share) || !sound(self.fall_multiple) {
-            return no("shares lie between 0 and 1, multiples are finite");
+        if !is_share(self.over_share_worth)
+            || !is_share(self.start_capacity)
+            || !is_valid(self.overload_factor)
+        {
+            return reject("shares must be between 0 and 1, and multiples finite");
         }
-        if self.tenants.iter().any(|&t| !sound(t)) || self.kinds.iter().any(|k| k.bundle == 0) {
-            return no("allowances are finite and a call carries at least one message");
+        if self.tenant_allowances.iter().any(|&t| !is_valid(t))
+            || self.kinds.iter().any(|k| k.max_bundle == 0)
+        {
+            return reject("tenant allowances must be finite, and a call must carry at least one message");
         }
-        let spans =
-            [self.cold, self.fall_after, self.key_rest, self.connect_timeout, self.conn_idle, self.tick];
-        let classes = self.classes.iter().flat_map(|c| [c.memory, c.wanted, c.deadline]);
-        if spans.into_iter().chain(classes).any(|t| t > 1 << 50) {
-            return no("spans must be shorter than thirty years");
+        let durations = [
+            self.warm_up,
+            self.overload_after,
+            self.key_rest,
+            self.connect_timeout,
+            self.conn_idle,
+            self.tick,
+        ];
+        let classes = self.classes.iter().flat_map(|c| [c.dedup_window, c.target_time, c.deadline]);
+        if durations.into_iter().chain(classes).any(|t| t > 1 << 50) {
+            return reject("durations must be shorter than thirty years");
         }
         for c in &self.classes {
-            if c.wanted == 0 || c.deadline < c.wanted || !sound(c.worth) || !share(c.late_share) {
-                return no("a class needs a wanted time, a deadline not before it and a worth");
+            if c.target_time == 0
+                || c.deadline < c.target_time
+                || !is_valid(c.worth)
+                || !is_share(c.late_share)
+            {
+                return reject(
+                    "a class needs a target time, a deadline not before it, a worth and a late share",
+                );
             }
         }
         Ok(())
@@ -197,148 +220,149 @@
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// Delivered.
+    /// The message was delivered.
     Served,
-    /// The destination answered with an error; it may have run.
+    /// The destination answered with an error; the attempt may have run.
     Failed,
-    /// Turned away unseen, with the wait it asked for, if any.
+    /// The destination rejected the attempt without running it.
     Full {
-        /// Send nothing there for so long.
+        /// How long the destination asked this sender to wait, if it did.
         wait: Option<Micros>,
     },
-    /// No answer in time; it may have run.
+    /// There was no answer in time; the attempt may have run.
     TimedOut,
-    /// No connection; it never ran.
+    /// No connection was established; the attempt never ran.
     ConnectFailed,
-    /// The connection broke; it may have run.
+    /// The connection broke; the attempt may have run.
     Reset,
-    /// An answer that cannot be read, or does not come whole; it may have run. Unlike an error it tells
-    /// nothing of the destination's load or health.
+    /// The answer was unreadable or incomplete; the attempt may have run. Unlike an error, this outcome is no
+    /// sign of the destination's load or health.
     Spoilt,
-    /// Called off; it may have run.
+    /// The attempt was cancelled; it may have run.
     Cancelled,
-    /// Never sent: no slot was free, its time was up, or it had no attempt left.
+    /// The attempt was never sent: no slot was free, its time was up, or no attempt was left.
     Moot,
-    /// Not sent, since this side could not: there was no socket, port or route for a connection, or the
-    /// attempt could not be recorded. It never ran, says nothing of the destination, and is no attempt.
+    /// The attempt was not sent because of a fault on this side: there was no socket, port or route for a
+    /// connection, or the attempt could not be recorded. It never ran, is no sign of the destination's load
+    /// or health, and does not count as an attempt.
     NotSent,
 }
 
 impl Outcome {
-    /// Whether it proves that the attempt did not run.
+    /// Returns whether this outcome proves that the attempt did not run.
     pub fn never_ran(self) -> bool {
         matches!(self, Self::Full { .. } | Self::ConnectFailed | Self::Moot | Self::NotSent)
     }
 }
 
-/// What a destination told of its limit.
+/// The rate limit that a destination reported with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Allowance {
-    /// Share of the limit that is left.
+    /// The share of the limit that is left.
     pub left: f64,
-    /// The limit in calls a second; 0 where there is none.
+    /// The limit in calls per second; 0 if there is none.
     pub limit: f64,
 }
 
-/// State of an endpoint on the list. It tells nothing of health.
+/// The state of an endpoint on the list. It does not reflect the endpoint's health.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// May be sent to.
+    /// The endpoint may be sent to.
     Live,
-    /// Gets nothing new.
+    /// The endpoint receives no new calls.
     Draining,
-    /// Removed.
+    /// The endpoint was removed.
     Gone,
 }
 
-/// A line of the endpoint list.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct ListEntry {
     /// The endpoint.
     pub endpoint: EndpointId,
-    /// Its destination.
+    /// The destination of the endpoint.
     pub dest: DestinationId,
-    /// Its zone.
+    /// The zone of the endpoint.
     pub zone: u32,
-    /// Its destination's kind.
+    /// The kind of the destination, by position.
     pub kind: u32,
-    /// Its state.
+    /// The state of the endpoint.
     pub phase: Phase,
 }
 
-/// News of the endpoint list.
+/// An update of the endpoint list.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum ListNews {
-    /// Only what changed.
-    Changes(Vec<Entry>),
-    /// The whole list; what is not in it is gone.
-    Whole(Vec<Entry>),
+pub enum ListUpdate {
+    /// Only the entries that changed.
+    Changes(Vec<ListEntry>),
+    /// The whole list; endpoints that are not in it are removed.
+    Whole(Vec<ListEntry>),
     /// The whole list as this sender last had it before a restart.
-    Restored(Vec<Entry>),
+    Restored(Vec<ListEntry>),
     /// A watch or fetch failed, or the watch broke.
     Unavailable,
 }
 
-/// A message taken from a client.
+/// A message that was accepted from a client.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Message {
-    /// Its name.
+    /// The message's id.
     pub id: MessageId,
-    /// Its class, by position.
+    /// The message's class, by position.
     pub class: u32,
-    /// Its tenant, by position, where there are any.
+    /// The message's tenant, by position, if tenants are configured.
     pub tenant: Option<u32>,
-    /// What it is about, for classes in order.
+    /// The ordering key, for classes whose messages are sent in order.
     pub key: Option<Box<str>>,
-    /// Where it goes.
+    /// The message's destination.
     pub dest: DestinationId,
-    /// It is known to have been handed in before.
-    pub again: bool,
-    /// It must be answered within this time.
+    /// The message is known to have been submitted before.
+    pub is_retry: bool,
+    /// The message must have its final status within this time.
     pub expires_in: Micros,
 }
 
-/// Something that happened.
+/// An event that the caller reports to the sender.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Event {
-    /// A client handed in a message.
+    /// A client submitted a message.
     Taken(Message),
-    /// A message that an earlier process of this sender had taken is taken up again.
+    /// The sender resumes a message that an earlier process of it had accepted.
     Resumed {
-        /// The message; what it is given to expire counts from now.
+        /// The message; its time to expire counts from now.
         message: Message,
-        /// Attempts made before; the next one's number.
+        /// The number of earlier attempts, which is the number of the next one.
         attempts: u32,
-        /// The earliest of them that may have run: how long ago it was sent, and where.
-        ran: Option<(Micros, EndpointId)>,
+        /// The earliest attempt that may have run: how long ago it was sent, and its endpoint.
+        ran_ago: Option<(Micros, EndpointId)>,
     },
-    /// An attempt ended. Exactly one comes for each [`Action::Send`].
+    /// An attempt ended. Exactly one such event follows each [`Action::Send`].
     Ended {
         /// The message.
         id: MessageId,
-        /// Its attempt, counted from 0.
+        /// The number of the attempt, counted from 0.
         attempt: u32,
-        /// How it ended.
+        /// How the attempt ended.
         outcome: Outcome,
-        /// The message is over: nothing is owed for it any more.
-        over: bool,
-        /// What was told of the limit.
+        /// The message has its final status: nothing more is owed for it.
+        is_final: bool,
+        /// The rate limit that the destination reported.
         allowance: Option<Allowance>,
     },
     /// The client withdrew the message.
     Withdrawn(MessageId),
-    /// A moment asked for by [`Action::WakeAt`] has come.
+    /// A time that [`Action::WakeAt`] requested has come.
     Wake,
-    /// News of the list.
-    List(ListNews),
-    /// A note from another sender.
+    /// The endpoint list was updated.
+    List(ListUpdate),
+    /// A note arrived from another sender.
     Note {
-        /// Who wrote.
+        /// The sender that wrote it.
         from: u32,
-        /// What.
+        /// Its encoded content.
         body: Vec<u8>,
     },
-    /// A connection to this endpoint stands idle from now on.
+    /// A connection to this endpoint has become idle.
     Unused(EndpointId),
     /// An idle connection to this endpoint ended, other than by [`Action::CloseIdle`].
     Closed(EndpointId),
@@ -346,193 +370,194 @@
     Probed {
         /// The endpoint.
         endpoint: EndpointId,
-        /// How.
+        /// How the probe ended.
         outcome: Outcome,
     },
-    /// Operators have taken an endpoint out of service, or put it back.
+    /// Operators took an endpoint out of service or returned it to service.
     Service {
         /// The endpoint.
         endpoint: EndpointId,
-        /// It is out from now on: nothing is sent to it, whatever the list says, until it is put back.
-        out: bool,
+        /// Whether nothing is sent to the endpoint, whatever the list says, until it is returned.
+        out_of_service: bool,
     },
-    /// Other settings from now on. Classes keep their places for as long as messages use them; kinds and
-    /// tenants keep theirs.
+    /// New settings apply from now on. Classes keep their positions for as long as messages use them; kinds
+    /// and tenants always keep theirs.
     Settings(Box<Settings>),
-    /// What the fleet found of a zone: from now on it is sent this share of what would go there, and the rest
-    /// goes elsewhere. Destinations that have endpoints nowhere else are not concerned.
+    /// The fleet changed the share of a zone: the zone receives this share of its usual messages from now
+    /// on, and the rest goes elsewhere. Destinations without endpoints in other zones are not affected.
     Zone {
         /// The zone.
         zone: u32,
-        /// From 0, left, to 1, as if nothing had been said.
+        /// From 0, evacuated, to 1, the usual messages.
         share: f64,
-        /// One call to each destination there, whatever the share: it is this sender's turn to try.
-        tries: bool,
-        /// Destinations that serve there all the same, and are not concerned.
-        spared: Vec<DestinationId>,
+        /// This sender makes one probe call to each destination in the zone, whatever the share.
+        probe: bool,
+        /// Destinations that are served in the zone nevertheless and are not affected.
+        exempt: Vec<DestinationId>,
     },
 }
 
-/// What the caller is to do, in this order.
+/// An action that the caller performs, in the order given.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Action {
-    /// Start an attempt. Sends of one turn to one endpoint may travel as one call where the kind allows.
+    /// Starts an attempt. The sends of one turn to one endpoint may share one call if the kind allows it.
     Send {
         /// The message.
         id: MessageId,
-        /// Where.
+        /// The endpoint to call.
         endpoint: EndpointId,
-        /// Give up waiting after this time.
+        /// The time after which the caller stops waiting for an answer.
         timeout: Micros,
-        /// Its first byte may be written for so long. After that it is moot: nobody would drop a repeat any
-        /// more, or the message's time is up.
-        within: Micros,
-        /// Only on a connection that has carried an answer; on a new one it is moot.
+        /// The time within which the first byte may be written. After it the attempt is moot: a repeat would
+        /// no longer be dropped, or the message has expired.
+        start_within: Micros,
+        /// The attempt may use only a connection that has carried an answer; on a new one it is moot.
         proven_only: bool,
     },
-    /// Stop waiting for an attempt.
+    /// Stops waiting for an attempt.
     Cancel {
         /// The message.
         id: MessageId,
-        /// Its attempt.
+        /// The number of its attempt.
         attempt: u32,
     },
-    /// Final: handed back, trying again is harmless.
+    /// Final: refuses the message; the client may safely submit it again.
     Refuse {
         /// The message.
         id: MessageId,
-        /// Advice on when to come back; 0 for none.
-        after: Micros,
+        /// How long the client should wait before it retries; 0 for no advice.
+        retry_after: Micros,
     },
-    /// Final: given up, nothing promised.
+    /// Final: gives the message up, without a statement whether it ran.
     Fail {
         /// The message.
         id: MessageId,
     },
-    /// Call again at this moment, or soon after, with [`Event::Wake`].
+    /// Requests an [`Event::Wake`] at this time or soon after.
     WakeAt(Micros),
-    /// Ask to be told of changes of the list.
+    /// Starts a watch of the endpoint list.
     Watch,
-    /// Ask for the whole list once.
+    /// Requests the whole endpoint list once.
     Fetch,
-    /// Check an endpoint.
+    /// Probes an endpoint.
     Probe {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Write to another sender, or to all.
+    /// Sends a note to another sender, or to all of them.
     Note {
-        /// To whom; all if absent.
+        /// The receiving sender; all of them if absent.
         to: Option<u32>,
-        /// What.
+        /// The encoded content.
         body: Vec<u8>,
     },
-    /// Close idle connections to an endpoint.
+    /// Closes the idle connections to an endpoint.
     CloseIdle {
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// A line for the operator.
+    /// Writes a log line for operators.
     Log(String),
 }
 
-/// What keeps a held message from being sent. The decision module names it where it turns a candidate down,
+/// The reason why a held message is not sent. The decision module names it where it rejects a candidate,
 /// and nowhere else.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Guard {
-    /// There was room in this turn, and it went to messages worth more.
+    /// There was capacity in this turn, and messages of higher worth took it.
     Order,
-    /// All of the sender's slots are taken.
+    /// All slots of the sender are taken.
     Slots,
-    /// Its destination holds its whole share of the slots.
+    /// The destination occupies its whole share of the slots.
     Share,
     /// Calls in flight fill the destination's window.
     Window,
-    /// The destination told how long to wait.
+    /// The destination asked to wait, and the wait is not over.
     Wait,
-    /// The destination refused without telling how long to wait.
+    /// The route is in backoff after a refusal without a wait or a failure to send on this side, or it is
+    /// paced below the rate limit that was learned.
     Rest,
-    /// Refusals show a limit: only a share of what comes in is sent.
+    /// Refusals show a limit: only a share of the incoming messages is sent.
     Pace,
-    /// The destination comes back from an outage, cold.
+    /// The destination returned from an outage and is in slow start.
     Cold,
-    /// The breaker is open: the next trial is not due, or its turn is another message's.
+    /// The circuit breaker is open: the next probe is not due, or another message is the probe.
     Breaker,
-    /// The destination has no endpoint that may be sent to: drained, gone, or taken out of service.
+    /// The destination has no endpoint that may be sent to: draining, removed, or out of service.
     Drained,
-    /// Every endpoint is passed over after failures.
+    /// Every endpoint is avoided after failures.
     Endpoint,
-    /// Every endpoint is passed over for this class after errors.
+    /// Every endpoint is avoided for this class after errors.
     ClassRest,
-    /// The message pauses after an attempt that failed.
+    /// The message is in backoff after a failed attempt.
     Again,
-    /// An earlier message with its key is open, or the key rests.
+    /// An earlier message with its key is open, or the key is blocked.
     Key,
-    /// Only an endpoint that drops repeats may have it.
+    /// Only an endpoint that drops repeats may receive the message.
     Repeat,
-    /// It may not be sent again: its effect, or no attempt left.
+    /// The message may not be sent again: its effect forbids it, or no attempt is left.
     Spent,
-    /// The fleet has left the endpoint's zone, or comes back to it: others are there.
+    /// The fleet has evacuated the endpoint's zone or is returning to it, and other endpoints are available.
     Zone,
-    /// It must not be repeated, the connection would be a new one, and its endpoint has not answered since as
-    /// many such messages went out there as may.
+    /// The message must not be repeated, its connection would be new, and the most such messages are already
+    /// in flight on new connections to its endpoint since that last answered.
     Unproven,
 }
 
 impl Guard {
-    /// It stands for room that other messages of the destination take as well.
-    pub fn is_room(self) -> bool {
+    /// Returns whether the guard stands for capacity that other messages of the destination use, too.
+    pub fn is_capacity_limit(self) -> bool {
         matches!(self, Self::Window | Self::Share | Self::Pace | Self::Cold)
     }
 }
 
-/// A guard that holds a message, and until when if no event has to come first.
+/// A guard that holds a message, and the time at which it ends if that depends on the clock alone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Hold {
-    /// Which.
+    /// The guard.
     pub guard: Guard,
-    /// When it lets go by the clock alone.
+    /// The time at which the hold ends; `None` if it ends with an event.
     pub until: Option<Micros>,
 }
 
 impl Hold {
-    /// A guard that lets go at a known moment.
+    /// Creates a hold that ends at a known time.
     pub fn until(guard: Guard, until: Micros) -> Self {
         Self { guard, until: Some(until) }
     }
 
-    /// A guard that lets go when something happens.
-    pub fn open(guard: Guard) -> Self {
+    /// Creates a hold that ends with an event.
+    pub fn until_event(guard: Guard) -> Self {
         Self { guard, until: None }
     }
 
-    /// Of two guards that hold at once the one that lets go last; one that waits for an event is taken to be
-    /// later than any clock.
+    /// Returns the one of two simultaneous holds that ends last. A hold that ends with an event counts as
+    /// later than any time.
     pub fn later(self, other: Self) -> Self {
         let key = |h: &Self| (h.until.is_none(), h.until);
         if key(&other) > key(&self) { other } else { self }
     }
 }
 
-/// What the module believes of a route, for those who look on.
+/// The state of a route, for diagnostics.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RouteView {
-    /// Its destination.
+    /// The destination.
     pub dest: DestinationId,
-    /// Its endpoint, where the endpoints are routes apart.
+    /// The endpoint, if each endpoint of the destination is a route of its own.
     pub endpoint: Option<EndpointId>,
     /// The fractional window.
     pub window: f64,
-    /// Calls out, and those of them whose answers are taken to be lost.
-    pub out: u32,
-    /// See `out`.
+    /// The number of calls in flight.
+    pub in_flight: u32,
+    /// The number of calls in flight whose answers are presumed lost.
     pub lost: u32,
-    /// When the window was last cut, and by what.
-    pub cut: Option<(Micros, Outcome)>,
-    /// Nothing is sent before this moment: a wait told, or a rest after a refusal.
-    pub rest_until: Micros,
-    /// Calls a second that it is taken to admit; nothing while no limit by rate showed.
-    pub admits: Option<f64>,
-    /// What holds the whole route now.
+    /// When the window was last cut, and the outcome that cut it.
+    pub last_cut: Option<(Micros, Outcome)>,
+    /// Nothing is sent before this time, because the destination asked to wait or the route is in backoff.
+    pub paused_until: Micros,
+    /// The estimated rate limit in calls per second; `None` if no rate limit has shown.
+    pub admitted_rate: Option<f64>,
+    /// The hold on the whole route.
     pub hold: Option<Hold>,
 }
--- a/crates/policy/src/lean.rs
+++ b/crates/policy/src/lean.rs
@@ -12,7 +12,7 @@
     pub share: f64,
     credit: BTreeMap<DestinationId, f64>,
     tries: BTreeSet<DestinationId>,
-    spared: BTreeSet<DestinationId>,
+    exempt: BTreeSet<DestinationId>,
 }
 
 impl Lean {
@@ -22,10 +22,10 @@
     }
 
     /// Another share: credit for the last one is void where nothing may go there any more.
-    pub fn turn(&mut self, share: f64, spared: &[DestinationId]) {
+    pub fn turn(&mut self, share: f64, exempt: &[DestinationId]) {
         self.share = share;
         self.tries.clear();
-        self.spared = spared.iter().copied().collect();
+        self.exempt = exempt.iter().copied().collect();
         if share <= 0.0 {
             self.credit.clear();
         }
@@ -48,7 +48,7 @@
 
     /// The same for one destination.
     pub fn is_whole_for(&self, dest: DestinationId) -> bool {
-        self.is_whole() || self.spared.contains(&dest)
+        self.is_whole() || self.exempt.contains(&dest)
     }
 
     /// Whether the next call goes there rather than elsewhere: its share is due, or it is tried.
@@ -77,6 +77,6 @@
     pub fn keep(&mut self, known: impl Fn(DestinationId) -> bool) {
         self.credit.retain(|&d, _| known(d));
         self.tries.retain(|&d| known(d));
-        self.spared.retain(|&d| known(d));
+        self.exempt.retain(|&d| known(d));
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -32,7 +32,7 @@
     pub unsent: u32,
     pub out: u32,
     /// The earliest attempt that may have run, and where.
-    pub ran: Option<(Micros, EndpointId)>,
+    pub ran_at: Option<(Micros, EndpointId)>,
     pub congested: bool,
     pub done: bool,
     pub not_before: Micros,
@@ -166,8 +166,8 @@
 
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Dest {
-    pub apart: bool,
-    pub bundle: usize,
+    pub per_endpoint: bool,
+    pub max_bundle: usize,
     pub kind: usize,
     pub endpoints: Vec<EndpointId>,
     pub queue: Vec<MessageId>,
@@ -249,7 +249,7 @@
             keys: BTreeMap::new(),
             idle_safe: (FAR, 0),
             scarce: vec![0; settings.kinds.len()],
-            tenants: settings.tenants.iter().map(|&a| (a / settings.senders as f64, 0)).collect(),
+            tenants: settings.tenant_allowances.iter().map(|&a| (a / settings.senders as f64, 0)).collect(),
             out: Vec::new(),
             watch_at: if settings.list == ListMode::Ask { 0 } else { Micros::MAX },
             wake: None,
@@ -262,7 +262,7 @@
 
     /// A bucket of one second counts a tenant's share.
     pub(crate) fn over_share(&mut self, tenant: usize) -> bool {
-        let Some(&rate) = self.set.tenants.get(tenant) else { return false };
+        let Some(&rate) = self.set.tenant_allowances.get(tenant) else { return false };
         let rate = rate / self.set.senders as f64;
         let (tokens, at) = &mut self.tenants[tenant];
         *tokens = (*tokens + rate * self.now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
@@ -274,7 +274,7 @@
 
     /// A connection stands idle, or an idle one ended: the oldest, as far as can be told.
     pub(crate) fn idle(&mut self, id: EndpointId, more: bool) {
-        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.conns_told) else { return };
+        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.connections_reported) else { return };
         if more {
             e.idle.push(self.now);
         } else if !e.idle.is_empty() {
@@ -294,7 +294,8 @@
 
     /// Enters other settings, unless they do not fit what is held.
     pub(crate) fn set_terms(&mut self, set: &Settings) {
-        let fits = set.kinds.len() == self.set.kinds.len() && set.tenants.len() == self.set.tenants.len();
+        let fits = set.kinds.len() == self.set.kinds.len()
+            && set.tenant_allowances.len() == self.set.tenant_allowances.len();
         let known = self.held.values().all(|h| h.class < set.classes.len());
         if !fits || !known || set.check().is_err() {
             return;
@@ -308,11 +309,11 @@
     }
 
     /// Enters what the list says; gives the routes that it names.
-    pub(crate) fn enter(&mut self, news: &ListNews) -> Vec<RouteId> {
+    pub(crate) fn enter(&mut self, news: &ListUpdate) -> Vec<RouteId> {
         let mut routes = Vec::new();
         let list = match news {
-            ListNews::Changes(list) => list,
-            ListNews::Whole(list) | ListNews::Restored(list) => {
+            ListUpdate::Changes(list) => list,
+            ListUpdate::Whole(list) | ListUpdate::Restored(list) => {
                 let named: BTreeSet<EndpointId> = list.iter().map(|n| n.endpoint).collect();
                 for (id, e) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
                     (e.listed, e.live) = (false, false);
@@ -320,18 +321,18 @@
                 }
                 list
             }
-            ListNews::Unavailable => return routes,
+            ListUpdate::Unavailable => return routes,
         };
         for entry in list {
             routes.extend(self.enter_one(entry));
         }
-        if !matches!(news, ListNews::Changes(_)) || list.iter().any(|n| n.phase != Phase::Live) {
+        if !matches!(news, ListUpdate::Changes(_)) || list.iter().any(|n| n.phase != Phase::Live) {
             self.drop_endpoints();
         }
         routes
     }
 
-    fn enter_one(&mut self, n: &Entry) -> Option<RouteId> {
+    fn enter_one(&mut self, n: &ListEntry) -> Option<RouteId> {
         let kind = self.set.kinds.get(n.kind as usize)?;
         let fresh = || Endpoint { dest: n.dest, ..Endpoint::default() };
         let e = self.endpoints.entry(n.endpoint).or_insert_with(fresh);
@@ -343,12 +344,12 @@
             self.unlisted.endpoints.insert(n.endpoint);
         }
         let d = self.dests.entry(e.dest).or_default();
-        (d.apart, d.bundle, d.kind) = (kind.apart, kind.bundle as usize, e.kind);
+        (d.per_endpoint, d.max_bundle, d.kind) = (kind.per_endpoint, kind.max_bundle as usize, e.kind);
         if !d.endpoints.contains(&n.endpoint) {
             d.endpoints.push(n.endpoint);
         }
         self.unlisted.dests.remove(&e.dest);
-        Some((e.dest, kind.apart.then_some(n.endpoint)))
+        Some((e.dest, kind.per_endpoint.then_some(n.endpoint)))
     }
 
     /// Puts a message into its destination's queue, also where no list names that.
@@ -415,17 +416,17 @@
         let news = if out { self.taken_out.insert(id) } else { self.taken_out.remove(&id) };
         let Some(e) = self.endpoints.get_mut(&id) else { return (news, false) };
         e.live = e.listed && !out;
-        let (dest, apart) = (e.dest, self.dests.get(&e.dest).is_some_and(|d| d.apart));
+        let (dest, per_endpoint) = (e.dest, self.dests.get(&e.dest).is_some_and(|d| d.per_endpoint));
         let other = |(o, e): (&EndpointId, &Endpoint)| *o != id && e.dest == dest && e.live;
-        (news, !apart && self.endpoints.iter().any(other))
+        (news, !per_endpoint && self.endpoints.iter().any(other))
     }
 
     /// Enters what share a zone is sent, and whether it is tried.
-    pub(crate) fn set_zone(&mut self, zone: u32, share: f64, tries: bool, spared: &[DestinationId]) {
+    pub(crate) fn set_zone(&mut self, zone: u32, share: f64, probe: bool, exempt: &[DestinationId]) {
         let share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 1.0 };
         let lean = self.leans.entry(zone).or_insert_with(Lean::whole);
-        lean.turn(share, spared);
-        if tries {
+        lean.turn(share, exempt);
+        if probe {
             let there = self.endpoints.values().filter(|e| e.live && e.zone == zone);
             lean.try_all(there.map(|e| e.dest));
         } else if lean.is_whole() {
@@ -525,10 +526,10 @@
             return if t >= self.expires { 0.0 } else { full };
         }
         let late = (t - self.aim) as f64;
-        full * match set.fade {
-            Fade::ByHalf => (-late / c.wanted as f64).exp2().max(c.late_share),
-            Fade::Even => {
-                1.0 - (1.0 - c.late_share) * (late / (c.deadline - c.wanted).max(1) as f64).min(1.0)
+        full * match set.worth_decay {
+            WorthDecay::Halving => (-late / c.target_time as f64).exp2().max(c.late_share),
+            WorthDecay::Linear => {
+                1.0 - (1.0 - c.late_share) * (late / (c.deadline - c.target_time).max(1) as f64).min(1.0)
             }
         }
     }
@@ -553,7 +554,7 @@
 
     /// A route's part of what comes in.
     pub fn part(&self) -> f64 {
-        if self.apart { 1.0 / self.endpoints.len().max(1) as f64 } else { 1.0 }
+        if self.per_endpoint { 1.0 / self.endpoints.len().max(1) as f64 } else { 1.0 }
     }
 }
 
--- a/crates/policy/src/state/tests.rs
+++ b/crates/policy/src/state/tests.rs
@@ -53,22 +53,22 @@
     )
 }
 
-fn settings(list: ListMode, fade: Fade) -> Settings {
+fn settings(list: ListMode, worth_decay: WorthDecay) -> Settings {
     let effects = every!(Effect:
-        Effect::Safe => Effect::Safe,
-        Effect::Keyed => Effect::Keyed,
-        Effect::Unsafe => Effect::Unsafe,
+        Effect::Idempotent => Effect::Idempotent,
+        Effect::Deduplicated => Effect::Deduplicated,
+        Effect::AtMostOnce => Effect::AtMostOnce,
     );
-    let groups = every!(Group:
-        Group::All => Group::All,
-        Group::Zone => Group::Zone,
-        Group::Endpoint => Group::Endpoint,
+    let groups = every!(DedupScope:
+        DedupScope::All => DedupScope::All,
+        DedupScope::Zone => DedupScope::Zone,
+        DedupScope::Endpoint => DedupScope::Endpoint,
     );
-    let class = |(effect, group)| Class {
+    let class = |(effect, dedup_scope)| Class {
         effect,
-        group,
-        memory: 401,
-        wanted: 402,
+        dedup_scope,
+        dedup_window: 401,
+        target_time: 402,
         deadline: 403,
         worth: 4.25,
         late_share: 0.375,
@@ -80,28 +80,31 @@
         max_attempts: 413,
         senders: 414,
         zone: 415,
-        second_copies: true,
+        parallel_attempts: true,
         may_cancel: false,
         may_probe: true,
-        may_note: false,
+        may_send_notes: false,
         list,
         classes: effects.into_iter().zip(groups).map(class).collect(),
-        tenants: vec![416.5, 417.5],
+        tenant_allowances: vec![416.5, 417.5],
         over_share_worth: 0.125,
-        kinds: vec![Kind { apart: true, bundle: 418 }, Kind { apart: false, bundle: 419 }],
-        fade,
-        clients_mark: true,
-        start_share: 0.25,
-        cold: 421,
-        fall_multiple: 2.5,
-        fall_after: 422,
+        kinds: vec![
+            Kind { per_endpoint: true, max_bundle: 418 },
+            Kind { per_endpoint: false, max_bundle: 419 },
+        ],
+        worth_decay,
+        clients_mark_retries: true,
+        start_capacity: 0.25,
+        warm_up: 421,
+        overload_factor: 2.5,
+        overload_after: 422,
         key_rest: 423,
         connect_timeout: 424,
         conn_idle: 425,
         multiplex: 426,
-        conns_told: true,
+        connections_reported: true,
         tick: 427,
-        max_advice: 428,
+        max_retry_after: 428,
     }
 }
 
@@ -112,53 +115,59 @@
         tenant: Some(503),
         key: Some("key".into()),
         dest: DestinationId(504),
-        again: true,
+        is_retry: true,
         expires_in: 505,
     }
 }
 
-fn entries() -> Vec<Entry> {
+fn entries() -> Vec<ListEntry> {
     let phases = every!(Phase:
         Phase::Live => Phase::Live,
         Phase::Draining => Phase::Draining,
         Phase::Gone => Phase::Gone,
     );
-    let entry =
-        |phase| Entry { endpoint: EndpointId(511), dest: DestinationId(512), zone: 513, kind: 514, phase };
+    let entry = |phase| ListEntry {
+        endpoint: EndpointId(511),
+        dest: DestinationId(512),
+        zone: 513,
+        kind: 514,
+        phase,
+    };
     phases.into_iter().map(entry).collect()
 }
 
 fn events() -> Vec<Event> {
-    let lists = every!(ListNews:
-        ListNews::Changes(_) => ListNews::Changes(entries()),
-        ListNews::Whole(_) => ListNews::Whole(entries()),
-        ListNews::Restored(_) => ListNews::Restored(entries()),
-        ListNews::Unavailable => ListNews::Unavailable,
+    let lists = every!(ListUpdate:
+        ListUpdate::Changes(_) => ListUpdate::Changes(entries()),
+        ListUpdate::Whole(_) => ListUpdate::Whole(entries()),
+        ListUpdate::Restored(_) => ListUpdate::Restored(entries()),
+        ListUpdate::Unavailable => ListUpdate::Unavailable,
     );
     let ended = |outcome| Event::Ended {
         id: MessageId(521),
         attempt: 522,
         outcome,
-        over: true,
+        is_final: true,
         allowance: Some(Allowance { left: 0.75, limit: 5.5 }),
     };
     let mut events = every!(Event:
         Event::Taken(_) => Event::Taken(message()),
-        Event::Resumed { message: _, attempts: _, ran: _ } =>
-            Event::Resumed { message: message(), attempts: 523, ran: Some((524, EndpointId(525))) },
-        Event::Ended { id: _, attempt: _, outcome: _, over: _, allowance: _ } => ended(Outcome::Served),
+        Event::Resumed { message: _, attempts: _, ran_ago: _ } =>
+            Event::Resumed { message: message(), attempts: 523, ran_ago: Some((524, EndpointId(525))) },
+        Event::Ended { id: _, attempt: _, outcome: _, is_final: _, allowance: _ } => ended(Outcome::Served),
         Event::Withdrawn(_) => Event::Withdrawn(MessageId(526)),
         Event::Wake => Event::Wake,
-        Event::List(_) => Event::List(ListNews::Unavailable),
+        Event::List(_) => Event::List(ListUpdate::Unavailable),
         Event::Note { from: _, body: _ } => Event::Note { from: 527, body: vec![1, 2, 3] },
         Event::Unused(_) => Event::Unused(EndpointId(528)),
         Event::Closed(_) => Event::Closed(EndpointId(529)),
         Event::Probed { endpoint: _, outcome: _ } =>
             Event::Probed { endpoint: EndpointId(531), outcome: Outcome::Reset },
-        Event::Service { endpoint: _, out: _ } => Event::Service { endpoint: EndpointId(532), out: true },
-        Event::Settings(_) => Event::Settings(Box::new(settings(ListMode::Push, Fade::Even))),
-        Event::Zone { zone: _, share: _, tries: _, spared: _ } =>
-            Event::Zone { zone: 533, share: 0.625, tries: true, spared: vec![DestinationId(534)] },
+        Event::Service { endpoint: _, out_of_service: _ } =>
+            Event::Service { endpoint: EndpointId(532), out_of_service: true },
+        Event::Settings(_) => Event::Settings(Box::new(settings(ListMode::Push, WorthDecay::Linear))),
+        Event::Zone { zone: _, share: _, probe: _, exempt: _ } =>
+            Event::Zone { zone: 533, share: 0.625, probe: true, exempt: vec![DestinationId(534)] },
     );
     events.extend(lists.into_iter().map(Event::List));
     events.extend(outcomes().into_iter().map(ended));
@@ -167,15 +176,15 @@
 
 fn actions() -> Vec<Action> {
     every!(Action:
-        Action::Send { id: _, endpoint: _, timeout: _, within: _, proven_only: _ } => Action::Send {
+        Action::Send { id: _, endpoint: _, timeout: _, start_within: _, proven_only: _ } => Action::Send {
             id: MessageId(541),
             endpoint: EndpointId(542),
             timeout: 543,
-            within: 544,
+            start_within: 544,
             proven_only: true,
         },
         Action::Cancel { id: _, attempt: _ } => Action::Cancel { id: MessageId(545), attempt: 546 },
-        Action::Refuse { id: _, after: _ } => Action::Refuse { id: MessageId(547), after: 548 },
+        Action::Refuse { id: _, retry_after: _ } => Action::Refuse { id: MessageId(547), retry_after: 548 },
         Action::Fail { id: _ } => Action::Fail { id: MessageId(549) },
         Action::WakeAt(_) => Action::WakeAt(551),
         Action::Watch => Action::Watch,
@@ -198,7 +207,7 @@
         attempts: vec![605, 606],
         unsent: 607,
         out: 608,
-        ran: Some((609, EndpointId(611))),
+        ran_at: Some((609, EndpointId(611))),
         congested: true,
         done: false,
         not_before: 612,
@@ -308,8 +317,8 @@
 
 fn dest() -> Dest {
     Dest {
-        apart: true,
-        bundle: 821,
+        per_endpoint: true,
+        max_bundle: 821,
         kind: 822,
         endpoints: vec![EndpointId(823)],
         queue: vec![MessageId(824), MessageId(825)],
@@ -328,9 +337,9 @@
 }
 
 /// A state with something in each field. A field that is not named here fails to compile.
-fn sender(list: ListMode, fade: Fade) -> Sender {
+fn sender(list: ListMode, worth_decay: WorthDecay) -> Sender {
     Sender {
-        set: settings(list, fade),
+        set: settings(list, worth_decay),
         rng: fastrand::Rng::with_seed(901),
         now: 902,
         held: BTreeMap::from([(MessageId(903), held())]),
@@ -366,9 +375,9 @@
         ListMode::Push => ListMode::Push,
         ListMode::Ask => ListMode::Ask,
     );
-    let fades = every!(Fade:
-        Fade::Even => Fade::Even,
-        Fade::ByHalf => Fade::ByHalf,
+    let fades = every!(WorthDecay:
+        WorthDecay::Linear => WorthDecay::Linear,
+        WorthDecay::Halving => WorthDecay::Halving,
     );
     let states: Vec<Sender> = lists.into_iter().zip(fades).map(|(list, fade)| sender(list, fade)).collect();
     let holds: Vec<Hold> = guards().into_iter().map(|guard| Hold::until(guard, 941)).collect();
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -5,14 +5,23 @@
 
 pub const MS: Micros = 1_000;
 pub const SEC: Micros = 1_000_000;
-pub const SAFE: u32 = 0;
-pub const KEYED: u32 = 1;
-pub const UNSAFE: u32 = 2;
+pub const IDEMPOTENT: u32 = 0;
+pub const DEDUPLICATED: u32 = 1;
+pub const AT_MOST_ONCE: u32 = 2;
 pub const ORDERED: u32 = 3;
 
 pub fn class(effect: Effect, in_order: bool) -> Class {
-    let (memory, wanted, deadline) = (5 * SEC, 2 * SEC, 20 * SEC);
-    Class { effect, group: Group::All, memory, wanted, deadline, worth: 1.0, late_share: 0.3, in_order }
+    let (dedup_window, target_time, deadline) = (5 * SEC, 2 * SEC, 20 * SEC);
+    Class {
+        effect,
+        dedup_scope: DedupScope::All,
+        dedup_window,
+        target_time,
+        deadline,
+        worth: 1.0,
+        late_share: 0.3,
+        in_order,
+    }
 }
 
 pub fn settings() -> Settings {
@@ -22,42 +31,42 @@
         max_attempts: 6,
         senders: 1,
         zone: 0,
-        second_copies: false,
+        parallel_attempts: false,
         may_cancel: true,
         may_probe: false,
-        may_note: false,
+        may_send_notes: false,
         list: ListMode::Push,
         classes: vec![
-            class(Effect::Safe, false),
-            class(Effect::Keyed, false),
-            class(Effect::Unsafe, false),
-            class(Effect::Keyed, true),
+            class(Effect::Idempotent, false),
+            class(Effect::Deduplicated, false),
+            class(Effect::AtMostOnce, false),
+            class(Effect::Deduplicated, true),
         ],
-        tenants: vec![],
+        tenant_allowances: vec![],
         over_share_worth: 0.2,
         kinds: vec![
-            Kind { apart: false, bundle: 1 },
-            Kind { apart: true, bundle: 1 },
-            Kind { apart: false, bundle: 5 },
+            Kind { per_endpoint: false, max_bundle: 1 },
+            Kind { per_endpoint: true, max_bundle: 1 },
+            Kind { per_endpoint: false, max_bundle: 5 },
         ],
-        fade: Fade::Even,
-        clients_mark: false,
-        start_share: 0.2,
-        cold: 10 * SEC,
-        fall_multiple: 2.0,
-        fall_after: 2 * SEC,
+        worth_decay: WorthDecay::Linear,
+        clients_mark_retries: false,
+        start_capacity: 0.2,
+        warm_up: 10 * SEC,
+        overload_factor: 2.0,
+        overload_after: 2 * SEC,
         key_rest: SEC,
         connect_timeout: SEC,
         conn_idle: 5 * SEC,
         multiplex: 1,
-        conns_told: false,
+        connections_reported: false,
         tick: 5 * MS,
-        max_advice: 2 * SEC,
+        max_retry_after: 2 * SEC,
     }
 }
 
-pub fn entry(endpoint: u32, dest: u64, kind: u32, phase: Phase) -> Entry {
-    Entry {
+pub fn entry(endpoint: u32, dest: u64, kind: u32, phase: Phase) -> ListEntry {
+    ListEntry {
         endpoint: EndpointId(endpoint.into()),
         dest: DestinationId(dest),
         zone: endpoint % 2,
@@ -67,7 +76,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Out {
+pub struct InFlight {
     pub id: u64,
     pub attempt: u32,
     pub endpoint: u32,
@@ -79,8 +88,8 @@
 pub struct Rig {
     pub sender: Sender,
     pub now: Micros,
-    pub out: Vec<Out>,
-    pub said: Vec<(Micros, Action)>,
+    pub in_flight: Vec<InFlight>,
+    pub actions: Vec<(Micros, Action)>,
     pub attempts: std::collections::BTreeMap<u64, u32>,
     pub wakes: Vec<Micros>,
     next: u64,
@@ -94,26 +103,26 @@
 
     pub fn seeded(settings: Settings, kind: u32, endpoints: u32, seed: u64) -> Self {
         let sender = Sender::new(settings, seed).expect("sound settings");
-        let (out, said, wakes, attempts) = Default::default();
-        let mut rig = Self { sender, now: 100 * SEC, out, said, attempts, wakes, next: 1 };
+        let (in_flight, actions, wakes, attempts) = Default::default();
+        let mut rig = Self { sender, now: 100 * SEC, in_flight, actions, attempts, wakes, next: 1 };
         let known = (0..endpoints).map(|e| entry(e, 1, kind, Phase::Live)).collect();
-        rig.feed(&[Event::List(ListNews::Restored(known))]);
+        rig.feed(&[Event::List(ListUpdate::Restored(known))]);
         rig
     }
 
     /// Lets time pass until a call is out, some seconds at most.
-    pub fn until_out(&mut self) {
+    pub fn advance_until_sent(&mut self) {
         for _ in 0..200 {
-            if !self.out.is_empty() {
+            if !self.in_flight.is_empty() {
                 return;
             }
-            self.pass(50 * MS);
+            self.advance(50 * MS);
         }
         panic!("nothing is sent");
     }
 
-    pub fn list(&mut self, entries: Vec<Entry>) {
-        self.feed(&[Event::List(ListNews::Changes(entries))]);
+    pub fn list(&mut self, entries: Vec<ListEntry>) {
+        self.feed(&[Event::List(ListUpdate::Changes(entries))]);
     }
 
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
@@ -125,18 +134,24 @@
                     let n = self.attempts.entry(id.0).or_default();
                     let (attempt, at) = (*n, self.now);
                     *n += 1;
-                    self.out.push(Out { id: id.0, attempt, endpoint: endpoint.0 as u32, at, timeout });
+                    self.in_flight.push(InFlight {
+                        id: id.0,
+                        attempt,
+                        endpoint: endpoint.0 as u32,
+                        at,
+                        timeout,
+                    });
                 }
                 Action::WakeAt(at) => self.wakes.push(at),
                 _ => {}
             }
-            self.said.push((self.now, a.clone()));
+            self.actions.push((self.now, a.clone()));
         }
         actions
     }
 
     /// Lets time pass, waking the sender when it asked to be, and at the end.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(&at) = self.wakes.iter().filter(|&&w| w > self.now && w <= end).min() {
             self.now = at;
@@ -150,40 +165,45 @@
         let id = self.next;
         self.next += 1;
         let (dest, key) = (DestinationId(dest), key.map(Box::from));
-        let m = Message { id: MessageId(id), class, tenant: None, key, dest, again: false, expires_in };
+        let m = Message { id: MessageId(id), class, tenant: None, key, dest, is_retry: false, expires_in };
         (id, Event::Taken(m))
     }
 
-    pub fn take(&mut self, class: u32) -> u64 {
-        self.take_for(class, 1, None, 20 * SEC)
+    pub fn submit(&mut self, class: u32) -> u64 {
+        self.submit_to(class, 1, None, 20 * SEC)
     }
 
-    pub fn many(&mut self, count: u32) {
+    pub fn submit_many(&mut self, count: u32) {
         for _ in 0..count {
-            self.take(SAFE);
+            self.submit(IDEMPOTENT);
         }
     }
 
-    pub fn take_for(&mut self, class: u32, dest: u64, key: Option<&str>, expires_in: Micros) -> u64 {
+    pub fn submit_to(&mut self, class: u32, dest: u64, key: Option<&str>, expires_in: Micros) -> u64 {
         let (id, event) = self.message(class, dest, key, expires_in);
         self.feed(&[event]);
         id
     }
 
     pub fn end(&mut self, id: u64, outcome: Outcome) -> Vec<Action> {
-        self.end_told(id, outcome, None)
+        self.end_with_allowance(id, outcome, None)
     }
 
-    pub fn end_told(&mut self, id: u64, outcome: Outcome, allowance: Option<Allowance>) -> Vec<Action> {
-        let at = self.out.iter().position(|o| o.id == id).expect("the message is out");
-        let attempt = self.out.remove(at).attempt;
-        let over = outcome == Outcome::Served;
-        self.feed(&[Event::Ended { id: MessageId(id), attempt, outcome, over, allowance }])
+    pub fn end_with_allowance(
+        &mut self,
+        id: u64,
+        outcome: Outcome,
+        allowance: Option<Allowance>,
+    ) -> Vec<Action> {
+        let at = self.in_flight.iter().position(|o| o.id == id).expect("the message is out");
+        let attempt = self.in_flight.remove(at).attempt;
+        let is_final = outcome == Outcome::Served;
+        self.feed(&[Event::Ended { id: MessageId(id), attempt, outcome, is_final, allowance }])
     }
 
     /// Ends all that is out just now in the same way.
     pub fn end_all(&mut self, outcome: Outcome) {
-        for o in self.out.clone() {
+        for o in self.in_flight.clone() {
             self.end(o.id, outcome);
         }
     }
@@ -191,33 +211,33 @@
     /// Serves so many of what is out, each after a tenth of a second.
     pub fn serve(&mut self, count: u32) {
         for _ in 0..count {
-            self.pass(100 * MS);
-            let id = self.out.first().expect("something is out").id;
+            self.advance(100 * MS);
+            let id = self.in_flight.first().expect("something is out").id;
             self.end(id, Outcome::Served);
         }
     }
 
-    pub fn is_out(&self, id: u64) -> bool {
-        self.out.iter().any(|o| o.id == id)
+    pub fn is_in_flight(&self, id: u64) -> bool {
+        self.in_flight.iter().any(|o| o.id == id)
     }
 
     pub fn refused(&self, id: u64) -> bool {
-        self.said.iter().any(|(_, a)| matches!(a, Action::Refuse { id: i, .. } if i.0 == id))
+        self.actions.iter().any(|(_, a)| matches!(a, Action::Refuse { id: i, .. } if i.0 == id))
     }
 
     pub fn failed(&self, id: u64) -> bool {
-        self.said.iter().any(|(_, a)| matches!(a, Action::Fail { id: i } if i.0 == id))
+        self.actions.iter().any(|(_, a)| matches!(a, Action::Fail { id: i } if i.0 == id))
     }
 
-    pub fn answers(&self, id: u64) -> usize {
+    pub fn answer_count(&self, id: u64) -> usize {
         let one = |a: &Action| {
             matches!(a, Action::Fail { id: i } if i.0 == id)
                 || matches!(a, Action::Refuse { id: i, .. } if i.0 == id)
         };
-        self.said.iter().filter(|(_, a)| one(a)).count()
+        self.actions.iter().filter(|(_, a)| one(a)).count()
     }
 
     pub fn log_has(&self, what: &str) -> bool {
-        self.said.iter().any(|(_, a)| matches!(a, Action::Log(l) if l.contains(what)))
+        self.actions.iter().any(|(_, a)| matches!(a, Action::Log(l) if l.contains(what)))
     }
 }
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -117,14 +117,14 @@
         let (told, waits, key_rest, wakes, trace) = Default::default();
         let (now, live) = (50 * SEC, (0..8).collect());
         let mut c = Self { set, sender, now, told, live, waits, key_rest, wakes, trace, watch };
-        c.feed(&[Event::List(ListNews::Restored(all))]);
+        c.feed(&[Event::List(ListUpdate::Restored(all))]);
         c
     }
 
     fn route(&self, endpoint: u32) -> (u64, u32) {
         let dest = owner(endpoint);
-        let apart = self.set.kinds[kind(dest, &self.set) as usize].apart;
-        (dest, if apart { endpoint } else { u32::MAX })
+        let per_endpoint = self.set.kinds[kind(dest, &self.set) as usize].per_endpoint;
+        (dest, if per_endpoint { endpoint } else { u32::MAX })
     }
 
     pub fn feed(&mut self, events: &[Event]) {
@@ -148,7 +148,7 @@
                     assert!(self.set.may_cancel && (*attempt as usize) < self.told[&id.0].tries.len());
                 }
                 Action::Probe { .. } => assert!(self.set.may_probe),
-                Action::Note { .. } => assert!(self.set.may_note),
+                Action::Note { .. } => assert!(self.set.may_send_notes),
                 _ => {}
             }
         }
@@ -156,7 +156,7 @@
         let (mut singles, mut per_dest) = (0, BTreeMap::<u64, usize>::new());
         for (id, t) in &self.told {
             for y in t.tries.iter().filter(|y| y.outcome.is_none()) {
-                let bundles = self.set.kinds[kind(t.dest, &self.set) as usize].bundle > 1;
+                let bundles = self.set.kinds[kind(t.dest, &self.set) as usize].max_bundle > 1;
                 let tag = if bundles { usize::MAX } else { *id as usize };
                 if calls.insert((y.at, y.endpoint, tag)) {
                     singles += 1;
@@ -183,14 +183,16 @@
         let class = &self.set.classes[t.class as usize];
         let ran: Vec<&Try> = t.tries.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
         match class.effect {
-            Effect::Safe => {}
-            Effect::Unsafe => assert!(ran.is_empty(), "an unsafe message that may have run is sent again"),
-            Effect::Keyed => {
+            Effect::Idempotent => {}
+            Effect::AtMostOnce => {
+                assert!(ran.is_empty(), "an unsafe message that may have run is sent again")
+            }
+            Effect::Deduplicated => {
                 if let Some(first) = ran.iter().map(|y| y.at).min() {
-                    assert!(self.now < first + class.memory, "sent beyond the memory span");
+                    assert!(self.now < first + class.dedup_window, "sent beyond the memory span");
                 }
                 let zone = |e: u32| e % 2;
-                if class.group == Group::Zone {
+                if class.dedup_scope == DedupScope::Zone {
                     assert!(ran.iter().all(|y| zone(y.endpoint) == zone(endpoint)), "sent outside its group");
                 }
             }
@@ -220,9 +222,9 @@
         let class = &self.set.classes[t.class as usize];
         let clean = t.tries.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
         let allowed = match class.effect {
-            Effect::Safe => true,
-            Effect::Unsafe => clean,
-            Effect::Keyed => clean || class.group == Group::All,
+            Effect::Idempotent => true,
+            Effect::AtMostOnce => clean,
+            Effect::Deduplicated => clean || class.dedup_scope == DedupScope::All,
         };
         assert!(allowed, "refused what may have run");
     }
@@ -233,7 +235,7 @@
         let t = self.told.get_mut(&id).expect("known");
         t.tries[n].outcome = Some(outcome);
         t.over |= outcome == Outcome::Served;
-        let (over, endpoint, key) = (t.over, t.tries[n].endpoint, t.key);
+        let (is_final, endpoint, key) = (t.over, t.tries[n].endpoint, t.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
             && let Some(k) = key
         {
@@ -246,7 +248,7 @@
             *until = (*until).max(now + w);
         }
         let (id, attempt) = (MessageId(id), n as u32);
-        self.feed(&[Event::Ended { id, attempt, outcome, over, allowance: None }]);
+        self.feed(&[Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
     pub fn outstanding(&self) -> Vec<(u64, usize)> {
@@ -255,7 +257,7 @@
     }
 
     /// Lets time pass: time-outs and wakes come when they are due.
-    pub fn pass(&mut self, span: Micros) {
+    pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let out = self.outstanding();
@@ -291,8 +293,8 @@
                 self.told.insert(id, Told { class, dest, key, expires, order, tries: vec![], over: false });
                 let key = key.map(|k| k.to_string().into_boxed_str());
                 let (id, dest, tenant) = (MessageId(id), DestinationId(dest), None);
-                let again = false;
-                self.feed(&[Event::Taken(Message { id, class, tenant, key, dest, again, expires_in })]);
+                let is_retry = false;
+                self.feed(&[Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in })]);
             }
             Step::End { pick, outcome, wait } => {
                 let out = self.outstanding();
@@ -328,19 +330,19 @@
                     self.live.remove(&endpoint);
                 }
                 let e = entry(endpoint, owner(endpoint), kind(owner(endpoint), &self.set), phase);
-                self.feed(&[Event::List(ListNews::Changes(vec![e]))]);
+                self.feed(&[Event::List(ListUpdate::Changes(vec![e]))]);
             }
             Step::Note { from, word, dest, endpoint, length, times } => {
                 let mut body = vec![0xd1, word];
                 body.extend(dest.to_le_bytes());
-                // Of the length of a whole note for a route apart, for a destination, or neither.
+                // Of the length of a whole note for a route per_endpoint, for a destination, or neither.
                 body.extend(endpoint.to_le_bytes());
                 body.truncate(if length > 18 { 10 } else { length });
                 for from in (from..).take(times) {
                     self.feed(&[Event::Note { from, body: body.clone() }]);
                 }
             }
-            Step::Pass { ms } => self.pass(ms * MS),
+            Step::Pass { ms } => self.advance(ms * MS),
         }
     }
 }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -5,7 +5,7 @@
 use notchpoint_policy::*;
 
 fn thin(senders: u32) -> Settings {
-    Settings { slots: 3, senders, fall_multiple: 2.0, cold: 10 * SEC, start_share: 0.2, ..settings() }
+    Settings { slots: 3, senders, overload_factor: 2.0, warm_up: 10 * SEC, start_capacity: 0.2, ..settings() }
 }
 
 /// Many senders before destination 1, which refuses connections until `back` and serves from then on. Each
@@ -35,7 +35,7 @@
     /// below nought.
     fn play(&self) -> Vec<i64> {
         let gap = self.senders * SEC / 7;
-        let set = || Settings { may_note: self.lost.is_some(), ..thin(self.senders as u32) };
+        let set = || Settings { may_send_notes: self.lost.is_some(), ..thin(self.senders as u32) };
         let seeded = |n: u64, life: u64| Rig::seeded(set(), 0, 1, self.seed * 1_000 + 2 * n + life);
         let mut rigs: Vec<(Rig, Micros, bool)> =
             (0..self.senders).map(|n| (seeded(n, 0), gap * n / self.senders, false)).collect();
@@ -56,12 +56,12 @@
                         note(rig, *from, body);
                     }
                 }
-                rig.pass(50 * MS);
+                rig.advance(50 * MS);
                 if now >= *next {
-                    rig.take_for(SAFE, 1, None, 60 * SEC);
+                    rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
                     *next += gap;
                 }
-                for o in rig.out.clone() {
+                for o in rig.in_flight.clone() {
                     if !*anew {
                         calls.push(now as i64 - self.back as i64);
                     }
@@ -76,7 +76,7 @@
                     );
                 }
                 notes.extend(self::notes(rig).into_iter().map(|body| (n as u32, body)));
-                rig.said.clear();
+                rig.actions.clear();
             }
         }
         calls
@@ -124,7 +124,7 @@
 fn a_cold_destination_gets_what_it_can_bear_from_all_senders_together() {
     // Beyond what the settings allow in a window, only twice its root and two are chance.
     let set = thin(1);
-    let window = set.fall_after;
+    let window = set.overload_after;
     for (senders, seeds) in [(10, 1..=6), (20, 1..=6), (30, 1..=6), (100, 1..=2), (300, 1..=1)] {
         let cases = [
             (0, false, None),
@@ -141,9 +141,9 @@
                 for from in (0..8 * SEC).step_by(100_000) {
                     let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
                     // Ten a second when warm; what it can do grows evenly meanwhile.
-                    let warm = (from as f64 / set.cold as f64).min(1.0);
-                    let can = 10.0 * (set.start_share + (1.0 - set.start_share) * warm);
-                    let n = set.fall_multiple * can * window as f64 / SEC as f64;
+                    let warm = (from as f64 / set.warm_up as f64).min(1.0);
+                    let can = 10.0 * (set.start_capacity + (1.0 - set.start_capacity) * warm);
+                    let n = set.overload_factor * can * window as f64 / SEC as f64;
                     let most = n + 2.0 * n.sqrt() + 2.0;
                     let ms = from / MS;
                     assert!(
@@ -167,7 +167,7 @@
 #[test]
 fn a_cold_destination_gets_what_it_can_bear_from_one_sender_and_from_a_few() {
     let set = thin(1);
-    let window = set.fall_after;
+    let window = set.overload_after;
     let mut worst = (0.0, String::new());
     for senders in [1, 2, 3, 5, 8] {
         for (restarted, waits, lost) in
@@ -178,9 +178,9 @@
                 let calls = Fleet { restarted, waits, lost, ..Fleet::of(senders, seed) }.play();
                 for from in (0..8 * SEC).step_by(100_000) {
                     let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
-                    let warm = (from as f64 / set.cold as f64).min(1.0);
-                    let can = warm_rate * (set.start_share + (1.0 - set.start_share) * warm);
-                    let most = borne(set.fall_multiple * can * window as f64 / SEC as f64);
+                    let warm = (from as f64 / set.warm_up as f64).min(1.0);
+                    let can = warm_rate * (set.start_capacity + (1.0 - set.start_capacity) * warm);
+                    let most = borne(set.overload_factor * can * window as f64 / SEC as f64);
                     if came / most > worst.0 {
                         let ms = from / MS;
                         worst = (
@@ -205,18 +205,18 @@
     let calls = |refused: bool| {
         let mut rig = Rig::new(Settings { max_held: 2000, ..thin(2) }, 0, 1);
         for n in 0..60 {
-            rig.take_for(SAFE, 1, None, 60 * SEC);
+            rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
             rig.end_all(if refused && n == 30 { Outcome::Full { wait: None } } else { Outcome::Served });
-            rig.pass(500 * MS);
+            rig.advance(500 * MS);
             rig.end_all(Outcome::Served);
         }
         let mut counted = 0;
         for n in 0..110 {
             if n % 5 == 0 {
-                rig.take_for(SAFE, 1, None, 60 * SEC);
+                rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
             }
-            rig.pass(100 * MS);
-            counted += if n >= 50 { rig.out.len() } else { 0 };
+            rig.advance(100 * MS);
+            counted += if n >= 50 { rig.in_flight.len() } else { 0 };
             rig.end_all(if n >= 50 { Outcome::Served } else { Outcome::ConnectFailed });
         }
         counted
@@ -231,19 +231,19 @@
 
 fn notes(rig: &Rig) -> Vec<Vec<u8>> {
     let one = |a: &Action| if let Action::Note { body, .. } = a { Some(body.clone()) } else { None };
-    rig.said.iter().filter_map(|(_, a)| one(a)).collect()
+    rig.actions.iter().filter_map(|(_, a)| one(a)).collect()
 }
 
 /// A sender's own words: that destination 1 fails, and that it serves again.
 fn words() -> [Vec<u8>; 2] {
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(9) }, 0, 1);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
     for _ in 0..2 {
-        rig.take(SAFE);
+        rig.submit(IDEMPOTENT);
         rig.end_all(Outcome::TimedOut);
     }
-    rig.pass(40 * SEC);
-    rig.many(20);
-    rig.pass(20 * SEC);
+    rig.advance(40 * SEC);
+    rig.submit_many(20);
+    rig.advance(20 * SEC);
     rig.end_all(Outcome::Served);
     let said = notes(&rig);
     assert_eq!(said.len(), 2, "one word of each, not one for each call: {said:?}");
@@ -253,24 +253,24 @@
 #[test]
 fn two_senders_word_opens_the_breaker_and_one_served_call_ends_it() {
     let [down, up] = words();
-    let set = || Settings { may_note: true, ..thin(9) };
+    let set = || Settings { may_send_notes: true, ..thin(9) };
     let mut rig = Rig::new(set(), 0, 1);
     note(&mut rig, 1, &down);
     note(&mut rig, 1, &down);
-    let one = rig.take(SAFE);
-    assert!(rig.is_out(one), "one sender's word, even said twice, holds nothing back");
+    let one = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(one), "one sender's word, even said twice, holds nothing back");
     // A trial is let through now and then, by chance: of many senders most hold back.
     let mut held = 0;
     for seed in 0..40 {
         let mut rig = Rig::seeded(set(), 0, 1, seed);
         note(&mut rig, 1, &down);
         note(&mut rig, 2, &down);
-        let one = rig.take(SAFE);
-        if !rig.is_out(one) {
+        let one = rig.submit(IDEMPOTENT);
+        if !rig.is_in_flight(one) {
             held += 1;
             note(&mut rig, 3, &up);
-            rig.pass(10 * MS);
-            assert!(rig.is_out(one), "back within three seconds: a false alarm, no ramp");
+            rig.advance(10 * MS);
+            assert!(rig.is_in_flight(one), "back within three seconds: a false alarm, no ramp");
         }
     }
     assert!(held >= 28, "a heard-of outage counts like a seen one: {held} of 40 held back");
@@ -281,24 +281,24 @@
     // Each of many senders sees little of a destination, so it fails for seconds before the first of its
     // calls does. Sent at once, what they all hold pushes it over.
     let [_, up] = words();
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(9) }, 0, 1);
-    rig.take(SAFE);
-    rig.pass(50 * MS);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
+    rig.submit(IDEMPOTENT);
+    rig.advance(50 * MS);
     rig.end_all(Outcome::Served);
-    rig.pass(5 * SEC);
-    rig.many(10);
+    rig.advance(5 * SEC);
+    rig.submit_many(10);
     for _ in 0..20 {
         rig.end_all(Outcome::ConnectFailed);
-        rig.pass(100 * MS);
+        rig.advance(100 * MS);
     }
     assert!(rig.log_has("held back"), "it knows of the outage");
     rig.end_all(Outcome::ConnectFailed);
     note(&mut rig, 3, &up);
-    let mut sent = rig.out.len();
+    let mut sent = rig.in_flight.len();
     for _ in 0..10 {
         rig.end_all(Outcome::Served);
-        rig.pass(20 * MS);
-        sent += rig.out.len();
+        rig.advance(20 * MS);
+        sent += rig.in_flight.len();
     }
     assert!(sent <= 2, "{sent} calls in the first moment");
 }
@@ -313,20 +313,20 @@
     // each at the moment in which the endpoint was quick again.
     let [_, up] = words();
     for by_note in [false, true] {
-        let mut rig = Rig::new(Settings { may_note: true, ..thin(9) }, 0, 1);
-        rig.take(SAFE);
-        rig.pass(50 * MS);
+        let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
+        rig.submit(IDEMPOTENT);
+        rig.advance(50 * MS);
         rig.end_all(Outcome::Served);
-        rig.many(10);
+        rig.submit_many(10);
         for _ in 0..50 {
             rig.end_all(Outcome::ConnectFailed);
-            rig.pass(100 * MS);
+            rig.advance(100 * MS);
         }
-        rig.until_out();
+        rig.advance_until_sent();
         rig.end_all(Outcome::Served);
         // It is back, and cold. The next call is answered late.
-        rig.until_out();
-        rig.pass(1_200 * MS);
+        rig.advance_until_sent();
+        rig.advance(1_200 * MS);
         assert!(rig.log_has("silent"), "it is held back again");
         if by_note {
             note(&mut rig, 3, &up);
@@ -334,8 +334,8 @@
         let mut sent = 0;
         for _ in 0..10 {
             rig.end_all(Outcome::Served);
-            rig.pass(20 * MS);
-            sent += rig.out.len();
+            rig.advance(20 * MS);
+            sent += rig.in_flight.len();
         }
         assert!(sent <= 2, "by a note: {by_note}; {sent} calls in the first moment");
     }
@@ -347,19 +347,19 @@
     let mut rig = Rig::new(thin(9), 0, 1);
     note(&mut rig, 1, &down);
     note(&mut rig, 2, &down);
-    let one = rig.take(SAFE);
-    assert!(rig.is_out(one));
+    let one = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(one));
     for _ in 0..3 {
         rig.end_all(Outcome::TimedOut);
     }
-    rig.pass(5 * SEC);
+    rig.advance(5 * SEC);
     assert!(notes(&rig).is_empty());
 }
 
 #[test]
 fn what_is_no_note_or_speaks_of_the_unknown_is_passed_over() {
     let [down, up] = words();
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(9) }, 0, 1);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
     for word in [down, up] {
         for length in 0..word.len() {
             note(&mut rig, 1, &word[..length]);
@@ -373,8 +373,8 @@
         }
     }
     note(&mut rig, 1, &[0xff; 256]);
-    let one = rig.take(SAFE);
-    assert!(rig.is_out(one));
+    let one = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(one));
 }
 
 #[test]
@@ -385,10 +385,10 @@
         let mut calls = 0;
         for second in 0..120 {
             if second % 5 == 0 {
-                rig.take_for(SAFE, 1, None, 600 * SEC);
+                rig.submit_to(IDEMPOTENT, 1, None, 600 * SEC);
             }
-            rig.pass(SEC);
-            calls += rig.out.len();
+            rig.advance(SEC);
+            calls += rig.in_flight.len();
             rig.end_all(outcome);
         }
         calls
@@ -402,75 +402,79 @@
 fn a_silent_call_on_an_idle_connection_blames_the_connection() {
     let mut rig = Rig::new(thin(9), 0, 1);
     for _ in 0..4 {
-        let id = rig.take(SAFE);
-        rig.pass(100 * MS);
+        let id = rig.submit(IDEMPOTENT);
+        rig.advance(100 * MS);
         rig.end(id, Outcome::Served);
     }
-    rig.pass(2 * SEC);
-    let lost = rig.take(UNSAFE);
-    rig.pass(800 * MS);
-    assert!(rig.is_out(lost) && !rig.log_has("silent"), "the destination is not held back");
+    rig.advance(2 * SEC);
+    let lost = rig.submit(AT_MOST_ONCE);
+    rig.advance(800 * MS);
+    assert!(rig.is_in_flight(lost) && !rig.log_has("silent"), "the destination is not held back");
     rig.end(lost, Outcome::TimedOut);
-    rig.many(1);
+    rig.submit_many(1);
     rig.end_all(Outcome::Served);
-    rig.pass(2 * SEC);
+    rig.advance(2 * SEC);
     // The next one on a connection that has idled as long goes on a fresh one.
-    let at = rig.said.len();
-    rig.take(UNSAFE);
-    let since: Vec<&Action> = rig.said[at..].iter().map(|(_, a)| a).collect();
+    let at = rig.actions.len();
+    rig.submit(AT_MOST_ONCE);
+    let since: Vec<&Action> = rig.actions[at..].iter().map(|(_, a)| a).collect();
     assert!(matches!(since[..2], [Action::CloseIdle { .. }, Action::Send { .. }]), "{since:?}");
 }
 
 #[test]
 fn scarce_connections_are_not_kept_idle() {
     let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, ..thin(100) }, 0, 1);
-    let closes = |rig: &Rig| rig.said.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
-    let id = rig.take(SAFE);
-    rig.pass(50 * MS);
+    let closes =
+        |rig: &Rig| rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
+    let id = rig.submit(IDEMPOTENT);
+    rig.advance(50 * MS);
     rig.end(id, Outcome::Served);
     assert_eq!(closes(&rig), 0);
-    rig.pass(5 * SEC);
-    let id = rig.take(SAFE);
+    rig.advance(5 * SEC);
+    let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::ConnectFailed);
-    rig.pass(SEC);
+    rig.advance(SEC);
     rig.end_all(Outcome::Served);
-    rig.pass(5 * SEC);
-    let id = rig.take(SAFE);
-    rig.pass(50 * MS);
+    rig.advance(5 * SEC);
+    let id = rig.submit(IDEMPOTENT);
+    rig.advance(50 * MS);
     rig.end(id, Outcome::Served);
     assert!(closes(&rig) >= 1);
 }
 
 #[test]
 fn a_destination_back_from_an_outage_is_not_taken_for_one_short_of_connections() {
-    let mut rig =
-        Rig::new(Settings { conn_idle: 10 * SEC, may_note: true, connect_timeout: SEC, ..thin(100) }, 0, 1);
+    let mut rig = Rig::new(
+        Settings { conn_idle: 10 * SEC, may_send_notes: true, connect_timeout: SEC, ..thin(100) },
+        0,
+        1,
+    );
     for _ in 0..3 {
-        rig.take(SAFE);
-        rig.pass(50 * MS);
+        rig.submit(IDEMPOTENT);
+        rig.advance(50 * MS);
         rig.end_all(Outcome::Served);
     }
-    let refused = rig.take(SAFE);
+    let refused = rig.submit(IDEMPOTENT);
     rig.end(refused, Outcome::ConnectFailed);
     // It refuses connections for five seconds, and is seen to for the last time just before it is back.
     for _ in 0..10 {
-        rig.take_for(SAFE, 1, None, 60 * SEC);
-        rig.pass(450 * MS);
+        rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
+        rig.advance(450 * MS);
         rig.end_all(Outcome::ConnectFailed);
         // What goes out right behind a refusal is refused at once, too.
-        rig.pass(50 * MS);
+        rig.advance(50 * MS);
         rig.end_all(Outcome::ConnectFailed);
     }
     let before = notes(&rig).len();
     for n in 0..400 {
         if n % 20 == 0 {
-            rig.take_for(SAFE, 1, None, 60 * SEC);
+            rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
         }
-        rig.pass(100 * MS);
+        rig.advance(100 * MS);
         rig.end_all(Outcome::Served);
     }
     assert!(rig.log_has("answers again"));
-    let closes = rig.said.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
+    let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
     assert_eq!(closes, 0, "connections are kept: the outage is over");
     assert_eq!(notes(&rig).len(), before + 1, "all are told that it is up, and nothing else");
 }
@@ -478,36 +482,36 @@
 #[test]
 fn what_an_outage_refused_is_forgotten_when_others_say_that_it_is_over() {
     let [down, up] = words();
-    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, may_note: true, ..thin(100) }, 0, 1);
-    rig.take(SAFE);
-    rig.pass(50 * MS);
+    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, may_send_notes: true, ..thin(100) }, 0, 1);
+    rig.submit(IDEMPOTENT);
+    rig.advance(50 * MS);
     rig.end_all(Outcome::Served);
-    rig.pass(200 * MS);
-    let refused = rig.take_for(SAFE, 1, None, 60 * SEC);
+    rig.advance(200 * MS);
+    let refused = rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
     rig.end(refused, Outcome::ConnectFailed);
     note(&mut rig, 1, &down);
     note(&mut rig, 2, &down);
     for _ in 0..50 {
-        rig.pass(100 * MS);
+        rig.advance(100 * MS);
         rig.end_all(Outcome::ConnectFailed);
     }
     note(&mut rig, 3, &up);
     let before = notes(&rig).len();
     for n in 0..160 {
         if n % 20 == 0 {
-            rig.take_for(SAFE, 1, None, 60 * SEC);
+            rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
         }
-        rig.pass(100 * MS);
+        rig.advance(100 * MS);
         rig.end_all(Outcome::Served);
     }
-    let closes = rig.said.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
+    let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
     assert_eq!((closes, notes(&rig).len()), (0, before), "no connections were short");
 }
 
 /// What a sender writes when it is told to wait for so long.
 fn told_to_wait(wait: Micros) -> Vec<Vec<u8>> {
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(100) }, 0, 1);
-    let id = rig.take(SAFE);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(100) }, 0, 1);
+    let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(wait) });
     waits(&rig)
 }
@@ -523,37 +527,40 @@
     // A hundred senders with a message each a second: only those that were told or heard nothing call.
     let mut first: Vec<Micros> = Vec::new();
     for seed in 0..100 {
-        let mut rig = Rig::seeded(Settings { may_note: true, ..thin(100) }, 0, 1, seed);
+        let mut rig = Rig::seeded(Settings { may_send_notes: true, ..thin(100) }, 0, 1, seed);
         note(&mut rig, 1, word);
         let heard = rig.now;
-        rig.take_for(SAFE, 1, None, 60 * SEC);
-        while rig.out.is_empty() && rig.now < heard + 20 * SEC {
-            rig.pass(10 * MS);
+        rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
+        while rig.in_flight.is_empty() && rig.now < heard + 20 * SEC {
+            rig.advance(10 * MS);
         }
         first.push(rig.now - heard);
     }
     assert!(first.iter().all(|&t| t >= 3 * SEC), "none calls while it lasts");
     assert!(first.iter().all(|&t| t < 8 * SEC), "all call again");
     let busiest = (0..80).map(|n| first.iter().filter(|&&t| t / (100 * MS) == n).count()).max();
-    assert!(busiest.is_some_and(|n| n < 30), "they begin again apart: {busiest:?} in a tenth of a second");
+    assert!(
+        busiest.is_some_and(|n| n < 30),
+        "they begin again per_endpoint: {busiest:?} in a tenth of a second"
+    );
 }
 
 #[test]
 fn a_wait_is_passed_on_once_and_only_where_it_is_news() {
     assert_eq!(told_to_wait(100 * MS).len(), 0, "over before the note is there");
     let [word] = &told_to_wait(3 * SEC)[..] else { panic!("one note") };
-    let mut rig = Rig::new(Settings { may_note: true, slots: 16, ..thin(100) }, 0, 1);
-    let out = rig.take(SAFE);
+    let mut rig = Rig::new(Settings { may_send_notes: true, slots: 16, ..thin(100) }, 0, 1);
+    let out = rig.submit(IDEMPOTENT);
     note(&mut rig, 1, word);
     rig.end(out, Outcome::Full { wait: Some(3 * SEC) });
     assert!(waits(&rig).is_empty(), "all know");
-    rig.pass(8 * SEC);
-    let again = rig.out.first().map(|o| o.id).expect("it calls again");
+    rig.advance(8 * SEC);
+    let again = rig.in_flight.first().map(|o| o.id).expect("it calls again");
     rig.end(again, Outcome::Full { wait: Some(3 * SEC) });
     assert_eq!(waits(&rig).len(), 1, "a new wait is news");
     // One sender alone writes nothing.
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(1) }, 0, 1);
-    let id = rig.take(SAFE);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(1) }, 0, 1);
+    let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
     assert!(notes(&rig).is_empty());
 }
@@ -561,40 +568,40 @@
 #[test]
 fn a_wait_heard_of_is_not_believed_for_ever() {
     let [word] = &told_to_wait(100_000 * SEC)[..] else { panic!("one note") };
-    let mut rig = Rig::new(Settings { may_note: true, ..thin(100) }, 0, 1);
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(100) }, 0, 1);
     note(&mut rig, 4, word);
-    rig.take_for(SAFE, 1, None, 60 * SEC);
+    rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
     for _ in 0..16 {
         // Said again and again by a sender that is wrong.
         note(&mut rig, 4, word);
-        rig.pass(500 * MS);
+        rig.advance(500 * MS);
     }
-    assert_eq!(rig.out.len(), 1, "it finds out for itself");
+    assert_eq!(rig.in_flight.len(), 1, "it finds out for itself");
     // What it was told itself it keeps to the end.
-    let id = rig.out[0].id;
+    let id = rig.in_flight[0].id;
     rig.end(id, Outcome::Full { wait: Some(30 * SEC) });
-    rig.take_for(SAFE, 1, None, 60 * SEC);
-    rig.pass(29 * SEC);
-    assert!(rig.out.is_empty());
+    rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
+    rig.advance(29 * SEC);
+    assert!(rig.in_flight.is_empty());
 }
 
 #[test]
 fn a_stuck_call_at_one_destination_leaves_two_slots_useful() {
     let mut rig = Rig::new(Settings { slots: 2, ..thin(9) }, 0, 1);
     rig.list((1..5).map(|e| entry(e, u64::from(e) + 1, 0, Phase::Live)).collect());
-    let stuck = rig.take_for(UNSAFE, 1, None, 20 * SEC);
+    let stuck = rig.submit_to(AT_MOST_ONCE, 1, None, 20 * SEC);
     let mut served = 0;
     for n in 0..20 {
-        rig.take_for(SAFE, 2 + n % 4, None, 20 * SEC);
-        rig.pass(200 * MS);
-        for o in rig.out.clone().iter().filter(|o| o.id != stuck) {
+        rig.submit_to(IDEMPOTENT, 2 + n % 4, None, 20 * SEC);
+        rig.advance(200 * MS);
+        for o in rig.in_flight.clone().iter().filter(|o| o.id != stuck) {
             served += 1;
             rig.end(o.id, Outcome::Served);
         }
     }
     assert!(served >= 19, "{served}");
     // A destination gets one of two slots at most, so the other stays for the rest.
-    assert!(rig.is_out(stuck));
+    assert!(rig.is_in_flight(stuck));
 }
 
 #[test]
@@ -603,9 +610,9 @@
     let gone = (0..3).map(|e| entry(e, 1, 0, Phase::Draining));
     rig.list(gone.chain((10..13).map(|e| entry(e, 1, 0, Phase::Live))).collect());
     for _ in 0..12 {
-        rig.take(SAFE);
-        rig.pass(100 * MS);
-        assert!(rig.out.iter().all(|o| o.endpoint >= 10), "{:?}", rig.out);
+        rig.submit(IDEMPOTENT);
+        rig.advance(100 * MS);
+        assert!(rig.in_flight.iter().all(|o| o.endpoint >= 10), "{:?}", rig.in_flight);
         rig.end_all(Outcome::Served);
     }
 }
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -19,13 +19,13 @@
         max_held in 4..40u32,
         narrow in any::<bool>(),
         may_cancel in any::<bool>(),
-        may_note in any::<bool>(),
+        may_send_notes in any::<bool>(),
     ) {
-        let mut set = Settings { slots, max_held, may_cancel, may_note, senders: 9, ..settings() };
-        set.classes[1].group = if narrow { Group::Zone } else { Group::All };
+        let mut set = Settings { slots, max_held, may_cancel, may_send_notes, senders: 9, ..settings() };
+        set.classes[1].dedup_scope = if narrow { DedupScope::Zone } else { DedupScope::All };
         let mut c = Checker::new(set, 3);
         steps.iter().for_each(|s| c.step(s));
-        c.pass(60 * SEC);
+        c.advance(60 * SEC);
         prop_assert!(c.told.values().all(|t| t.over), "a message was lost");
     }
 
--- a/crates/policy/tests/rate.rs
+++ b/crates/policy/tests/rate.rs
@@ -33,10 +33,10 @@
             self.tokens = (self.tokens + self.per_s * step as f64 / 1e6).min(self.depth);
             for (n, rig) in self.rigs.iter_mut().enumerate() {
                 while rig.sender.waiting_count() < 8 {
-                    rig.take_for(SAFE, 1, None, 1_000 * SEC);
+                    rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
                 }
-                rig.pass(step);
-                for o in rig.out.clone() {
+                rig.advance(step);
+                for o in rig.in_flight.clone() {
                     if self.serving.iter().any(|s| (s.0, s.1) == (n, o.id)) {
                         continue;
                     }
@@ -100,18 +100,18 @@
     // Guards against a window cut, an endpoint at rest and a breaker open since a message came with no time
     // left.
     let mut rig = Rig::new(settings(), 0, 2);
-    rig.many(40);
+    rig.submit_many(40);
     rig.serve(20);
-    let before = rig.sender.views(None)[0].window;
+    let before = rig.sender.route_views(None)[0].window;
     rig.end_all(Outcome::Served);
     for _ in 0..4 {
-        let late = rig.take_for(SAFE, 1, None, 30 * MS);
-        rig.pass(25 * MS);
-        if rig.is_out(late) {
+        let late = rig.submit_to(IDEMPOTENT, 1, None, 30 * MS);
+        rig.advance(25 * MS);
+        if rig.is_in_flight(late) {
             rig.end(late, Outcome::TimedOut);
         }
     }
-    let view = &rig.sender.views(None)[0];
+    let view = &rig.sender.route_views(None)[0];
     assert!(view.window >= before, "{} of {before}", view.window);
     assert!(!rig.log_has("held back"));
 }
--- a/crates/policy/tests/service.rs
+++ b/crates/policy/tests/service.rs
@@ -4,34 +4,34 @@
 use common::*;
 use notchpoint_policy::*;
 
-fn service(rig: &mut Rig, endpoint: u64, out: bool) {
-    rig.feed(&[Event::Service { endpoint: EndpointId(endpoint), out }]);
+fn service(rig: &mut Rig, endpoint: u64, out_of_service: bool) {
+    rig.feed(&[Event::Service { endpoint: EndpointId(endpoint), out_of_service }]);
 }
 
 #[test]
 fn nothing_goes_to_an_endpoint_that_is_out_whatever_the_list_says() {
     let mut rig = Rig::new(settings(), 0, 1);
     service(&mut rig, 0, true);
-    let id = rig.take(SAFE);
+    let id = rig.submit(IDEMPOTENT);
     let live = || vec![entry(0, 1, 0, Phase::Live)];
     let lists = [
-        ListNews::Changes(live()),
-        ListNews::Changes(vec![entry(0, 1, 0, Phase::Gone)]),
-        ListNews::Changes(live()),
-        ListNews::Whole(vec![]),
-        ListNews::Whole(live()),
-        ListNews::Unavailable,
+        ListUpdate::Changes(live()),
+        ListUpdate::Changes(vec![entry(0, 1, 0, Phase::Gone)]),
+        ListUpdate::Changes(live()),
+        ListUpdate::Whole(vec![]),
+        ListUpdate::Whole(live()),
+        ListUpdate::Unavailable,
     ];
     for news in lists {
         rig.feed(&[Event::List(news)]);
-        rig.pass(SEC);
-        assert!(!rig.is_out(id) && rig.answers(id) == 0);
+        rig.advance(SEC);
+        assert!(!rig.is_in_flight(id) && rig.answer_count(id) == 0);
     }
     // Twice out is once out.
     service(&mut rig, 0, true);
     service(&mut rig, 0, false);
-    rig.pass(SEC);
-    assert!(rig.is_out(id));
+    rig.advance(SEC);
+    assert!(rig.is_in_flight(id));
 }
 
 #[test]
@@ -40,12 +40,12 @@
     service(&mut rig, 0, true);
     rig.list(vec![entry(0, 1, 0, Phase::Draining)]);
     service(&mut rig, 0, false);
-    let id = rig.take(SAFE);
-    rig.pass(SEC);
-    assert!(!rig.is_out(id));
+    let id = rig.submit(IDEMPOTENT);
+    rig.advance(SEC);
+    assert!(!rig.is_in_flight(id));
     rig.list(vec![entry(0, 1, 0, Phase::Live)]);
-    rig.pass(SEC);
-    assert!(rig.is_out(id));
+    rig.advance(SEC);
+    assert!(rig.is_in_flight(id));
 }
 
 #[test]
@@ -53,18 +53,18 @@
     // As after a restart: marks come from the store, and the list behind them.
     let mut rig = Rig::new(settings(), 0, 0);
     service(&mut rig, 0, true);
-    rig.feed(&[Event::List(ListNews::Restored(vec![entry(0, 1, 0, Phase::Live)]))]);
-    let id = rig.take(SAFE);
-    rig.pass(SEC);
-    assert!(!rig.is_out(id));
+    rig.feed(&[Event::List(ListUpdate::Restored(vec![entry(0, 1, 0, Phase::Live)]))]);
+    let id = rig.submit(IDEMPOTENT);
+    rig.advance(SEC);
+    assert!(!rig.is_in_flight(id));
 }
 
 /// How many of a stream of 10 messages a second are sent in the first second after this.
 fn sent_in_a_second(rig: &mut Rig) -> usize {
     let before = rig.attempts.values().sum::<u32>();
     for _ in 0..10 {
-        rig.take(SAFE);
-        rig.pass(100 * MS);
+        rig.submit(IDEMPOTENT);
+        rig.advance(100 * MS);
         rig.end_all(Outcome::Served);
     }
     (rig.attempts.values().sum::<u32>() - before) as usize
@@ -79,7 +79,7 @@
         }
         assert!(sent_in_a_second(&mut rig) >= 9, "warm, all goes");
         service(&mut rig, 0, true);
-        rig.pass(SEC);
+        rig.advance(SEC);
         service(&mut rig, 0, false);
         let first = sent_in_a_second(&mut rig);
         assert!((1..=5).contains(&first), "kind {kind}: {first} at once after the return");
@@ -97,15 +97,15 @@
         sent_in_a_second(&mut rig);
     }
     service(&mut rig, 0, true);
-    rig.many(4);
-    assert!(rig.out.iter().all(|o| o.endpoint == 1) && rig.out.len() == 4);
+    rig.submit_many(4);
+    assert!(rig.in_flight.iter().all(|o| o.endpoint == 1) && rig.in_flight.len() == 4);
     rig.end_all(Outcome::Served);
     service(&mut rig, 0, false);
-    rig.many(8);
-    let to = |rig: &Rig, e| rig.out.iter().filter(|o| o.endpoint == e).count();
+    rig.submit_many(8);
+    let to = |rig: &Rig, e| rig.in_flight.iter().filter(|o| o.endpoint == e).count();
     assert_eq!((to(&rig, 0), to(&rig, 1)), (1, 7));
     rig.end_all(Outcome::Served);
-    rig.pass(11 * SEC);
-    rig.many(8);
+    rig.advance(11 * SEC);
+    rig.submit_many(8);
     assert_eq!((to(&rig, 0), to(&rig, 1)), (4, 4));
 }
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -36,9 +36,9 @@
 impl World {
     fn new(lost_of: u64, may_cancel: bool) -> Self {
         let mut set = Settings { slots: 7, max_held: 600, senders: 2, may_cancel, ..settings() };
-        set.classes[UNSAFE as usize].worth = 3.0;
-        set.classes[SAFE as usize] =
-            Class { wanted: SEC, deadline: 6 * SEC, ..set.classes[SAFE as usize].clone() };
+        set.classes[AT_MOST_ONCE as usize].worth = 3.0;
+        set.classes[IDEMPOTENT as usize] =
+            Class { target_time: SEC, deadline: 6 * SEC, ..set.classes[IDEMPOTENT as usize].clone() };
         let sender = Sender::new(set, 5).expect("sound");
         let (calls, attempts, events) = Default::default();
         let mut w = Self {
@@ -58,24 +58,24 @@
         };
         // Three destinations take five messages in a call, three others one.
         let list = (0..12).map(|e| entry(e, u64::from(e) / 2, if e < 6 { 2 } else { 0 }, Phase::Live));
-        w.events.push(Event::List(ListNews::Restored(list.collect())));
+        w.events.push(Event::List(ListUpdate::Restored(list.collect())));
         w
     }
 
-    fn take(&mut self) {
-        let (id, class) = (MessageId(self.next), if self.next % 5 < 3 { SAFE } else { UNSAFE });
+    fn submit(&mut self) {
+        let (id, class) = (MessageId(self.next), if self.next % 5 < 3 { IDEMPOTENT } else { AT_MOST_ONCE });
         // Most go to those that take many at once.
         let dest = DestinationId([0, 1, 2, 0, 1, 2, 3, 4, 5][(self.next % 9) as usize]);
-        let expires_in = if class == SAFE { 6 * SEC } else { 20 * SEC };
+        let expires_in = if class == IDEMPOTENT { 6 * SEC } else { 20 * SEC };
         self.next += 1;
-        let (tenant, key, again) = (None, None, false);
-        self.events.push(Event::Taken(Message { id, class, tenant, key, dest, again, expires_in }));
+        let (tenant, key, is_retry) = (None, None, false);
+        self.events.push(Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in }));
     }
 
     fn end(&mut self, id: MessageId, attempt: u32, outcome: Outcome) {
-        let over = outcome == Outcome::Served;
-        self.served += u64::from(over);
-        self.events.push(Event::Ended { id, attempt, outcome, over, allowance: None });
+        let is_final = outcome == Outcome::Served;
+        self.served += u64::from(is_final);
+        self.events.push(Event::Ended { id, attempt, outcome, is_final, allowance: None });
     }
 
     fn tick(&mut self) {
@@ -127,7 +127,7 @@
         for n in 0..seconds * SEC / TICK {
             let due = |n: u64| n * rate * TICK / SEC;
             for _ in due(n)..due(n + 1) {
-                self.take();
+                self.submit();
             }
             self.tick();
         }
@@ -161,7 +161,7 @@
     let mut called_off = 0;
     for n in 0..2_000 {
         if n % 2 == 0 {
-            w.take();
+            w.submit();
         }
         before.clear();
         before.extend(w.calls.iter().map(|(k, c)| (*k, c.1.iter().filter(|m| w.now < k.1 + m.2).count())));
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -7,32 +7,32 @@
 /// Window after so many served calls, with more waiting than it lets out.
 fn rig_with_backlog(slots: u32) -> Rig {
     let mut rig = Rig::new(Settings { slots, ..settings() }, 0, 1);
-    rig.many(60);
+    rig.submit_many(60);
     rig
 }
 
 #[test]
 fn it_starts_at_one_and_grows_by_half_a_call() {
     let mut rig = rig_with_backlog(16);
-    assert_eq!(rig.out.len(), 1);
+    assert_eq!(rig.in_flight.len(), 1);
     rig.serve(1);
-    assert_eq!(rig.out.len(), 1, "1.5 rounds down to one");
+    assert_eq!(rig.in_flight.len(), 1, "1.5 rounds down to one");
     rig.serve(1);
-    assert_eq!(rig.out.len(), 2);
+    assert_eq!(rig.in_flight.len(), 2);
     rig.serve(4);
-    assert_eq!(rig.out.len(), 4);
+    assert_eq!(rig.in_flight.len(), 4);
 }
 
 #[test]
 fn three_quarters_of_the_slots_are_the_ceiling_and_one_call_the_least() {
     for (slots, most) in [(16, 12), (4, 3), (2, 1), (1, 1)] {
         let mut rig = rig_with_backlog(slots);
-        rig.many(100);
+        rig.submit_many(100);
         for _ in 0..10 {
-            rig.pass(100 * MS);
-            rig.out.clone().iter().for_each(|o| drop(rig.end(o.id, Outcome::Served)));
+            rig.advance(100 * MS);
+            rig.in_flight.clone().iter().for_each(|o| drop(rig.end(o.id, Outcome::Served)));
         }
-        assert_eq!(rig.out.len(), most, "{slots} slots");
+        assert_eq!(rig.in_flight.len(), most, "{slots} slots");
     }
 }
 
@@ -40,45 +40,45 @@
 fn refusal_halves_it_and_growth_rests_for_the_cooldown() {
     let mut rig = rig_with_backlog(16);
     rig.serve(14);
-    assert_eq!(rig.out.len(), 8);
-    let id = rig.out[0].id;
+    assert_eq!(rig.in_flight.len(), 8);
+    let id = rig.in_flight[0].id;
     rig.end(id, Outcome::Full { wait: None });
-    assert_eq!(rig.out.len(), 7, "cuts stop no running call");
+    assert_eq!(rig.in_flight.len(), 7, "cuts stop no running call");
     rig.serve(10);
-    assert_eq!(rig.out.len(), 4, "no growth within the cooldown");
+    assert_eq!(rig.in_flight.len(), 4, "no growth within the cooldown");
     for _ in 0..17 {
-        rig.many(4);
+        rig.submit_many(4);
         rig.serve(4);
-        assert_eq!(rig.out.len(), 4, "no growth within the cooldown");
+        assert_eq!(rig.in_flight.len(), 4, "no growth within the cooldown");
     }
     rig.serve(3);
-    assert_eq!(rig.out.len(), 5);
+    assert_eq!(rig.in_flight.len(), 5);
 }
 
 #[test]
 fn only_the_first_congestion_of_a_message_cuts() {
     let mut rig = Rig::new(settings(), 0, 1);
-    rig.many(14);
+    rig.submit_many(14);
     rig.serve(14);
     // Alone now, one message is refused again and again: one cut, from 8 to 4.
-    let id = rig.take(SAFE);
+    let id = rig.submit(IDEMPOTENT);
     for _ in 0..3 {
         rig.end(id, Outcome::Full { wait: Some(100 * MS) });
-        rig.pass(SEC);
-        assert!(rig.is_out(id));
+        rig.advance(SEC);
+        assert!(rig.is_in_flight(id));
     }
     rig.end(id, Outcome::Served);
-    assert_eq!(rig.sender.views(None)[0].window, 4.0);
+    assert_eq!(rig.sender.route_views(None)[0].window, 4.0);
 }
 
 #[test]
 fn plain_errors_leave_it() {
     let mut rig = rig_with_backlog(16);
     rig.serve(6);
-    assert_eq!(rig.out.len(), 4);
-    let id = rig.out[0].id;
+    assert_eq!(rig.in_flight.len(), 4);
+    let id = rig.in_flight[0].id;
     rig.end(id, Outcome::Failed);
-    assert_eq!(rig.out.len(), 4);
+    assert_eq!(rig.in_flight.len(), 4);
 }
 
 #[test]
@@ -87,9 +87,9 @@
     let mut rig = rig_with_backlog(16);
     rig.serve(6);
     for _ in 0..8 {
-        let id = rig.out[0].id;
+        let id = rig.in_flight[0].id;
         rig.end(id, Outcome::Spoilt);
-        assert_eq!(rig.out.len(), 4);
+        assert_eq!(rig.in_flight.len(), 4);
     }
 }
 
@@ -98,20 +98,20 @@
     for (limit, calls) in [(5.0, 1), (0.0, 3)] {
         let mut rig = rig_with_backlog(16);
         for _ in 0..4 {
-            rig.pass(100 * MS);
-            let id = rig.out[0].id;
-            rig.end_told(id, Outcome::Served, Some(Allowance { left: 0.05, limit }));
+            rig.advance(100 * MS);
+            let id = rig.in_flight[0].id;
+            rig.end_with_allowance(id, Outcome::Served, Some(Allowance { left: 0.05, limit }));
         }
-        assert_eq!(rig.out.len(), calls, "limit {limit}");
+        assert_eq!(rig.in_flight.len(), calls, "limit {limit}");
     }
 }
 
 #[test]
 fn routes_apart_have_windows_of_their_own_under_one_cap() {
     let mut rig = Rig::new(Settings { slots: 4, ..settings() }, 1, 4);
-    rig.many(20);
-    assert_eq!(rig.out.len(), 3);
-    let mut used: Vec<u32> = rig.out.iter().map(|o| o.endpoint).collect();
+    rig.submit_many(20);
+    assert_eq!(rig.in_flight.len(), 3);
+    let mut used: Vec<u32> = rig.in_flight.iter().map(|o| o.endpoint).collect();
     used.dedup();
     assert_eq!(used.len(), 3, "one call a route");
 }
@@ -121,16 +121,16 @@
     let mut rig = Rig::new(Settings { slots: 3, ..settings() }, 0, 1);
     rig.list((1..6).map(|e| entry(e, u64::from(e) + 1, 0, Phase::Live)).collect());
     for dest in 1..7 {
-        rig.take_for(SAFE, dest, None, 20 * SEC);
+        rig.submit_to(IDEMPOTENT, dest, None, 20 * SEC);
     }
-    assert_eq!(rig.out.len(), 3);
+    assert_eq!(rig.in_flight.len(), 3);
 }
 
 #[test]
 fn a_bundle_is_one_call() {
     let mut rig = Rig::new(settings(), 2, 1);
     let mut events = Vec::new();
-    (0..9).for_each(|_| events.push(rig.message(SAFE, 1, None, 20 * SEC).1));
+    (0..9).for_each(|_| events.push(rig.message(IDEMPOTENT, 1, None, 20 * SEC).1));
     rig.feed(&events);
-    assert_eq!(rig.out.len(), 5, "one call carries five, and the window is one");
+    assert_eq!(rig.in_flight.len(), 5, "one call carries five, and the window is one");
 }
