--- a/crates/policy/tests/zone.rs
+++ b/crates/policy/tests/zone.rs
@@ -5,16 +5,16 @@
 use common::*;
 use notchpoint_policy::*;
 
-fn zone(rig: &mut Rig, zone: u32, share: f64, tries: bool) {
-    rig.feed(&[Event::Zone { zone, share, tries, spared: Vec::new() }]);
+fn zone(rig: &mut Rig, zone: u32, share: f64, probe: bool) {
+    rig.feed(&[Event::Zone { zone, share, probe, exempt: Vec::new() }]);
 }
 
 /// How many of so many messages, one after another, go to this endpoint.
 fn sent(rig: &mut Rig, endpoint: u32, messages: usize) -> usize {
     let one = |rig: &mut Rig| {
-        rig.take(SAFE);
-        rig.pass(50 * MS);
-        let out = rig.out.first().copied().expect("it is out");
+        rig.submit(IDEMPOTENT);
+        rig.advance(50 * MS);
+        let out = rig.in_flight.first().copied().expect("it is out");
         rig.end(out.id, Outcome::Served);
         usize::from(out.endpoint == endpoint)
     };
@@ -50,8 +50,8 @@
 #[test]
 fn a_destination_that_serves_there_all_the_same_is_not_concerned() {
     let mut rig = Rig::new(settings(), 0, 2);
-    let spared = vec![DestinationId(1)];
-    rig.feed(&[Event::Zone { zone: 0, share: 0.0, tries: false, spared }]);
+    let exempt = vec![DestinationId(1)];
+    rig.feed(&[Event::Zone { zone: 0, share: 0.0, probe: false, exempt }]);
     assert_eq!(sent(&mut rig, 0, 20), 20);
     zone(&mut rig, 0, 0.0, false);
     assert_eq!(sent(&mut rig, 0, 20), 0);
@@ -61,11 +61,11 @@
 fn an_endpoint_that_rests_is_used_where_only_a_zone_that_is_left_has_another() {
     let mut rig = Rig::new(settings(), 0, 2);
     zone(&mut rig, 0, 0.0, false);
-    let id = rig.take(SAFE);
-    assert_eq!(rig.out[0].endpoint, 1);
+    let id = rig.submit(IDEMPOTENT);
+    assert_eq!(rig.in_flight[0].endpoint, 1);
     rig.end(id, Outcome::Reset);
-    rig.pass(300 * MS);
-    assert_eq!(rig.out.first().map(|o| o.endpoint), Some(1), "its rest is a preference");
+    rig.advance(300 * MS);
+    assert_eq!(rig.in_flight.first().map(|o| o.endpoint), Some(1), "its rest is a preference");
 }
 
 #[test]
@@ -95,24 +95,28 @@
 fn who_tries_sends_one_message_that_may_be_repeated_to_each_destination_and_no_more() {
     let mut rig = Rig::new(settings(), 0, 2);
     zone(&mut rig, 0, 0.0, false);
-    rig.feed(&[Event::List(ListNews::Changes(vec![
+    rig.feed(&[Event::List(ListUpdate::Changes(vec![
         entry(2, 2, 0, Phase::Live),
         entry(3, 2, 0, Phase::Live),
     ]))]);
     // Messages that wait for the window: what may be repeated goes first where a zone is tried.
-    let first = rig.take(UNSAFE);
-    let unsafe_one = rig.take(UNSAFE);
-    let safe = rig.take(SAFE);
+    let first = rig.submit(AT_MOST_ONCE);
+    let unsafe_one = rig.submit(AT_MOST_ONCE);
+    let safe = rig.submit(IDEMPOTENT);
     zone(&mut rig, 0, 0.0, true);
     rig.end(first, Outcome::Served);
-    let tried: Vec<Out> = rig.out.iter().filter(|o| o.endpoint == 0).copied().collect();
-    assert_eq!(tried.iter().map(|o| o.id).collect::<Vec<_>>(), [safe], "{:?}", rig.out);
+    let tried: Vec<InFlight> = rig.in_flight.iter().filter(|o| o.endpoint == 0).copied().collect();
+    assert_eq!(tried.iter().map(|o| o.id).collect::<Vec<_>>(), [safe], "{:?}", rig.in_flight);
     rig.end(safe, Outcome::Served);
-    assert!(rig.is_out(unsafe_one));
+    assert!(rig.is_in_flight(unsafe_one));
     rig.end(unsafe_one, Outcome::Served);
     assert_eq!(sent(&mut rig, 0, 10), 0, "once");
-    let other = rig.take_for(SAFE, 2, None, 20 * SEC);
-    assert_eq!(rig.out.iter().find(|o| o.id == other).map(|o| o.endpoint), Some(2), "the other destination");
+    let other = rig.submit_to(IDEMPOTENT, 2, None, 20 * SEC);
+    assert_eq!(
+        rig.in_flight.iter().find(|o| o.id == other).map(|o| o.endpoint),
+        Some(2),
+        "the other destination"
+    );
     // Doubted by others, and tried from here: its share stays whole.
     let mut rig = Rig::new(settings(), 0, 2);
     sent(&mut rig, 0, 2);
--- a/crates/recorder/examples/cost.rs
+++ b/crates/recorder/examples/cost.rs
@@ -17,9 +17,9 @@
 fn settings() -> Settings {
     let class = |effect, worth, deadline| Class {
         effect,
-        group: Group::All,
-        memory: 0,
-        wanted: 1_000_000,
+        dedup_scope: DedupScope::All,
+        dedup_window: 0,
+        target_time: 1_000_000,
         deadline,
         worth,
         late_share: 0.0,
@@ -31,28 +31,28 @@
         max_attempts: 8,
         senders: 3,
         zone: 0,
-        second_copies: true,
+        parallel_attempts: true,
         may_cancel: true,
         may_probe: false,
-        may_note: false,
+        may_send_notes: false,
         list: ListMode::Push,
-        classes: vec![class(Effect::Safe, 1.0, 6_000_000), class(Effect::Unsafe, 3.0, 24_000_000)],
-        tenants: vec![],
+        classes: vec![class(Effect::Idempotent, 1.0, 6_000_000), class(Effect::AtMostOnce, 3.0, 24_000_000)],
+        tenant_allowances: vec![],
         over_share_worth: 0.2,
-        kinds: vec![Kind { apart: false, bundle: 1 }],
-        fade: Fade::ByHalf,
-        clients_mark: true,
-        start_share: 0.2,
-        cold: 9_000_000,
-        fall_multiple: 2.0,
-        fall_after: 2_000_000,
+        kinds: vec![Kind { per_endpoint: false, max_bundle: 1 }],
+        worth_decay: WorthDecay::Halving,
+        clients_mark_retries: true,
+        start_capacity: 0.2,
+        warm_up: 9_000_000,
+        overload_factor: 2.0,
+        overload_after: 2_000_000,
         key_rest: 0,
         connect_timeout: 1_000_000,
         conn_idle: 5_000_000,
         multiplex: 1,
-        conns_told: false,
+        connections_reported: false,
         tick: TICK,
-        max_advice: 2_000_000,
+        max_retry_after: 2_000_000,
     }
 }
 
@@ -72,14 +72,14 @@
         let sender = Sender::new(settings(), 1).expect("sound");
         let (now, out, took) = (100_000_000, Vec::new(), Duration::ZERO);
         let mut lane = Self { name, sender, recorder, now, out, messages: 0, took };
-        let entries = (0..DESTS).map(|n| Entry {
+        let entries = (0..DESTS).map(|n| ListEntry {
             endpoint: EndpointId(n),
             dest: DestinationId(n),
             zone: 0,
             kind: 0,
             phase: Phase::Live,
         });
-        lane.turn(vec![Event::List(ListNews::Whole(entries.collect()))]);
+        lane.turn(vec![Event::List(ListUpdate::Whole(entries.collect()))]);
         lane
     }
 
@@ -106,7 +106,7 @@
                 id,
                 attempt: 0,
                 outcome: Outcome::Served,
-                over: true,
+                is_final: true,
                 allowance: None,
             };
             let mut events: Vec<Event> = done.map(ended).collect();
@@ -119,7 +119,7 @@
                     tenant: None,
                     key: None,
                     dest: DestinationId(self.messages % DESTS),
-                    again: false,
+                    is_retry: false,
                     expires_in: 6_000_000,
                 }));
             }
--- a/crates/recorder/src/explain.rs
+++ b/crates/recorder/src/explain.rs
@@ -363,19 +363,21 @@
         let held = holds.keys().filter(|id| self.open.get(id).is_some_and(|t| t.course.dest == dest.0));
         let held = held.count();
         let (from, to) = self.stretch();
-        for v in sender.views(Some(dest)) {
+        for v in sender.route_views(Some(dest)) {
             let route = v.endpoint.map(|e| self.name(e));
             let old = self.routes.insert(v.endpoint, v.clone());
             if at < from || at > to {
                 continue;
             }
-            if let Some((when, outcome)) = v.cut.filter(|c| old.as_ref().is_none_or(|o| o.cut != Some(*c))) {
+            if let Some((when, outcome)) =
+                v.last_cut.filter(|c| old.as_ref().is_none_or(|o| o.last_cut != Some(*c)))
+            {
                 let cause = outcome_words(outcome);
                 let before = old.as_ref().map_or(v.window, |o| o.window);
                 self.now.cuts.push(Cut { at: when, route: route.clone(), from: before, to: v.window, cause });
             }
             let hold = v.hold.map(|h| h.guard);
-            let (window, out, lost, admits) = (v.window, v.out, v.lost, v.admits);
+            let (window, out, lost, admits) = (v.window, v.in_flight, v.lost, v.admitted_rate);
             let point = Point { at, route, window, out, lost, held, admits, hold };
             let same = |p: &&Point| {
                 let known = (p.window, p.out, p.lost, p.held, p.admits, p.hold);
@@ -421,9 +423,9 @@
         Event::Closed(_) => "an idle connection ended".into(),
         Event::Probed { .. } => "a probe ended".into(),
         Event::Settings(_) => "other settings came into force".into(),
-        Event::Service { out: true, .. } => "operators took an endpoint out".into(),
+        Event::Service { out_of_service: true, .. } => "operators took an endpoint out".into(),
         Event::Service { .. } => "operators put an endpoint back".into(),
-        Event::Zone { zone, tries: true, .. } => format!("zone {zone} is tried, by the fleet's turn"),
+        Event::Zone { zone, probe: true, .. } => format!("zone {zone} is tried, by the fleet's turn"),
         Event::Zone { zone, share, .. } => {
             format!("zone {zone} is sent {:.0} % of its share, as the fleet found", 100.0 * share)
         }
@@ -450,7 +452,7 @@
         self.now = Explanation { sender: header.sender.clone(), run, begins, unix, ..Explanation::default() };
         let holds: BTreeMap<MessageId, Guard> =
             sender.holds().into_iter().map(|(id, _, h)| (id, h.guard)).collect();
-        for (id, class, dest, out) in sender.open() {
+        for (id, class, dest, out) in sender.open_messages() {
             self.track(id, class, dest.0, header.at, "held before the recording begins", true);
             if let Some(t) = self.open.get_mut(&id) {
                 t.at = if out { At::Out } else { At::Held(holds.get(&id).copied().unwrap_or(Guard::Order)) };
@@ -466,7 +468,7 @@
                 Event::Taken(m) | Event::Resumed { message: m, .. } if !self.open.contains_key(&m.id) => {
                     self.track(m.id, m.class, m.dest.0, turn.at, &say(e), false);
                 }
-                Event::Ended { id, outcome, over, .. } if *over || *outcome == Outcome::Served => {
+                Event::Ended { id, outcome, is_final, .. } if *is_final || *outcome == Outcome::Served => {
                     let how = if *outcome == Outcome::Served { "delivered" } else { "over: nobody wants it" };
                     self.end(*id, turn.at, how);
                 }
--- a/crates/recorder/src/fleet.rs
+++ b/crates/recorder/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use crate::form::{Damage, Record, Recording, Start, Turn};
 use notchpoint_policy::{
-    Action, DestinationId, EndpointId, Event, ListNews, MessageId, Micros, Outcome, Settings,
+    Action, DestinationId, EndpointId, Event, ListUpdate, MessageId, Micros, Outcome, Settings,
 };
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -106,8 +106,8 @@
 }
 
 impl Process {
-    fn list(&mut self, news: &ListNews) -> usize {
-        let (ListNews::Whole(all) | ListNews::Changes(all) | ListNews::Restored(all)) = news else {
+    fn list(&mut self, news: &ListUpdate) -> usize {
+        let (ListUpdate::Whole(all) | ListUpdate::Changes(all) | ListUpdate::Restored(all)) = news else {
             return 0;
         };
         self.endpoints.extend(all.iter().map(|e| (e.endpoint, (e.dest, e.kind))));
@@ -173,7 +173,7 @@
                 p.attempts.insert(m.id, before);
                 self.cell(second, m.dest, |c| c.taken += 1);
             }
-            Event::Ended { id, attempt, outcome, over, .. } => {
+            Event::Ended { id, attempt, outcome, is_final, .. } => {
                 if let Some((dest, true)) = p.calls.remove(&(*id, *attempt)) {
                     self.cell(second, dest, |c| match outcome {
                         Outcome::Served => c.served += 1,
@@ -184,7 +184,7 @@
                         _ => c.other += 1,
                     });
                 }
-                if *over || *outcome == Outcome::Served {
+                if *is_final || *outcome == Outcome::Served {
                     p.forget(*id);
                 }
             }
@@ -198,17 +198,17 @@
                 let entries = p.list(news) as u64;
                 let c = self.common.entry(second).or_default();
                 match news {
-                    ListNews::Unavailable => c.unavailable += 1,
-                    ListNews::Whole(_) => c.whole += 1,
-                    ListNews::Changes(_) => c.changes += 1,
-                    ListNews::Restored(_) => return,
+                    ListUpdate::Unavailable => c.unavailable += 1,
+                    ListUpdate::Whole(_) => c.whole += 1,
+                    ListUpdate::Changes(_) => c.changes += 1,
+                    ListUpdate::Restored(_) => return,
                 }
                 c.entries += entries;
             }
             Event::Note { .. } => self.common.entry(second).or_default().heard += 1,
             Event::Wake | Event::Unused(_) | Event::Probed { .. } => {}
             Event::Service { .. } | Event::Settings(_) => {}
-            Event::Zone { zone, share, tries, .. } => self.zone(second, *zone, *share, *tries),
+            Event::Zone { zone, share, probe, .. } => self.zone(second, *zone, *share, *probe),
         }
     }
 
@@ -390,7 +390,7 @@
 }
 
 fn bundles(set: &Settings) -> Vec<bool> {
-    set.kinds.iter().map(|k| k.bundle > 1).collect()
+    set.kinds.iter().map(|k| k.max_bundle > 1).collect()
 }
 
 fn second(offset: i128, at: Micros) -> u64 {
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -3,7 +3,7 @@
 use crate::form::{Damage, Header, Record, Recording, Segment, Start, Turn};
 use crate::recorder::state;
 use notchpoint_policy::{
-    Action, DestinationId, Event, FINGERPRINT, ListNews, MessageId, Micros, STATE_FORM, Sender,
+    Action, DestinationId, Event, FINGERPRINT, ListUpdate, MessageId, Micros, STATE_FORM, Sender,
 };
 use std::fmt;
 
@@ -233,7 +233,7 @@
 pub(crate) fn names(event: &Event, dest: DestinationId) -> bool {
     match event {
         Event::Taken(m) | Event::Resumed { message: m, .. } => m.dest == dest,
-        Event::List(ListNews::Changes(list) | ListNews::Whole(list) | ListNews::Restored(list)) => {
+        Event::List(ListUpdate::Changes(list) | ListUpdate::Whole(list) | ListUpdate::Restored(list)) => {
             list.iter().any(|e| e.dest == dest)
         }
         _ => false,
--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -3,7 +3,7 @@
 #[path = "../../policy/tests/common/mod.rs"]
 mod common;
 
-use common::{MS, Rig, SAFE, SEC, settings};
+use common::{IDEMPOTENT, MS, Rig, SEC, settings};
 use notchpoint_policy::*;
 use notchpoint_recorder::fleet::{Cell, Fleet};
 use notchpoint_recorder::store::Memory;
@@ -13,7 +13,7 @@
 
 /// A sender's recording: three messages served, one refused as full, one not connected, a note and a watch.
 fn recording(name: &str, shift: Micros) -> Vec<u8> {
-    let set = Settings { may_note: true, senders: 3, ..settings() };
+    let set = Settings { may_send_notes: true, senders: 3, ..settings() };
     let options =
         Options { limit: 1 << 20, sender: name.into(), classes: vec![], settings: set.clone(), seed: 7 };
     let mut recorder =
@@ -26,7 +26,7 @@
         recorder.turn(at, UNIX + shift + at - 100 * SEC, &events, &actions, &sender).expect("recorded");
     };
     let known = |n| common::entry(n, 1, 0, Phase::Live);
-    turn(now, vec![Event::List(ListNews::Whole(vec![known(0), known(1)]))]);
+    turn(now, vec![Event::List(ListUpdate::Whole(vec![known(0), known(1)]))]);
     let ends = [
         Outcome::Served,
         Outcome::Served,
@@ -38,23 +38,23 @@
         let id = MessageId(n as u64);
         let message = Message {
             id,
-            class: SAFE,
+            class: IDEMPOTENT,
             tenant: None,
             key: None,
             dest: DestinationId(1),
-            again: false,
+            is_retry: false,
             expires_in: 200 * MS,
         };
         turn(now, vec![Event::Taken(message)]);
         now += 50 * MS;
-        turn(now, vec![Event::Ended { id, attempt: 0, outcome, over: false, allowance: None }]);
+        turn(now, vec![Event::Ended { id, attempt: 0, outcome, is_final: false, allowance: None }]);
         now += SEC;
         turn(now, vec![Event::Wake]);
     }
     turn(now, vec![Event::Note { from: 2, body: vec![0xd1, 0, 1, 0, 0, 0, 0, 0, 0, 0] }]);
-    turn(now, vec![Event::List(ListNews::Unavailable)]);
-    for (share, tries) in [(0.0, false), (0.0, true), (0.25, false), (1.0, false)] {
-        turn(now, vec![Event::Zone { zone: 3, share, tries, spared: vec![DestinationId(1)] }]);
+    turn(now, vec![Event::List(ListUpdate::Unavailable)]);
+    for (share, probe) in [(0.0, false), (0.0, true), (0.25, false), (1.0, false)] {
+        turn(now, vec![Event::Zone { zone: 3, share, probe, exempt: vec![DestinationId(1)] }]);
     }
     let mut bytes = Vec::new();
     recorder.dump(&mut bytes).expect("written");
@@ -127,14 +127,14 @@
 fn a_bundle_is_one_call() {
     let set = settings();
     let mut rig = Rig::new(set.clone(), 2, 1);
-    rig.many(8);
-    let alone = rig.said.len();
+    rig.submit_many(8);
+    let alone = rig.actions.len();
     rig.end_all(Outcome::Served);
-    let sent: Vec<Action> = rig.said[alone..].iter().map(|(_, a)| a.clone()).collect();
+    let sent: Vec<Action> = rig.actions[alone..].iter().map(|(_, a)| a.clone()).collect();
     let options = Options { limit: 1 << 20, sender: "a".into(), classes: vec![], settings: set, seed: 7 };
     let mut recorder =
         Recorder::begin(options, Box::new(Memory::default()), &[], rig.now, UNIX).expect("begun");
-    let list = Event::List(ListNews::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
+    let list = Event::List(ListUpdate::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
     recorder.turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("recorded");
     let together: Vec<Action> = sent.into_iter().filter(|a| matches!(a, Action::Send { .. })).collect();
     let messages = together.len() as u64;
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -45,7 +45,7 @@
     };
     let mut world = Checker::watched(set.clone(), SEED, Some(Box::new(watch)));
     steps.iter().for_each(|s| world.step(s));
-    world.pass(60 * SEC);
+    world.advance(60 * SEC);
     world
 }
 
@@ -84,10 +84,10 @@
     fn what_was_recorded_is_decided_again_bit_for_bit(
         steps in prop::collection::vec(step(), 1..100),
         slots in 1..9u32,
-        may_note in any::<bool>(),
+        may_send_notes in any::<bool>(),
         limit in 60_000..400_000u64,
     ) {
-        let set = Settings { slots, may_note, senders: 9, ..settings() };
+        let set = Settings { slots, may_send_notes, senders: 9, ..settings() };
         let bytes = record(&steps, &set, limit);
         let done = replay(&Recording::read(&bytes), &mut Nobody);
         prop_assert!(done.is_equal() && done.damage.is_empty() && done.others.is_empty(), "{done:?}");
@@ -288,7 +288,7 @@
         let recorder = begin(8 << 20, &set, Box::new(Memory::default()), &[]);
         let sender = Sender::new(set, SEED).expect("sound");
         let mut bench = Self { sender, recorder, now: 50 * SEC, unix: UNIX, next: 1 };
-        bench.tell(vec![Event::List(ListNews::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
+        bench.tell(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
         bench
     }
 
@@ -309,14 +309,14 @@
         self.next += 1;
         let (dest, expires_in) = (DestinationId(1), 20 * SEC);
         let message =
-            Message { id: MessageId(id), class, tenant: None, key: None, dest, again: false, expires_in };
+            Message { id: MessageId(id), class, tenant: None, key: None, dest, is_retry: false, expires_in };
         self.tell(vec![Event::Taken(message)]);
         id
     }
 
     fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) {
-        let (id, over) = (MessageId(id), outcome == Outcome::Served);
-        self.tell(vec![Event::Ended { id, attempt, outcome, over, allowance: None }]);
+        let (id, is_final) = (MessageId(id), outcome == Outcome::Served);
+        self.tell(vec![Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
     fn explain(&self, question: Question) -> Explanation {
@@ -334,7 +334,7 @@
 #[test]
 fn a_window_that_is_full_and_a_wait_that_was_told_are_named_in_turn() {
     let mut b = Bench::new(settings());
-    let (first, second) = (b.take(common::SAFE), b.take(common::SAFE));
+    let (first, second) = (b.take(common::IDEMPOTENT), b.take(common::IDEMPOTENT));
     b.wait(200 * MS);
     b.end(first, 0, Outcome::Full { wait: Some(SEC) });
     b.wait(300 * MS);
@@ -355,14 +355,14 @@
     assert_eq!(soon.later(late), late);
     assert_eq!(late.later(soon), late);
     // What waits for an event may never let go.
-    assert_eq!(late.later(Hold::open(Guard::Window)).guard, Guard::Window);
+    assert_eq!(late.later(Hold::until_event(Guard::Window)).guard, Guard::Window);
     let mut b = Bench::new(settings());
-    let id = b.take(common::SAFE);
+    let id = b.take(common::IDEMPOTENT);
     // The message pauses for 300 ms after a failed connection; the destination told to wait for two seconds.
-    let other = b.take(common::SAFE);
+    let other = b.take(common::IDEMPOTENT);
     b.end(id, 0, Outcome::ConnectFailed);
     b.wait(SEC);
-    let out = b.sender.open().into_iter().find(|o| o.3).map(|o| o.0.0);
+    let out = b.sender.open_messages().into_iter().find(|o| o.3).map(|o| o.0.0);
     if let Some(out) = out {
         let attempt = u32::from(out == id);
         b.end(out, attempt, Outcome::Full { wait: Some(2 * SEC) });
@@ -376,8 +376,8 @@
 fn a_message_that_is_never_sent_has_its_whole_time_explained() {
     let mut b = Bench::new(settings());
     // The list names its destination no more while it waits.
-    b.tell(vec![Event::List(ListNews::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
-    let id = b.take(common::UNSAFE);
+    b.tell(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    let id = b.take(common::AT_MOST_ONCE);
     for _ in 0..250 {
         b.wait(100 * MS);
     }
@@ -392,9 +392,9 @@
 #[test]
 fn a_destination_that_leaves_the_list_while_messages_wait_is_named_from_then_on() {
     let mut b = Bench::new(settings());
-    let (first, second) = (b.take(common::SAFE), b.take(common::UNSAFE));
+    let (first, second) = (b.take(common::IDEMPOTENT), b.take(common::AT_MOST_ONCE));
     b.wait(200 * MS);
-    b.tell(vec![Event::List(ListNews::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    b.tell(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
     b.wait(300 * MS);
     b.end(first, 0, Outcome::Served);
     for _ in 0..250 {
@@ -412,7 +412,7 @@
 #[test]
 fn a_clock_that_steps_is_told_and_changes_no_span() {
     let mut b = Bench::new(settings());
-    let id = b.take(common::SAFE);
+    let id = b.take(common::IDEMPOTENT);
     b.wait(SEC);
     b.unix -= 3_600 * SEC;
     b.wait(SEC);
@@ -428,11 +428,11 @@
 fn a_destinations_cuts_have_their_causes_and_it_can_be_drawn() {
     let mut b = Bench::new(settings());
     for _ in 0..6 {
-        let id = b.take(common::SAFE);
+        let id = b.take(common::IDEMPOTENT);
         b.wait(100 * MS);
         b.end(id, 0, Outcome::Served);
     }
-    let id = b.take(common::SAFE);
+    let id = b.take(common::IDEMPOTENT);
     b.wait(100 * MS);
     b.end(id, 0, Outcome::Full { wait: None });
     b.wait(SEC);
@@ -456,11 +456,11 @@
     let set = Settings { slots: 64, max_held: 20_000, ..settings() };
     let mut b = Bench::new(set);
     let entries = (0..10_000).map(|n| common::entry(n, u64::from(n) + 1, 0, Phase::Live)).collect();
-    b.tell(vec![Event::List(ListNews::Whole(entries))]);
+    b.tell(vec![Event::List(ListUpdate::Whole(entries))]);
     let taken = (0..2_000u64).map(|n| {
         let (dest, expires_in) = (DestinationId(1 + n * 5), 20 * SEC);
         let id = MessageId(1_000 + n);
-        Event::Taken(Message { id, class: 0, tenant: None, key: None, dest, again: false, expires_in })
+        Event::Taken(Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in })
     });
     b.tell(taken.collect());
     for _ in 0..5 {
--- a/crates/rehearsal/src/windows.rs
+++ b/crates/rehearsal/src/windows.rs
@@ -84,13 +84,13 @@
         self.last.iter_mut().for_each(|l| *l = [0.0; 3]);
         // Destinations are counted from 1 in the list that senders are told.
         let partner = |dest: u64| self.partners.get((dest as usize).checked_sub(1)?).copied();
-        for v in sender.views(None) {
+        for v in sender.route_views(None) {
             if let Some(p) = partner(v.dest.0) {
                 self.last[p][0] += v.window;
-                self.last[p][1] += f64::from(v.out);
+                self.last[p][1] += f64::from(v.in_flight);
             }
         }
-        for (_, _, dest, out) in sender.open() {
+        for (_, _, dest, out) in sender.open_messages() {
             if let Some(p) = partner(dest.0).filter(|_| !out) {
                 self.last[p][2] += 1.0;
             }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -32,9 +32,9 @@
         id
     }
 
-    fn entries(&mut self, list: &[Line]) -> Read<Vec<Entry>> {
+    fn entries(&mut self, list: &[Line]) -> Read<Vec<ListEntry>> {
         let one = |l: &Line| {
-            Ok(Entry {
+            Ok(ListEntry {
                 endpoint: self.endpoint(&l.endpoint),
                 dest: DestinationId(l.dest),
                 zone: position(&self.names.zones, &l.zone, "zone").unwrap_or(u32::MAX),
@@ -133,17 +133,17 @@
                 p.maybe("workHintS")?;
                 let dest = DestinationId(p.number("addresseeNo")?);
                 let bits: u32 = p.number("bitmap")?;
-                let again = bits & (2 | 16) != 0;
-                Event::Taken(Message { id, class, tenant, key, dest, again, expires_in })
+                let is_retry = bits & (2 | 16) != 0;
+                Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in })
             }
             "REPORT_BACK" => {
-                let (id, over, reason) = (p.id("corr")?, p.flag("complete")?, p.text("reason")?);
+                let (id, is_final, reason) = (p.id("corr")?, p.flag("complete")?, p.text("reason")?);
                 p.text("endpoint")?;
                 let outcome = outcome(reason, p.maybe("holdMs")?)?;
                 let attempt = p.number("try")?;
                 p.maybe("waitTimeS")?;
                 let allowance = allowance(p.maybe("report")?)?;
-                Event::Ended { id, attempt, outcome, over, allowance }
+                Event::Ended { id, attempt, outcome, is_final, allowance }
             }
             "GONE" => Event::Withdrawn(p.id("corr")?),
             "FIRED" => {
@@ -171,10 +171,10 @@
                     }
                 };
                 Event::List(match scope {
-                    "update" => ListNews::Changes(entries()?),
-                    "replace" => ListNews::Whole(entries()?),
-                    "restored" => ListNews::Restored(entries()?),
-                    "unavailable" => ListNews::Unavailable,
+                    "update" => ListUpdate::Changes(entries()?),
+                    "replace" => ListUpdate::Whole(entries()?),
+                    "restored" => ListUpdate::Restored(entries()?),
+                    "unavailable" => ListUpdate::Unavailable,
                     other => return Err(Malformed(format!("unknown scope {other}"))),
                 })
             }
@@ -235,8 +235,8 @@
             writeln!(text, "CALL_OUT\t{i}\t{:016x}\t{}\t{}", id.0, stamp(*timeout), address(endpoint))
         }
         Action::Cancel { id, attempt } => writeln!(text, "RETRACT\t{i}\t{:016x}\t{attempt}", id.0),
-        Action::Refuse { id, after } => {
-            writeln!(text, "OVERLOAD_REPLY\t{i}\t{:016x}\t{}", id.0, stamp(*after))
+        Action::Refuse { id, retry_after } => {
+            writeln!(text, "OVERLOAD_REPLY\t{i}\t{:016x}\t{}", id.0, stamp(*retry_after))
         }
         Action::Fail { id } => writeln!(text, "LOSE\t{i}\t{:016x}", id.0),
         Action::WakeAt(at) => writeln!(text, "AFTER\t{i}\t0\t{}", stamp(*at)),
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -227,18 +227,18 @@
         names.classes.push(c.text(&k("name"))?.to_owned());
         classes.push(Class {
             effect: match c.text(&k("effect"))? {
-                "idempotent" => Effect::Safe,
-                "deduplicated" => Effect::Keyed,
-                "at_most_once" => Effect::Unsafe,
+                "idempotent" => Effect::Idempotent,
+                "deduplicated" => Effect::Deduplicated,
+                "at_most_once" => Effect::AtMostOnce,
                 other => return bad(format!("setting {}: {other}", k("effect"))),
             },
-            group: match c.0.get(k("group").as_str()) {
-                None | Some(&"all") => Group::All,
-                Some(&"zone") => Group::Zone,
-                Some(_) => Group::Endpoint,
+            dedup_scope: match c.0.get(k("group").as_str()) {
+                None | Some(&"all") => DedupScope::All,
+                Some(&"zone") => DedupScope::Zone,
+                Some(_) => DedupScope::Endpoint,
             },
-            memory: c.span_or(&k("memorySpanS"), Round::Down)?,
-            wanted: c.span(&k("sloS"), Round::Down)?,
+            dedup_window: c.span_or(&k("memorySpanS"), Round::Down)?,
+            target_time: c.span(&k("sloS"), Round::Down)?,
             deadline: c.span(&k("deadlineS"), Round::Down)?,
             worth: c.or(&k("worth"), 1.0)?,
             late_share: c.or(&k("lateShare"), 0.0)?,
@@ -250,18 +250,21 @@
         names.tenants.push(c.text(&format!("parties.{i}.name"))?.to_owned());
         tenants.push(c.or(&format!("parties.{i}.allowancePerS"), f64::MAX)?);
     }
-    let (apart, bundles) = (c.list("familyInfo.kindApart"), c.list("familyInfo.bundleMax"));
+    let (per_endpoint, bundles) = (c.list("familyInfo.kindApart"), c.list("familyInfo.bundleMax"));
     if names.kinds.is_empty() {
         names.kinds.push(String::new());
     }
     let kinds = (0..names.kinds.len()).map(|i| {
-        let bundle = bundles.get(i).map_or(Ok(1), |b| {
+        let max_bundle = bundles.get(i).map_or(Ok(1), |b| {
             b.parse().or_else(|_| bad(format!("setting familyInfo.bundleMax is no list of numbers: {b}")))
         });
-        Ok(Kind { apart: apart.get(i).is_some_and(|a| a == "true" || a == "1"), bundle: bundle?.max(1) })
+        Ok(Kind {
+            per_endpoint: per_endpoint.get(i).is_some_and(|a| a == "true" || a == "1"),
+            max_bundle: max_bundle?.max(1),
+        })
     });
     let zone = c.0.get("locality").and_then(|z| names.zones.iter().position(|n| n == z));
-    let max_advice = if c.flag("bounds.retryAfter", false)? {
+    let max_retry_after = if c.flag("bounds.retryAfter", false)? {
         c.span_or("bounds.maxRetryAfterS", Round::Down)?
     } else {
         0
@@ -272,36 +275,36 @@
         max_attempts: c.number("bounds.maxAttempts")?,
         senders: c.or("siblings", 1)?,
         zone: zone.map_or(u32::MAX, |z| z as u32),
-        second_copies: c.flag("bounds.parallelTries", false)?,
+        parallel_attempts: c.flag("bounds.parallelTries", false)?,
         may_cancel: c.flag("bounds.cancelling", false)?,
         may_probe: c.flag("bounds.mayProbe", false)?,
-        may_note: c.flag("bounds.peerMessages", false)?,
+        may_send_notes: c.flag("bounds.peerMessages", false)?,
         list: match c.text("discovery")? {
             "push" => ListMode::Push,
             "ask" => ListMode::Ask,
             other => return bad(format!("setting discovery: {other}")),
         },
         classes,
-        tenants,
+        tenant_allowances: tenants,
         over_share_worth: c.or("overShareWorth", 1.0)?,
         kinds: kinds.collect::<Read<_>>()?,
-        fade: match c.0.get("familyInfo.fades") {
-            None | Some(&"even") => Fade::Even,
-            Some(&"by_half") => Fade::ByHalf,
+        worth_decay: match c.0.get("familyInfo.fades") {
+            None | Some(&"even") => WorthDecay::Linear,
+            Some(&"by_half") => WorthDecay::Halving,
             Some(other) => return bad(format!("setting familyInfo.fades: {other}")),
         },
-        clients_mark: c.flag("clients.marksRetry", false)?,
-        start_share: c.or("safety.startCapacity", 1.0)?,
-        cold: c.span_or("safety.coldS", Round::Up)?,
-        fall_multiple: c.or("safety.overloadFactor", 1.0)?,
-        fall_after: c.span_or("safety.tipAfterS", Round::Down)?,
+        clients_mark_retries: c.flag("clients.marksRetry", false)?,
+        start_capacity: c.or("safety.startCapacity", 1.0)?,
+        warm_up: c.span_or("safety.coldS", Round::Up)?,
+        overload_factor: c.or("safety.overloadFactor", 1.0)?,
+        overload_after: c.span_or("safety.tipAfterS", Round::Down)?,
         key_rest: c.span_or("safety.keyRestS", Round::Up)?,
         connect_timeout: c.span_or("bounds.connectTimeoutS", Round::Up)?,
         conn_idle: c.span_or("bounds.connIdleS", Round::Down)?,
         multiplex: c.or("bounds.multiplex", 1)?,
-        conns_told: false,
+        connections_reported: false,
         tick: c.span_or("tickS", Round::Up)?,
-        max_advice,
+        max_retry_after,
     };
     settings.check().map_err(|e| Malformed(e.to_string()))?;
     Ok((settings, names))
