--- a/crates/copies/src/copy_store.rs
+++ b/crates/copies/src/copy_store.rs
@@ -58,6 +58,7 @@
     Ended,
 }
 
+/// The copies that this sender stores, and its claims on their messages.
 #[derive(Debug, Default)]
 pub(crate) struct CopyStore {
     copies: BTreeMap<Key, StoredCopy>,
@@ -193,6 +194,7 @@
         }
     }
 
+    /// Deletes a copy with its rows. Returns whether that is written.
     pub fn delete(&mut self, key: Key, ledger: &mut dyn Ledger) -> bool {
         if self.copies.contains_key(&key)
             && !ledger.write(&[delete_row(Row::Copy(key)), delete_row(Row::CopyAcknowledged(key))])
@@ -296,6 +298,7 @@
         self.evaluate_claim(membership, key)
     }
 
+    /// Returns the state of a claim from its grants.
     fn evaluate_claim(&self, membership: &Membership, key: Key) -> ClaimProgress {
         let Some(claim) = self.claims.get(&key) else { return ClaimProgress::Pending };
         if claim.grants.len() + claim.closed_by.len() < membership.claim_quorum(key.group) {
--- a/crates/copies/src/describe.rs
+++ b/crates/copies/src/describe.rs
@@ -24,8 +24,8 @@
 }
 
 /// Returns the description of a row: to which message and owner it belongs, in which term, and what is known
-/// of attempts. Senders are shown by the hash of their names. Returns `None` if the row cannot be decoded.
-/// Without a value, the description says what the row was about.
+/// of attempts. Senders are identified by the hash of their names. Returns `None` if the row cannot be
+/// decoded. Without a value, the description names the row only.
 pub fn describe_row(key: &[u8], value: Option<&[u8]>) -> Option<String> {
     let row: Row = decode(key)?;
     let Some(value) = value else {
--- a/crates/copies/src/ids.rs
+++ b/crates/copies/src/ids.rs
@@ -34,7 +34,7 @@
 }
 
 /// A group of witnesses: all messages that an instance takes on during an epoch belong to it. The epoch
-/// determines the witnesses for good ([`Epoch`]). A new epoch begins when a witness has lost its state, or
+/// determines the witnesses permanently ([`Epoch`]). A new epoch begins when a witness has lost its state, or
 /// was lost before it had registered the epoch: whatever it forgot, or never received, then concerns earlier
 /// epochs only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/copies/src/membership.rs
+++ b/crates/copies/src/membership.rs
@@ -318,8 +318,8 @@
     #[test]
     fn candidates_are_the_lowest_ranked_senders_also_for_a_removed_sender() {
         let membership = membership(60, 3, 1);
-        let stranger = Peer::from_name("gone");
-        for of in membership.senders().map(|(p, _)| p).chain([stranger]) {
+        let removed = Peer::from_name("gone");
+        for of in membership.senders().map(|(p, _)| p).chain([removed]) {
             let mut all: Vec<Peer> = membership.senders().map(|(p, _)| p).filter(|&p| p != of).collect();
             all.sort_by_key(|&p| (membership.same_zone(of, p), rendezvous_hash(of.0, p.0), p));
             assert_eq!(membership.candidates(of), all[..REPLICA_CANDIDATES]);
--- a/crates/copies/src/model.rs
+++ b/crates/copies/src/model.rs
@@ -1,7 +1,7 @@
 //! A model of three senders with one copy of each message: an owner, and two others that are replicas and
 //! witnesses. The checker explores all states of one message that must not be delivered twice. The message
 //! goes through epochs, moves, attempts and claims, while packets are lost, duplicated and delayed, witnesses
-//! stop and restart, with or without their folder, and the owner is lost for good. The witnesses and the
+//! stop and restart, with or without their folder, and the owner is lost permanently. The witnesses and the
 //! choice of the next witnesses are the real code. No heartbeat is ever received, so that claims can be made
 //! at any time.
 
--- a/crates/copies/src/owned.rs
+++ b/crates/copies/src/owned.rs
@@ -47,8 +47,8 @@
     pub pending_move: Option<(WitnessGroup, Micros, BTreeSet<Peer>)>,
     /// Copies in its earlier groups.
     pub previous_groups: Vec<(Key, Term, BTreeSet<Peer>)>,
-    /// When replicas were last requested anew.
-    pub placed_at: Micros,
+    /// When replicas were last requested.
+    pub replicas_requested_at: Micros,
 }
 
 impl OwnedMessage {
@@ -65,7 +65,7 @@
             claimants: BTreeMap::new(),
             pending_move: None,
             previous_groups: Vec::new(),
-            placed_at: 0,
+            replicas_requested_at: 0,
         }
     }
 
--- a/crates/copies/src/replicator.rs
+++ b/crates/copies/src/replicator.rs
@@ -70,7 +70,7 @@
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// The least time without a heartbeat after which a sender is suspected.
-    pub silence: Micros,
+    pub min_silence: Micros,
     /// The limit of bytes for copies.
     pub max_copy_bytes: usize,
     /// The limit of attempts of a message over all owners.
@@ -82,7 +82,7 @@
 impl Default for Settings {
     fn default() -> Self {
         Self {
-            silence: 1_500_000,
+            min_silence: 1_500_000,
             max_copy_bytes: 64 << 20,
             max_attempts: 8,
             witness_entries: DEFAULT_WITNESS_ENTRIES,
@@ -259,6 +259,7 @@
 /// A link that this sender dialed.
 #[derive(Debug, Default)]
 struct Link {
+    /// The incarnation that answered and the number of the link, while it is up.
     up: Option<(Incarnation, u64)>,
     /// The incarnation that answered last.
     last_incarnation: Option<Incarnation>,
@@ -294,7 +295,9 @@
     started_at: Micros,
     /// Peers that have dialed this process. Others may be known from the folder.
     inbound: BTreeMap<Peer, InboundLink>,
+    /// The known incarnations of other senders.
     incarnations: BTreeMap<Peer, Incarnations>,
+    /// The links that this sender dials.
     links: BTreeMap<Peer, Link>,
     /// Stale incarnations whose frames were logged.
     reported_stale: BTreeSet<Instance>,
@@ -309,7 +312,9 @@
     takeovers: BTreeMap<Instance, BTreeMap<Key, Term>>,
     /// Witnesses that have not yet reported which messages of this sender were claimed before it restarted.
     unanswered_witnesses: BTreeSet<Peer>,
+    /// The groups of messages that do not belong to the current one.
     placements: BTreeMap<Id, Placement>,
+    /// The number of the last round of claims.
     claim_round: u64,
     /// When this process was last found to have stalled, and for how long.
     stall: (Micros, Micros),
@@ -319,7 +324,9 @@
     last_tick: Micros,
     /// Whether placements of messages that are not in the folder were deleted.
     placements_cleaned: bool,
+    /// The number of messages taken over since the last heartbeat, by earlier owner.
     taken_over: BTreeMap<Instance, usize>,
+    /// The number of messages given up since the last heartbeat, by new owner.
     given_up: BTreeMap<Instance, usize>,
 }
 
--- a/crates/copies/src/replicator/links.rs
+++ b/crates/copies/src/replicator/links.rs
@@ -4,7 +4,7 @@
 
 impl Replicator {
     /// Returns whether an instance is the current incarnation of its peer. An incarnation that was never seen
-    /// replaces the one before for good: the order of incarnations is unknown, and no clock decides it.
+    /// replaces the one before permanently: the order of incarnations is unknown, and no clock decides it.
     pub(super) fn accept_incarnation(
         &mut self,
         from: Instance,
@@ -54,12 +54,13 @@
             return true;
         }
         match self.inbound.get(&instance.peer) {
-            Some(inbound) => inbound.failure_detector.is_suspected(self.time.now, self.settings.silence),
+            Some(inbound) => inbound.failure_detector.is_suspected(self.time.now, self.settings.min_silence),
             // This process has not received anything from it yet, and waits for its first heartbeat.
-            None => self.time.now.saturating_sub(self.started_at) > self.settings.silence,
+            None => self.time.now.saturating_sub(self.started_at) > self.settings.min_silence,
         }
     }
 
+    /// Handles a new link: registers the group, and sends everything that the peer may have missed.
     pub(super) fn link_up(
         &mut self,
         instance: Instance,
@@ -169,6 +170,7 @@
         uncommitted.into_iter().for_each(|id| self.commit_if_replicated(id, out));
     }
 
+    /// Handles the end of a link: replicas that have not answered may or may not have a copy.
     pub(super) fn link_down(&mut self, peer: Peer, link: u64, out: &mut Vec<Output>) {
         let Some(link_state) = self.links.get_mut(&peer).filter(|l| l.up.is_some_and(|u| u.1 == link)) else {
             return;
@@ -186,6 +188,7 @@
         affected.into_iter().for_each(|id| self.request_replicas(id, out));
     }
 
+    /// Sends a heartbeat if the link is up.
     pub(super) fn send_heartbeat(&mut self, peer: Peer, out: &mut Vec<Output>) {
         self.heartbeats_sent += 1;
         let (number, now) = (self.heartbeats_sent, self.time.now);
--- a/crates/copies/src/replicator/moves.rs
+++ b/crates/copies/src/replicator/moves.rs
@@ -61,7 +61,7 @@
         let (since, time_out) = if link.last_incarnation.is_some() {
             (link.down_since, REPLICA_AWAY_TIMEOUT)
         } else {
-            (self.started_at, self.settings.silence)
+            (self.started_at, self.settings.min_silence)
         };
         link.up.is_none() && self.time.now.saturating_sub(since) > time_out
     }
@@ -90,6 +90,7 @@
         }
     }
 
+    /// Requests the moves that are due, those with the earliest deadline first.
     pub(super) fn move_messages(&mut self, ledger: &mut dyn Ledger, out: &mut Vec<Output>) {
         let (now, group) = (self.time.now, self.current_group());
         if !self.can_commit(group) {
@@ -107,6 +108,7 @@
         }
     }
 
+    /// Requests the move of a message to the current group, or repeats the request.
     pub(super) fn request_move(
         &mut self,
         id: Id,
--- a/crates/copies/src/replicator/owned.rs
+++ b/crates/copies/src/replicator/owned.rs
@@ -3,9 +3,10 @@
 use super::*;
 
 impl Replicator {
+    /// Takes on a message of a client, and asks replicas to store copies.
     pub(super) fn take_on(&mut self, id: Id, record: Record, out: &mut Vec<Output>) {
         let mut message = OwnedMessage::new(self.current_group(), FIRST_TERM, record);
-        message.placed_at = self.time.now;
+        message.replicas_requested_at = self.time.now;
         self.owned.messages.insert(id, message);
         self.request_replicas(id, out);
     }
@@ -95,6 +96,7 @@
         group == self.current_group() && has_quorum && witnesses.iter().all(|w| is_confirmed(w) || !is_up(w))
     }
 
+    /// Commits a message once enough replicas have stored it.
     pub(super) fn commit_if_replicated(&mut self, id: Id, out: &mut Vec<Output>) {
         let Some(message) = self.owned.messages.get(&id).filter(|o| !o.committed) else { return };
         if self.stored_replicas(message) < self.membership.copy_count() || !self.can_commit(message.group) {
@@ -133,6 +135,7 @@
         self.owned.messages.insert(id, message);
     }
 
+    /// Grants an attempt, or asks the witnesses for their consent to it.
     pub(super) fn begin_attempt(
         &mut self,
         id: Id,
@@ -198,6 +201,7 @@
         self.check_consent(id, number, out);
     }
 
+    /// Grants or refuses an attempt once enough witnesses have answered.
     pub(super) fn check_consent(&mut self, id: Id, number: u32, out: &mut Vec<Output>) {
         let Some(message) = self.owned.messages.get(&id) else { return };
         let (needed, all) = (
@@ -273,6 +277,7 @@
         }
     }
 
+    /// Reports the progress of a message to its replicas and witnesses.
     pub(super) fn send_progress(&mut self, id: Id, out: &mut Vec<Output>) {
         let Some(message) = self.owned.messages.get(&id) else { return };
         let frame = self.progress_frame(id, message);
@@ -284,6 +289,7 @@
         recipients.into_iter().for_each(|peer| self.send_request(peer, frame.clone(), out));
     }
 
+    /// Removes a message that has ended, and notifies the senders that have copies or entries of it.
     pub(super) fn end_message(&mut self, id: Id, ledger: &mut dyn Ledger) {
         if self.placements.remove(&id).is_some() {
             // If the row stays, it does no harm: ids are not used again.
@@ -311,6 +317,7 @@
         self.owned.messages.get(&key.id).is_some_and(|o| (o.group, o.term) == (key.group, term))
     }
 
+    /// Asks the witnesses to delete their entries of messages.
     pub(super) fn send_forget(&self, keys: Vec<Key>, out: &mut Vec<Output>) {
         let mut by_group: BTreeMap<WitnessGroup, Vec<Key>> = BTreeMap::new();
         keys.into_iter().for_each(|key| by_group.entry(key.group).or_default().push(key));
@@ -326,7 +333,7 @@
         let (now, count) = (self.time.now, self.membership.copy_count());
         let due = |message: &OwnedMessage| {
             message.committed
-                && message.placed_at + REPLACEMENT_INTERVAL <= now
+                && message.replicas_requested_at + REPLACEMENT_INTERVAL <= now
                 && self.stored_replicas(message) < count
         };
         let due = self.owned.messages.iter().filter(|(_, o)| due(o));
@@ -334,7 +341,7 @@
         due.sort_unstable();
         for (_, id) in due.into_iter().take(MAX_PER_HEARTBEAT) {
             if let Some(message) = self.owned.messages.get_mut(&id) {
-                message.placed_at = now;
+                message.replicas_requested_at = now;
                 // A late replica has had its time, and one without space may have some now.
                 for replica in message
                     .replicas
--- a/crates/copies/src/replicator/requests.rs
+++ b/crates/copies/src/replicator/requests.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Replicator {
+    /// Handles a request from a peer that dialed this sender.
     pub(super) fn handle_request(
         &mut self,
         from: Instance,
@@ -35,7 +36,7 @@
             }
             Frame::StoreCopy { key, term, record } => {
                 let mut record = record.with_absolute_times(self.time.unix);
-                // The time left is that of the moment of sending. It must be reduced by the time that the
+                // The time left is as of when the frame was sent. It must be reduced by the time that the
                 // frame has waited here.
                 if now.saturating_sub(self.stall.0) < STALL_AFTERMATH {
                     record.deadline = record.deadline.saturating_sub(self.stall.1);
@@ -162,6 +163,7 @@
         }
     }
 
+    /// Grants or denies claims as a witness.
     pub(super) fn answer_claims(
         &mut self,
         from: Instance,
@@ -193,6 +195,7 @@
         }
     }
 
+    /// Grants a claim unless its owner is alive.
     pub(super) fn grant_claim(
         &mut self,
         key: Key,
@@ -207,6 +210,7 @@
         granted
     }
 
+    /// Returns the space left for copies, in KiB.
     pub(super) fn free_kib(&self) -> u32 {
         u32::try_from(self.copies.free_bytes() / 1_024).unwrap_or(u32::MAX)
     }
--- a/crates/copies/src/replicator/responses.rs
+++ b/crates/copies/src/replicator/responses.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Replicator {
+    /// Handles a response from a peer that this sender dialed.
     pub(super) fn handle_response(
         &mut self,
         from: Instance,
--- a/crates/copies/src/replicator/takeover.rs
+++ b/crates/copies/src/replicator/takeover.rs
@@ -28,6 +28,7 @@
         }
     }
 
+    /// Records that a witness denied a claim.
     pub(super) fn claim_denied(
         &mut self,
         claim: (Key, Term, u64),
@@ -42,6 +43,7 @@
         progress
     }
 
+    /// Releases a claim at all witnesses of its group.
     pub(super) fn send_release(
         &mut self,
         key: Key,
@@ -125,6 +127,7 @@
         }
     }
 
+    /// Sends the claims that are due, and releases those that are obsolete.
     pub(super) fn send_claims(&mut self, ledger: &mut dyn Ledger, out: &mut Vec<Output>) {
         self.claim_round += 1;
         let (round, now) = (self.claim_round, self.time.now);
--- a/crates/copies/src/replicator/ticks.rs
+++ b/crates/copies/src/replicator/ticks.rs
@@ -3,10 +3,11 @@
 use super::*;
 
 impl Replicator {
+    /// Handles the passage of time: time-outs, collected ends and heartbeats.
     pub(super) fn tick(&mut self, ledger: &mut dyn Ledger, out: &mut Vec<Output>) {
         let now = self.time.now;
         // This process was stopped or starved, and may have missed heartbeats.
-        if now.saturating_sub(self.last_tick) > self.settings.silence / 2 {
+        if now.saturating_sub(self.last_tick) > self.settings.min_silence / 2 {
             self.inbound.values_mut().for_each(|h| h.failure_detector.restart(now));
             self.started_at = self.started_at.max(now);
         }
@@ -67,7 +68,7 @@
                 self.register_group(peer, incarnation, ledger, out);
             }
         }
-        let (now, silence) = (self.time.now, self.settings.silence);
+        let (now, silence) = (self.time.now, self.settings.min_silence);
         for (&peer, inbound) in &mut self.inbound {
             if !inbound.suspected && inbound.failure_detector.is_suspected(now, silence) {
                 inbound.suspected = true;
@@ -108,6 +109,7 @@
         }
     }
 
+    /// Asks owners about overdue copies, and claimants about their claims.
     pub(super) fn query_owners(&mut self, out: &mut Vec<Output>) {
         let overdue =
             self.copies.overdue(self.time.unix.saturating_sub(OWNER_QUERY_DELAY), MAX_PER_HEARTBEAT);
--- a/crates/copies/src/witness.rs
+++ b/crates/copies/src/witness.rs
@@ -24,9 +24,9 @@
 /// The reason for rejecting a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Rejection {
-    /// This witness receives heartbeats of the owner.
+    /// The group was never registered with this incarnation of the witness.
     UnknownGroup,
-    /// The owner is heard here.
+    /// This witness receives heartbeats of the owner.
     OwnerAlive,
     /// Another instance owns the message.
     OwnedByOther {
@@ -65,6 +65,7 @@
 /// moved.
 pub(crate) type ClaimGrant = (Attempts, Option<(Term, WitnessGroup)>);
 
+/// The groups that a witness has registered, and its entries of their messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Witness {
     entries: BTreeMap<Key, WitnessEntry>,
@@ -106,6 +107,7 @@
         Ok(())
     }
 
+    /// Returns whether a registered group is closed.
     fn is_closed(&self, group: &WitnessGroup) -> Result<bool, Rejection> {
         self.groups.get(group).copied().ok_or(Rejection::UnknownGroup)
     }
@@ -123,6 +125,7 @@
         Some(oldest)
     }
 
+    /// Writes an entry, and evicts the oldest one if the limit is reached.
     fn store_entry(
         &mut self,
         key: Key,
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -121,7 +121,7 @@
         let rows = journal.borrow_mut().take_copies();
         let max_copy_bytes = ((set.keep_mb * 1e6) as u64).min(config.disk_bytes / DISK_SHARE_DIVISOR);
         let settings = notchpoint_copies::Settings {
-            silence: set.silence_ms * 1_000,
+            min_silence: set.silence_ms * 1_000,
             max_copy_bytes: usize::try_from(max_copy_bytes).unwrap_or(usize::MAX),
             max_attempts: config.settings.max_attempts,
             ..notchpoint_copies::Settings::default()
