--- a/crates/daemon/src/state.rs
+++ b/crates/daemon/src/state.rs
@@ -1,4 +1,4 @@
-//! What outlasts the process: messages, marks, and when they are safe.
+//! State that outlasts the process: messages, operators' marks, and when they are durable.
 
 pub mod durability;
 pub mod journal;
--- a/crates/daemon/src/state/durability.rs
+++ b/crates/daemon/src/state/durability.rs
@@ -1,7 +1,8 @@
-//! Waits until what was written outlasts a loss of power, where the operator asks for that (`[store]`). Else
+//! Waits until written records survive a loss of power, if the operator asks for that (`[store]`). Otherwise
 //! there is nothing to wait for.
 //!
-//! One sync at a time serves all who wait; who comes while it is under way waits for the next.
+//! One sync at a time serves all waiting tasks (group commit). A task that starts to wait while a sync is
+//! under way waits for the next one.
 
 use crate::state::journal::Journal;
 use notchpoint_store::{Error, Mark};
@@ -11,55 +12,62 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep, timeout_at};
 
-/// After a sync, and the healing behind it, failed.
-const AGAIN: Duration = Duration::from_millis(50);
+/// The delay after a sync failed and the records could not be moved to another segment either.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
+/// Runs the journal's syncs and lets tasks wait for them.
 pub struct DurabilityTracker {
     journal: Rc<RefCell<Journal>>,
-    wanted: Notify,
-    news: Notify,
+    /// Starts a sync.
+    sync_requested: Notify,
+    /// Wakes the waiting tasks after each sync.
+    sync_finished: Notify,
 }
 
 impl DurabilityTracker {
+    /// Creates a tracker and starts its task. It has to be called within a `LocalSet`.
     pub fn new(journal: Rc<RefCell<Journal>>) -> Rc<Self> {
-        let durability = Rc::new(Self { journal, wanted: Notify::new(), news: Notify::new() });
+        let durability =
+            Rc::new(Self { journal, sync_requested: Notify::new(), sync_finished: Notify::new() });
         let task = durability.clone();
         tokio::task::spawn_local(async move { task.run().await });
         durability
     }
 
-    /// The end of all that was written.
+    /// Returns the position behind the last written record.
     pub fn log_end(&self) -> Mark {
         self.journal.borrow().log_end()
     }
 
-    /// Whether all up to there is safe, once it is, or this time has passed.
-    pub async fn wait_until_durable(&self, mark: &Mark, most: Duration) -> bool {
-        let until = Instant::now() + most;
+    /// Waits until all records up to a position are durable. Returns false if that takes longer than
+    /// `timeout`.
+    pub async fn wait_until_durable(&self, mark: &Mark, timeout: Duration) -> bool {
+        let until = Instant::now() + timeout;
         loop {
-            let news = self.news.notified();
+            let sync_finished = self.sync_finished.notified();
             if self.is_durable(mark) {
                 return true;
             }
-            self.wanted.notify_one();
-            if timeout_at(until, news).await.is_err() {
+            self.sync_requested.notify_one();
+            if timeout_at(until, sync_finished).await.is_err() {
                 return false;
             }
         }
     }
 
+    /// Whether all records up to a position survive what the operator asked for.
     pub fn is_durable(&self, mark: &Mark) -> bool {
         self.journal.borrow().is_durable(mark)
     }
 
     async fn run(&self) {
         loop {
-            self.wanted.notified().await;
+            self.sync_requested.notified().await;
             if let Err(e) = self.sync().await {
-                tracing::warn!("journal: a sync failed: {e}");
-                sleep(AGAIN).await;
+                tracing::warn!("journal: sync failed: {e}");
+                sleep(RETRY_DELAY).await;
             }
-            self.news.notify_waiters();
+            self.sync_finished.notify_waiters();
         }
     }
 
@@ -72,8 +80,10 @@
         };
         let failed = result.as_ref().err().map(ToString::to_string);
         self.journal.borrow_mut().sync_end(&sync, result)?;
-        // What it was for stands in another segment by now, and is safe there.
-        failed.into_iter().for_each(|e| tracing::warn!("journal: a sync failed, and was made good: {e}"));
+        // By now the records of the failed sync are in another segment, and durable there.
+        failed.into_iter().for_each(|e| {
+            tracing::warn!("journal: sync failed, its records were written to a new segment: {e}")
+        });
         Ok(())
     }
 }
@@ -81,60 +91,61 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::state::journal::tests::{Broken, SOUND, SYNCS_FAIL};
+    use crate::state::journal::tests::{FaultyDisk, SYNCS_FAIL, WORKING};
     use crate::state::record::OpenMessage;
     use notchpoint_policy::MessageId;
     use notchpoint_seam::system::SystemClock;
     use notchpoint_store::{Durability, Options};
     use std::cell::Cell;
 
-    const SOON: Duration = Duration::from_millis(200);
+    const SHORT: Duration = Duration::from_millis(200);
 
-    fn take(journal: &RefCell<Journal>, id: u64) {
+    fn accept(journal: &RefCell<Journal>, id: u64) {
         let open = OpenMessage::new("payment", "acme", 3, 1_000, vec![7; 20].into());
         journal.borrow_mut().accept(MessageId(id), open).expect("room");
     }
 
-    fn on_power(
-        play: impl AsyncFnOnce(Rc<RefCell<Journal>>, Rc<DurabilityTracker>, &std::path::Path, Rc<Cell<u8>>),
+    /// Runs a test with a journal that has to survive a loss of power. The test can make the disk fail.
+    fn with_power_durability(
+        test: impl AsyncFnOnce(Rc<RefCell<Journal>>, Rc<DurabilityTracker>, &std::path::Path, Rc<Cell<u8>>),
     ) {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
         tokio::task::LocalSet::new().block_on(&runtime, async {
             let folder = tempfile::tempdir().expect("a folder");
-            let how = Rc::new(Cell::new(SOUND));
-            let disk = Rc::new(Broken::new(folder.path(), how.clone()));
+            let disk_state = Rc::new(Cell::new(WORKING));
+            let disk = Rc::new(FaultyDisk::new(folder.path(), disk_state.clone()));
             let options = Options { durability: Durability::Power, ..Options::new(1, 3_000_000) };
             let journal = Journal::open(disk, Rc::new(SystemClock), options).expect("a journal").0;
             let journal = Rc::new(RefCell::new(journal));
             let durability = DurabilityTracker::new(journal.clone());
-            play(journal, durability, folder.path(), how).await;
+            test(journal, durability, folder.path(), disk_state).await;
         });
     }
 
     #[test]
-    fn what_is_not_synced_is_not_safe_and_one_sync_serves_all_who_wait() {
-        on_power(async |journal, durability, _, _| {
+    fn records_are_durable_only_after_a_sync_and_one_sync_serves_all_waiting_tasks() {
+        with_power_durability(async |journal, durability, _, _| {
             let mut marks = Vec::new();
             for id in 0..32 {
-                take(&journal, id);
+                accept(&journal, id);
                 marks.push(durability.log_end());
             }
-            assert!(marks.iter().all(|m| !durability.is_durable(m)), "written is not safe");
-            assert!(durability.wait_until_durable(&marks[31], SOON).await);
+            assert!(marks.iter().all(|m| !durability.is_durable(m)), "written is not durable");
+            assert!(durability.wait_until_durable(&marks[31], SHORT).await);
             assert!(marks.iter().all(|m| durability.is_durable(m)));
         });
     }
 
     #[test]
-    fn while_syncs_fail_nothing_is_safe_and_then_it_stands_in_another_segment() {
-        on_power(async |journal, durability, folder, how| {
-            take(&journal, 1);
+    fn while_syncs_fail_nothing_is_durable_and_then_the_records_move_to_another_segment() {
+        with_power_durability(async |journal, durability, folder, disk_state| {
+            accept(&journal, 1);
             let mark = durability.log_end();
-            how.set(SYNCS_FAIL);
-            assert!(!durability.wait_until_durable(&mark, SOON).await, "a failed sync promises nothing");
-            how.set(SOUND);
-            assert!(durability.wait_until_durable(&mark, 10 * SOON).await, "it heals by itself");
-            // A file whose sync failed is not asked again.
+            disk_state.set(SYNCS_FAIL);
+            assert!(!durability.wait_until_durable(&mark, SHORT).await, "a failed sync promises nothing");
+            disk_state.set(WORKING);
+            assert!(durability.wait_until_durable(&mark, 10 * SHORT).await, "it recovers by itself");
+            // A file whose sync failed is not synced again.
             assert!(folder.join("0000000002.log").exists());
             assert!(journal.borrow().get(MessageId(1)).is_some());
         });
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -1,7 +1,7 @@
-//! What was taken on, from its record to its end: messages, their attempts and verdicts, in the store's table
-//! of messages, and those that are open in memory.
+//! The journal of accepted messages, from their record to their end: messages, attempts and verdicts in the
+//! store's table of messages, and the open ones in memory as well.
 //!
-//! What is written outlasts the process without a sync; where the operator asks for more (`[store]`),
+//! Written records outlast the process without a sync. If the operator asks for more (`[store]`),
 //! `durability.rs` waits for the sync before anything is promised or sent.
 
 use crate::rate_limited_warning::RateLimitedWarning;
@@ -9,10 +9,11 @@
 use crate::state::legacy;
 use crate::state::operator_marks::{self, MarkChange, OPERATOR_MARKS, OperatorMarks};
 use crate::state::record::{
-    self, Attempt, CLASSES, COPIES, JUDGED, MESSAGES, TAKEN, TRIED, UNSURE, judged, key, read, taken, tried,
+    self, ATTEMPT, Attempt, CLASSES, COPIES, MESSAGE, MESSAGES, UNCONFIRMED, VERDICT, encode_attempt,
+    encode_message, encode_verdict, key, load_record,
 };
 pub use crate::state::record::{OpenMessage, Verdict};
-use crate::state::timeline::{Continuity, Reading, TIMELINE, Timeline};
+use crate::state::timeline::{ClockReading, Continuity, TIMELINE, Timeline};
 use notchpoint_policy::{Class, EndpointId, MessageId, Micros};
 use notchpoint_seam::{Clock, Disk};
 use notchpoint_store::{Batch, Error, Mark, Notes, Options, Store, Sync, Work};
@@ -23,41 +24,42 @@
 use tokio::sync::Notify;
 use tokio::sync::mpsc::UnboundedSender;
 
-/// What a verdict and an end take of the log: room is kept for those of all that is open.
-const ENDS: u64 = 96;
-/// A step of the wall clock that is told at a start.
-const NOTABLE_STEP: u64 = 1_000_000;
-/// When an attempt was made of which that is not known.
-const LONG_AGO: u64 = 0;
+/// The space in the log that a verdict and an end of one message take. It is reserved for each open message.
+const END_RESERVE_BYTES: u64 = 96;
+/// A step of the wall clock, in microseconds, from which on it is logged at a start.
+const MIN_LOGGED_CLOCK_STEP: u64 = 1_000_000;
+/// The time recorded for attempts whose time is not known.
+const UNKNOWN_TIME: u64 = 0;
 
+/// The journal of one sender: its store, and the open messages in memory.
 pub struct Journal {
-    /// None once another process owns it: then what is known here only helps calls to their end.
+    /// `None` once another process owns the store. The messages in memory then only serve to finish calls.
     store: Option<Store>,
-    last: Mark,
+    /// The position behind the last record, once the store is released.
+    released_log_end: Mark,
     clock: Rc<dyn Clock>,
     timeline: Timeline,
     continuity: Continuity,
     open: BTreeMap<MessageId, OpenMessage>,
-    /// Messages without an end or a verdict.
-    held: usize,
-    /// What operators have set.
+    /// The number of messages without an end or a verdict.
+    held_count: usize,
     operator_marks: OperatorMarks,
-    /// Definitions of classes that messages may have, by tag, as they were when this was opened.
-    classes: BTreeMap<String, Class>,
+    /// Definitions of classes that messages may have, by tag, as they were when the journal was opened.
+    stored_classes: BTreeMap<String, Class>,
     /// Verdicts, ends and the timeline that could not be written yet, oldest first: at most a few for each
     /// open message.
-    /// They are written before anything else is, see `pending_writes.rs`.
-    owed: VecDeque<Batch>,
-    /// Told once there are any.
-    owing: Rc<Notify>,
-    trouble: RateLimitedWarning,
-    /// Rows of copies, as an earlier process left them, until they are taken.
+    /// They are written before anything else, see `pending_writes.rs`.
+    pending_writes: VecDeque<Batch>,
+    /// Notified when a pending write is added.
+    pending_write_signal: Rc<Notify>,
+    write_warning: RateLimitedWarning,
+    /// Rows of copies that an earlier process left, until `take_copies` returns them.
     copies: Vec<(Vec<u8>, Vec<u8>)>,
-    /// Who is told what becomes of messages, where copies are kept.
-    watch: Option<UnboundedSender<MessageUpdate>>,
+    /// Receives updates of messages, if copies are kept.
+    subscriber: Option<UnboundedSender<MessageUpdate>>,
 }
 
-/// What became of a message, for who keeps copies of it.
+/// A change of a message that the copies of it must follow.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageUpdate {
     AttemptNeverRan(MessageId, u32),
@@ -65,77 +67,80 @@
     Ended(MessageId),
 }
 
-/// A row of copies: its key, and what stands there, if it stays.
+/// A row of copies: its key, and its value, or `None` to delete the row.
 pub type CopyRow<'a> = (&'a [u8], Option<&'a [u8]>);
 
 impl Journal {
-    /// Reads what an earlier process left, the form of earlier builds included.
+    /// Opens the journal of the folder and reads what an earlier process left, including the format of
+    /// earlier builds.
     pub fn open(disk: Rc<dyn Disk>, clock: Rc<dyn Clock>, options: Options) -> Result<(Self, Notes), Error> {
         let (mut store, notes) = Store::open(disk.clone(), options)?;
-        legacy::carry_over(&*disk, &mut store)?;
+        legacy::migrate(&*disk, &mut store)?;
         let mut open = BTreeMap::new();
-        let (mut operator_marks, mut classes, mut unread) = (OperatorMarks::default(), BTreeMap::new(), None);
-        let (mut copies, mut saved) = (Vec::new(), None);
+        let (mut operator_marks, mut stored_classes, mut unreadable) =
+            (OperatorMarks::default(), BTreeMap::new(), None);
+        let (mut copies, mut saved_timeline) = (Vec::new(), None);
         store.visit(|table, key, value| {
-            let (what, read) = match table {
-                MESSAGES => ("a message's record", read(key, value, &mut open)),
-                CLASSES => ("a class's definition", read_class(key, value, &mut classes)),
-                OPERATOR_MARKS => ("an operator's mark", operator_marks.read(key, value)),
+            let (kind, loaded) = match table {
+                MESSAGES => ("message", load_record(key, value, &mut open)),
+                CLASSES => ("class definition", load_class(key, value, &mut stored_classes)),
+                OPERATOR_MARKS => ("operator mark", operator_marks.load_record(key, value)),
                 COPIES => return copies.push((key.to_vec(), value.to_vec())),
                 TIMELINE => {
-                    saved = Timeline::read(key, value);
-                    ("the timeline's record", saved.map(drop))
+                    saved_timeline = Timeline::load_record(key, value);
+                    ("timeline", saved_timeline.map(drop))
                 }
                 _ => return,
             };
-            if read.is_none() {
-                unread.get_or_insert_with(|| format!("{what} that cannot be read: key {key:02x?}"));
+            if loaded.is_none() {
+                unreadable.get_or_insert_with(|| format!("{kind} record cannot be read: key {key:02x?}"));
             }
         })?;
-        // An attempt or a verdict without its message would be one: nothing is told of it.
+        // Without the record of its message, an attempt or a verdict leaves an entry with no deadline. There
+        // is nothing to deliver or to report for it.
         open.retain(|_, m: &mut OpenMessage| m.deadline > 0);
-        if let Some(why) = unread {
-            return Err(io::Error::new(io::ErrorKind::InvalidData, why).into());
+        if let Some(error) = unreadable {
+            return Err(io::Error::new(io::ErrorKind::InvalidData, error).into());
         }
         for m in open.values_mut() {
             m.attempts.sort_by_key(|a| a.number);
         }
-        let held = open.values().filter(|m| m.verdict.is_none()).count();
-        let last = store.mark();
-        let (store, owed, watch) = (Some(store), VecDeque::new(), None);
+        let held_count = open.values().filter(|m| m.verdict.is_none()).count();
+        let released_log_end = store.mark();
+        let (store, pending_writes, subscriber) = (Some(store), VecDeque::new(), None);
         let now =
-            Reading { boot: clock.boot_id()?, monotonic: clock.monotonic_now(), wall: clock.unix_now() };
-        let (timeline, continuity) = Timeline::resume(saved, now);
+            ClockReading { boot: clock.boot_id()?, monotonic: clock.monotonic_now(), wall: clock.unix_now() };
+        let (timeline, continuity) = Timeline::resume(saved_timeline, now);
         let mut journal = Self {
             store,
-            last,
+            released_log_end,
             clock,
             timeline,
             continuity,
             open,
-            held,
+            held_count,
             operator_marks,
-            classes,
-            owed,
-            owing: Rc::default(),
-            trouble: RateLimitedWarning::default(),
+            stored_classes,
+            pending_writes,
+            pending_write_signal: Rc::default(),
+            write_warning: RateLimitedWarning::default(),
             copies,
-            watch,
+            subscriber,
         };
-        journal.expect_ends();
-        journal.begin_timeline();
+        journal.reserve_for_ends();
+        journal.start_timeline();
         Ok((journal, notes))
     }
 
-    /// Has records dated by this process's timeline from now on. After a boot the age of attempts is not
-    /// known: those that may have run are taken to be older than any window.
-    fn begin_timeline(&mut self) {
+    /// Dates records by this process's timeline from now on. After a boot the age of attempts is not known,
+    /// so attempts that may have run are treated as older than any deduplication window.
+    fn start_timeline(&mut self) {
         if self.continuity == Continuity::SameBoot {
             let step = self.clock.unix_now().abs_diff(self.unix_now());
-            if step >= NOTABLE_STEP {
-                let seconds = step / NOTABLE_STEP;
+            if step >= MIN_LOGGED_CLOCK_STEP {
+                let seconds = step / MIN_LOGGED_CLOCK_STEP;
                 tracing::info!(
-                    "journal: records are dated {seconds} s off the wall clock, which was stepped"
+                    "journal: the wall clock was stepped; timestamps of records differ from it by {seconds} s"
                 );
             }
             return;
@@ -143,20 +148,22 @@
         let mut batch = Batch::default();
         self.timeline.write(&mut batch);
         if self.continuity == Continuity::OtherBoot {
-            tracing::warn!("journal: dated on another boot; deadlines are read by the wall clock");
+            tracing::warn!(
+                "journal: written before a reboot or on another machine; deadlines follow the wall clock"
+            );
             for (id, open) in &mut self.open {
                 for attempt in open.attempts.iter_mut().filter(|a| !a.never_ran) {
-                    attempt.started_at = LONG_AGO;
-                    batch.put(MESSAGES, &key(*id, TRIED, Some(attempt.number)), &tried(attempt));
+                    attempt.started_at = UNKNOWN_TIME;
+                    batch.put(MESSAGES, &key(*id, ATTEMPT, Some(attempt.number)), &encode_attempt(attempt));
                 }
             }
         }
-        // Nothing that is dated by it is written before this is.
-        self.append_or_owe(batch);
+        // Pending writes come first, so this is written before any record that the timeline dates.
+        self.append_or_defer(batch);
     }
 
-    /// After a boot the wall clock may have been set back: no message has more time left than it may have at
-    /// all. `longest` gives that for a class's tag.
+    /// Limits the time that messages have left to the longest time of their class, since after a boot the
+    /// wall clock may have been set back. `longest` returns the limit for a class's tag.
     pub fn bound_deadlines(&mut self, longest: impl Fn(&str) -> Option<Micros>) {
         if self.continuity != Continuity::OtherBoot {
             return;
@@ -166,76 +173,79 @@
             let Some(latest) = longest(&open.class).map(|span| now.saturating_add(span)) else { continue };
             if open.deadline > latest {
                 open.deadline = latest;
-                batch.put(MESSAGES, &key(*id, TAKEN, None), &taken(open));
+                batch.put(MESSAGES, &key(*id, MESSAGE, None), &encode_message(open));
             }
         }
         if !batch.is_empty() {
-            self.append_or_owe(batch);
+            self.append_or_defer(batch);
         }
     }
 
-    fn expect_ends(&mut self) {
+    /// Reserves space in the store for the verdicts and ends of all open messages.
+    fn reserve_for_ends(&mut self) {
         if let Some(store) = &mut self.store {
-            store.expect_ends(self.open.len() as u64 * ENDS);
+            store.expect_ends(self.open.len() as u64 * END_RESERVE_BYTES);
         }
     }
 
-    /// Unix time in microseconds on the timeline by which records are dated: differences are spans of real
-    /// time, whatever becomes of the wall clock.
+    /// Returns the Unix time in microseconds on the timeline that dates records. Differences are spans of
+    /// real time, regardless of steps of the wall clock.
     pub fn unix_now(&self) -> u64 {
-        self.timeline.at(self.clock.monotonic_now())
+        self.timeline.time_at(self.clock.monotonic_now())
     }
 
+    /// Returns an open message.
     pub fn get(&self, id: MessageId) -> Option<&OpenMessage> {
         self.open.get(&id)
     }
 
+    /// Iterates over the open messages.
     pub fn iter(&self) -> impl Iterator<Item = (MessageId, &OpenMessage)> {
         self.open.iter().map(|(&id, m)| (id, m))
     }
 
-    /// Messages without an end or a verdict.
+    /// Returns the number of messages without an end or a verdict.
     pub fn held_count(&self) -> usize {
-        self.held
+        self.held_count
     }
 
-    /// Takes a message on. After an error nothing was taken on.
+    /// Records a new message. After an error nothing has changed.
     pub fn accept(&mut self, id: MessageId, message: OpenMessage) -> io::Result<()> {
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
         self.append(&batch, Work::New)?;
-        self.held += 1;
+        self.held_count += 1;
         self.open.insert(id, message);
-        self.expect_ends();
+        self.reserve_for_ends();
         Ok(())
     }
 
-    /// Tells what becomes of messages from now on.
-    pub fn subscribe(&mut self, watch: UnboundedSender<MessageUpdate>) {
-        self.watch = Some(watch);
+    /// Sends updates of messages to the subscriber from now on.
+    pub fn subscribe(&mut self, subscriber: UnboundedSender<MessageUpdate>) {
+        self.subscriber = Some(subscriber);
     }
 
-    fn tell(&self, what: MessageUpdate) {
-        // Who listened may have ended with this process's life.
-        if let Some(watch) = &self.watch {
-            let _ = watch.send(what);
+    fn notify_subscriber(&self, update: MessageUpdate) {
+        // The receiver may have ended already.
+        if let Some(subscriber) = &self.subscriber {
+            let _ = subscriber.send(update);
         }
     }
 
-    /// Rows of copies, as an earlier process left them.
+    /// Returns the rows of copies that an earlier process left. A second call returns none.
     pub fn take_copies(&mut self) -> Vec<(Vec<u8>, Vec<u8>)> {
         std::mem::take(&mut self.copies)
     }
 
-    /// Writes rows of copies, as one step. After an error nothing has changed.
+    /// Writes rows of copies atomically. After an error nothing has changed.
     pub fn write_copies<'a>(&mut self, rows: impl Iterator<Item = CopyRow<'a>>) -> io::Result<()> {
         let mut batch = Batch::default();
-        let all_go = enter(&mut batch, rows);
-        Ok(self.append(&batch, if all_go { Work::End } else { Work::New })?)
+        let only_deletes = add_copy_rows(&mut batch, rows);
+        Ok(self.append(&batch, if only_deletes { Work::End } else { Work::New })?)
     }
 
-    /// Takes a message on that another sender had promised, together with rows of copies. After an error
-    /// nothing has changed.
+    /// Takes over a message that another sender had promised, and writes rows of copies in the same batch.
+    /// After an error nothing has changed.
     pub fn adopt<'a>(
         &mut self,
         id: MessageId,
@@ -244,37 +254,37 @@
     ) -> io::Result<()> {
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
-        enter(&mut batch, rows);
+        add_copy_rows(&mut batch, rows);
         self.append(&batch, Work::Going)?;
-        self.held += usize::from(message.verdict.is_none());
+        self.held_count += usize::from(message.verdict.is_none());
         self.open.insert(id, message);
-        self.expect_ends();
+        self.reserve_for_ends();
         Ok(())
     }
 
-    /// A message that was taken on as unsure is promised from here on. After an error it must not be.
+    /// Records that an unconfirmed message may be promised to its client. After an error it must not be.
     pub fn confirm(&mut self, id: MessageId) -> io::Result<()> {
         if self.open.get(&id).is_none_or(|o| o.is_confirmed) {
             return Ok(());
         }
         let mut batch = Batch::default();
-        batch.delete(MESSAGES, &key(id, UNSURE, None));
+        batch.delete(MESSAGES, &key(id, UNCONFIRMED, None));
         self.append(&batch, Work::Going)?;
         self.open.entry(id).and_modify(|o| o.is_confirmed = true);
         Ok(())
     }
 
-    /// What operators have set.
+    /// Returns the marks that operators have set.
     pub fn operator_marks(&self) -> &OperatorMarks {
         &self.operator_marks
     }
 
-    /// Definitions of classes, by tag, as an earlier process left them.
+    /// Returns the definitions of classes, by tag, that an earlier process left.
     pub fn stored_classes(&self) -> &BTreeMap<String, Class> {
-        &self.classes
+        &self.stored_classes
     }
 
-    /// Writes which definitions are kept from now on, as one step. After an error nothing has changed.
+    /// Stores and deletes definitions of classes atomically. After an error nothing has changed.
     pub fn update_classes(&mut self, changes: &[classes::ClassChange]) -> io::Result<()> {
         let mut batch = Batch::default();
         for change in changes {
@@ -291,98 +301,99 @@
         Ok(())
     }
 
-    /// Sets or takes back a mark. After an error nothing has changed.
+    /// Sets or clears an operator's mark. After an error nothing has changed.
     pub fn set_mark(&mut self, change: MarkChange) -> io::Result<()> {
-        if !self.operator_marks.has(&change) {
+        if !self.operator_marks.includes(&change) {
             self.append(&operator_marks::batch(&change), Work::Going)?;
             self.operator_marks.apply(change);
         }
         Ok(())
     }
 
-    /// To be called before an attempt's first byte is written; after an error it must not be.
+    /// Records an attempt, before its first byte is written. After an error that byte must not be written.
     pub fn record_attempt(&mut self, id: MessageId, number: u32, endpoint: EndpointId) -> io::Result<()> {
-        let at = self.unix_now();
+        let started_at = self.unix_now();
         if !self.open.contains_key(&id) {
             return Ok(());
         }
-        let attempt = Attempt { number, endpoint, started_at: at, never_ran: false };
+        let attempt = Attempt { number, endpoint, started_at, never_ran: false };
         let mut batch = Batch::default();
-        batch.put(MESSAGES, &key(id, TRIED, Some(number)), &tried(&attempt));
+        batch.put(MESSAGES, &key(id, ATTEMPT, Some(number)), &encode_attempt(&attempt));
         self.append(&batch, Work::Going)?;
         self.open.entry(id).and_modify(|m| m.attempts.push(attempt));
         Ok(())
     }
 
-    /// An outcome proved that an attempt never ran. Without this record a restart would have to give up what
-    /// may not be repeated, so it is owed like an end.
+    /// Records that an attempt never ran, as its outcome proved. Without this record a restart would have to
+    /// end a message that must not be repeated, so a failed write is retried like that of an end.
     pub fn record_never_ran(&mut self, id: MessageId, number: u32) {
         let attempts = self.open.get_mut(&id).into_iter().flat_map(|m| &mut m.attempts);
         let Some(attempt) = attempts.into_iter().find(|a| a.number == number) else { return };
         attempt.never_ran = true;
-        if let Some(watch) = &self.watch {
-            let _ = watch.send(MessageUpdate::AttemptNeverRan(id, number));
+        if let Some(subscriber) = &self.subscriber {
+            let _ = subscriber.send(MessageUpdate::AttemptNeverRan(id, number));
         }
         let mut batch = Batch::default();
-        batch.put(MESSAGES, &key(id, TRIED, Some(number)), &tried(attempt));
-        self.append_or_owe(batch);
+        batch.put(MESSAGES, &key(id, ATTEMPT, Some(number)), &encode_attempt(attempt));
+        self.append_or_defer(batch);
     }
 
-    /// A verdict is written before its notice: from then on the client may hand the message in again. Gives
-    /// whether it is written; else it is owed, and a kill would forget it.
+    /// Records a verdict, before its notice is sent: after the notice the client may send the message again.
+    /// Returns whether the verdict is written. If not, the write is pending, and a kill would lose it.
     pub fn record_verdict(&mut self, id: MessageId, verdict: Verdict) -> bool {
         let Some(m) = self.open.get_mut(&id) else { return true };
         if m.verdict.replace(verdict).is_none() {
-            self.held -= 1;
+            self.held_count -= 1;
         }
         let mut batch = Batch::default();
-        batch.put(MESSAGES, &key(id, JUDGED, None), &judged(verdict));
-        let written = self.append_or_owe(batch);
-        self.tell(MessageUpdate::Verdict(id, verdict));
+        batch.put(MESSAGES, &key(id, VERDICT, None), &encode_verdict(verdict));
+        let written = self.append_or_defer(batch);
+        self.notify_subscriber(MessageUpdate::Verdict(id, verdict));
         written
     }
 
-    /// Nothing is owed for a message any more. Gives whether that is written.
+    /// Records the end of a message, for which nothing is left to do. Returns whether that is written.
     pub fn record_end(&mut self, id: MessageId) -> bool {
         let Some(m) = self.open.remove(&id) else { return true };
-        self.held -= usize::from(m.verdict.is_none());
+        self.held_count -= usize::from(m.verdict.is_none());
         let mut batch = Batch::default();
         batch.delete_prefix(MESSAGES, &id.0.to_be_bytes());
-        let written = self.append_or_owe(batch);
-        self.tell(MessageUpdate::Ended(id));
-        self.expect_ends();
+        let written = self.append_or_defer(batch);
+        self.notify_subscriber(MessageUpdate::Ended(id));
+        self.reserve_for_ends();
         written
     }
 
-    fn append_or_owe(&mut self, batch: Batch) -> bool {
+    /// Writes a batch now or, if that fails, as soon as the folder accepts it. Returns whether it is written.
+    fn append_or_defer(&mut self, batch: Batch) -> bool {
         let written = self.append(&batch, Work::End);
-        if let Err(why) = &written {
-            self.trouble.warn(&format_args!("journal: {why}; what could not be written is tried again"));
-            self.owed.push_back(batch);
-            self.owing.notify_one();
+        if let Err(error) = &written {
+            self.write_warning.warn(&format_args!("journal: {error}; the write is retried"));
+            self.pending_writes.push_back(batch);
+            self.pending_write_signal.notify_one();
         }
         written.is_ok()
     }
 
     /// Whether records wait to be written.
     pub fn has_pending_writes(&self) -> bool {
-        !self.owed.is_empty()
+        !self.pending_writes.is_empty()
     }
 
-    /// Is notified once records wait to be written.
+    /// Returns the signal that is notified when records wait to be written.
     pub fn pending_write_signal(&self) -> Rc<Notify> {
-        self.owing.clone()
+        self.pending_write_signal.clone()
     }
 
-    /// Writes what waits to be written.
+    /// Writes the pending records.
     ///
     /// # Errors
-    /// The folder takes nothing yet.
+    /// The folder still accepts no writes.
     pub fn flush_pending_writes(&mut self) -> Result<(), Error> {
         let Some(store) = &mut self.store else { return Ok(()) };
-        while let Some(first) = self.owed.front() {
+        while let Some(first) = self.pending_writes.front() {
             store.apply(first, Work::End)?;
-            self.owed.pop_front();
+            self.pending_writes.pop_front();
         }
         Ok(())
     }
@@ -390,56 +401,61 @@
     fn append(&mut self, batch: &Batch, work: Work) -> Result<(), Error> {
         self.flush_pending_writes()?;
         let Some(store) = &mut self.store else {
-            // The owner records ends; nothing new is begun here.
-            let gone = || io::Error::other("another process owns the store");
-            return if work == Work::End { Ok(()) } else { Err(gone().into()) };
+            // The owner of the store records ends. Nothing new starts in this process.
+            let not_owned = || io::Error::other("another process owns the store");
+            return if work == Work::End { Ok(()) } else { Err(not_owned().into()) };
         };
         store.apply(batch, work).map(drop)
     }
 
-    /// Writes all that was kept back and gives the store up, lock included. After an error it is kept.
+    /// Writes and syncs everything, then closes the store and releases its lock. After an error the store
+    /// stays open.
     pub fn release(&mut self) -> Result<(), Error> {
         self.flush_pending_writes()?;
         let Some(store) = &mut self.store else { return Ok(()) };
         store.flush()?;
         store.sync_now()?;
-        self.last = store.mark();
+        self.released_log_end = store.mark();
         self.store = None;
         Ok(())
     }
 
-    /// The end of all that was written, and whether a loss of power would leave all up to there.
+    /// Returns the position behind the last written record.
     pub fn log_end(&self) -> Mark {
-        self.store.as_ref().map_or(self.last, Store::mark)
+        self.store.as_ref().map_or(self.released_log_end, Store::mark)
     }
 
+    /// Whether all records up to a position survive what the operator asked for: the end of the process, or a
+    /// loss of power.
     pub fn is_durable(&self, mark: &Mark) -> bool {
         self.store.as_ref().is_none_or(|s| s.is_firm(mark))
     }
 
+    /// Begins a sync. Returns `None` if there is nothing to sync.
     pub fn sync_begin(&mut self) -> Result<Option<Sync>, Error> {
         self.store.as_mut().map_or(Ok(None), Store::sync_begin)
     }
 
+    /// Ends a sync with its result. If it failed, its records are written to another segment.
     pub fn sync_end(&mut self, sync: &Sync, result: io::Result<()>) -> Result<(), Error> {
         self.store.as_mut().map_or(Ok(()), |s| s.sync_end(sync, result))
     }
 }
 
-/// Enters rows of copies. Whether none of them stays.
-fn enter<'a>(batch: &mut Batch, rows: impl Iterator<Item = CopyRow<'a>>) -> bool {
-    let mut all_go = true;
+/// Adds rows of copies to a batch. Returns whether all of them are deleted.
+fn add_copy_rows<'a>(batch: &mut Batch, rows: impl Iterator<Item = CopyRow<'a>>) -> bool {
+    let mut only_deletes = true;
     for (key, value) in rows {
         match value {
             Some(value) => batch.put(COPIES, key, value),
             None => batch.delete(COPIES, key),
         }
-        all_go &= value.is_none();
+        only_deletes &= value.is_none();
     }
-    all_go
+    only_deletes
 }
 
-fn read_class(key: &[u8], value: &[u8], classes: &mut BTreeMap<String, Class>) -> Option<()> {
+fn load_class(key: &[u8], value: &[u8], classes: &mut BTreeMap<String, Class>) -> Option<()> {
     let tag = std::str::from_utf8(key).ok()?;
     classes.insert(tag.to_owned(), serde_json::from_slice(value).ok()?);
     Some(())
@@ -457,7 +473,7 @@
 
     const LIMIT: u64 = 600_000;
 
-    /// One as on the platform, for tests of what stands on it.
+    /// Opens a journal with real files and clock, for tests of code that uses one.
     pub fn journal(folder: &Path) -> Journal {
         let disk = Rc::new(Folder(folder.to_owned()));
         Journal::open(disk, Rc::new(SystemClock), Options::new(1, 3_000_000)).expect("a journal").0
@@ -472,13 +488,14 @@
         OpenMessage::new("payment", "acme", 3, 1_000, vec![7; body].into())
     }
 
-    fn used(folder: &Path) -> u64 {
+    /// Returns the disk space that the folder's files take.
+    fn disk_usage(folder: &Path) -> u64 {
         let files = fs::read_dir(folder).expect("a folder").flatten();
         files.map(|f| f.metadata().expect("a file").len().div_ceil(512) * 512).sum()
     }
 
     #[test]
-    fn what_is_written_is_there_for_the_next_process() {
+    fn the_next_process_reads_what_was_written() {
         let folder = tempfile::tempdir().expect("a folder");
         let mut journal = open(folder.path());
         let ids: Vec<MessageId> = (0..4).map(MessageId).collect();
@@ -502,7 +519,7 @@
     }
 
     #[test]
-    fn the_folder_stays_under_its_limit_and_ends_always_find_room() {
+    fn the_folder_stays_under_its_limit_and_ends_always_have_space() {
         let folder = tempfile::tempdir().expect("a folder");
         let mut journal = open(folder.path());
         let (mut last, mut refused) = (None, 0);
@@ -510,13 +527,13 @@
             let id = MessageId(n);
             match journal.accept(id, message(20_000)) {
                 Ok(()) => last = Some(id),
-                // Full: refused, and mended by an end.
+                // The folder is full: the message is refused, and an end frees space.
                 Err(e) => {
                     assert_eq!(e.kind(), io::ErrorKind::StorageFull);
                     refused += 1;
                     let first = journal.iter().next().expect("something is open").0;
                     journal.record_end(first);
-                    assert!(journal.owed.is_empty(), "it found room");
+                    assert!(journal.pending_writes.is_empty(), "it had space");
                 }
             }
             if let Some(id) = last.filter(|id| journal.get(*id).is_some()) {
@@ -525,35 +542,35 @@
                     journal.record_never_ran(id, number);
                 }
             }
-            assert!(used(folder.path()) <= LIMIT, "{}", used(folder.path()));
+            assert!(disk_usage(folder.path()) <= LIMIT, "{}", disk_usage(folder.path()));
         }
         assert!(refused > 100);
-        let open_now = journal.iter().count();
+        let open_count = journal.iter().count();
         drop(journal);
-        assert_eq!(open(folder.path()).iter().count(), open_now);
+        assert_eq!(open(folder.path()).iter().count(), open_count);
     }
 
-    /// How a folder fares.
-    pub const SOUND: u8 = 0;
-    pub const TAKES_NOTHING: u8 = 1;
+    /// The states of a `FaultyDisk`.
+    pub const WORKING: u8 = 0;
+    pub const WRITES_FAIL: u8 = 1;
     pub const SYNCS_FAIL: u8 = 2;
 
-    /// A folder that takes nothing for a while, or whose syncs fail.
-    pub struct Broken(Folder, Rc<Cell<u8>>);
+    /// A folder whose writes or syncs fail as long as its state says so.
+    pub struct FaultyDisk(Folder, Rc<Cell<u8>>);
 
-    impl Broken {
-        pub fn new(folder: &Path, how: Rc<Cell<u8>>) -> Self {
-            Self(Folder(folder.to_owned()), how)
+    impl FaultyDisk {
+        pub fn new(folder: &Path, state: Rc<Cell<u8>>) -> Self {
+            Self(Folder(folder.to_owned()), state)
         }
     }
 
-    struct BrokenFile(Box<dyn File>, Rc<Cell<u8>>);
+    struct FaultyFile(Box<dyn File>, Rc<Cell<u8>>);
 
-    fn fails(how: &Cell<u8>) -> io::Result<()> {
-        if how.get() == TAKES_NOTHING { Err(io::ErrorKind::ReadOnlyFilesystem.into()) } else { Ok(()) }
+    fn check_writable(state: &Cell<u8>) -> io::Result<()> {
+        if state.get() == WRITES_FAIL { Err(io::ErrorKind::ReadOnlyFilesystem.into()) } else { Ok(()) }
     }
 
-    impl Disk for Broken {
+    impl Disk for FaultyDisk {
         fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
             self.0.read(name)
         }
@@ -567,17 +584,17 @@
         }
 
         fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
-            fails(&self.1)?;
-            Ok(Box::new(BrokenFile(self.0.append(name)?, self.1.clone())))
+            check_writable(&self.1)?;
+            Ok(Box::new(FaultyFile(self.0.append(name)?, self.1.clone())))
         }
 
         fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-            fails(&self.1)?;
+            check_writable(&self.1)?;
             self.0.rename(from, to)
         }
 
         fn remove(&self, name: &str) -> io::Result<()> {
-            fails(&self.1)?;
+            check_writable(&self.1)?;
             self.0.remove(name)
         }
 
@@ -590,14 +607,14 @@
         }
     }
 
-    impl File for BrokenFile {
+    impl File for FaultyFile {
         fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
-            fails(&self.1)?;
+            check_writable(&self.1)?;
             self.0.write_all(bytes)
         }
 
         fn set_len(&mut self, len: u64) -> io::Result<()> {
-            fails(&self.1)?;
+            check_writable(&self.1)?;
             self.0.set_len(len)
         }
 
@@ -615,24 +632,24 @@
     }
 
     #[test]
-    fn while_nothing_can_be_written_nothing_is_taken_or_tried_and_ends_are_owed() {
+    fn while_writes_fail_messages_and_attempts_are_refused_and_ends_stay_pending() {
         let folder = tempfile::tempdir().expect("a folder");
-        let broken = Rc::new(Cell::new(SOUND));
-        let disk = Rc::new(Broken::new(folder.path(), broken.clone()));
+        let disk_state = Rc::new(Cell::new(WORKING));
+        let disk = Rc::new(FaultyDisk::new(folder.path(), disk_state.clone()));
         let opened = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT));
         let mut journal = opened.expect("a journal").0;
         (1..=3).for_each(|id| journal.accept(MessageId(id), message(5)).expect("room"));
-        broken.set(TAKES_NOTHING);
+        disk_state.set(WRITES_FAIL);
         assert!(journal.accept(MessageId(4), message(5)).is_err() && journal.get(MessageId(4)).is_none());
         assert!(journal.record_attempt(MessageId(1), 0, EndpointId(1)).is_err());
         assert!(journal.get(MessageId(1)).expect("open").attempts.is_empty());
         journal.record_end(MessageId(2));
         journal.record_verdict(MessageId(3), Verdict::Dead);
-        assert_eq!((journal.owed.len(), journal.held_count()), (2, 1));
-        // It heals by itself: what is owed is written first.
-        broken.set(SOUND);
+        assert_eq!((journal.pending_writes.len(), journal.held_count()), (2, 1));
+        // It recovers by itself: pending records are written first.
+        disk_state.set(WORKING);
         journal.accept(MessageId(5), message(5)).expect("written");
-        assert!(journal.owed.is_empty());
+        assert!(journal.pending_writes.is_empty());
         drop(journal);
         let journal = open(folder.path());
         let left: Vec<(u64, bool)> = journal.iter().map(|(id, m)| (id.0, m.verdict.is_some())).collect();
@@ -640,7 +657,7 @@
     }
 
     #[test]
-    fn a_damaged_folder_is_refused_with_the_place_and_what_helps() {
+    fn a_damaged_folder_is_refused_with_the_position_and_the_command_that_helps() {
         let folder = tempfile::tempdir().expect("a folder");
         let mut journal = open(folder.path());
         (1..=3).for_each(|id| journal.accept(MessageId(id), message(50)).expect("room"));
@@ -653,9 +670,9 @@
         let Err(e) = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT)) else {
             panic!("opened")
         };
-        let said = crate::state::storage::describe_open_error(e).to_string();
+        let text = crate::state::storage::describe_open_error(e).to_string();
         for part in ["0000000001.log, byte 64", "frame 1", "notchpoint store salvage"] {
-            assert!(said.contains(part), "{said}");
+            assert!(text.contains(part), "{text}");
         }
         assert_eq!(fs::read(&path).expect("still there"), bytes, "nothing was changed");
     }
--- a/crates/daemon/src/state/legacy.rs
+++ b/crates/daemon/src/state/legacy.rs
@@ -1,6 +1,6 @@
-//! The one-file journal of builds before 0.3, read once and carried over into the store.
+//! Migrates the single-file journal of builds before 0.3 into the store.
 //!
-//! Its records were a length, a checksum (CRC-32) and the bytes; its tail could be torn by a kill.
+//! A record of that journal is a length, a checksum (CRC-32) and the bytes. A kill may leave a torn tail.
 
 use crate::state::record::{Attempt, Fields, OpenMessage, Verdict, write};
 use notchpoint_policy::{EndpointId, MessageId};
@@ -10,18 +10,18 @@
 
 const FILE: &str = "journal";
 const NEW: &str = "journal.new";
-/// Length and checksum stood before each record.
-const HEAD: usize = 8;
-/// A record held one body of 64 KiB at most.
-const LONGEST: usize = 1 << 17;
+/// The length of an id.
+const ID_BYTES: usize = 8;
+/// The longest record. It holds one body of at most 64 KiB.
+const MAX_RECORD_BYTES: usize = 1 << 17;
 
-/// Writes what an old journal holds open into the store, and removes it. Killed in between it does so again:
-/// the same records once more change nothing.
+/// Writes the open messages of an old journal into the store, and removes the old journal. After a kill in
+/// between, the next process repeats it, which changes nothing in the store.
 ///
 /// # Errors
-/// The folder cannot be read or written, or the old journal is damaged: then it stays as it is.
-pub fn carry_over(disk: &dyn Disk, store: &mut Store) -> Result<(), Error> {
-    // Left by a process that ended within a replacement; the old file is whole.
+/// The folder cannot be read or written, or the old journal is damaged. The old journal then stays unchanged.
+pub fn migrate(disk: &dyn Disk, store: &mut Store) -> Result<(), Error> {
+    // A process may have ended while it replaced the file. The old file is then still complete.
     disk.remove(NEW)?;
     let Some(old) = disk.read(FILE)? else { return Ok(()) };
     let open = read(&old)?;
@@ -33,12 +33,12 @@
     store.sync_now()?;
     disk.remove(FILE)?;
     disk.sync_directory()?;
-    tracing::info!("{} open messages carried over from the journal of an earlier build", open.len());
+    tracing::info!("journal: {} open messages migrated from the format of an earlier build", open.len());
     Ok(())
 }
 
-/// What is open by an old journal. A torn tail is dropped; bad bytes with sound records behind them are no
-/// torn tail.
+/// Returns the open messages of an old journal. A torn tail is dropped. Invalid bytes that valid records
+/// follow are not a torn tail, but damage.
 pub fn read(old: &[u8]) -> Result<BTreeMap<MessageId, OpenMessage>, Refusal> {
     let (mut open, mut rest) = (BTreeMap::new(), old);
     while let Some((record, after)) = unframe(rest) {
@@ -48,55 +48,56 @@
         rest = after;
     }
     let offset = (old.len() - rest.len()) as u64;
-    let sound = |n: &usize| {
+    let is_valid = |n: &usize| {
         unframe(&rest[*n..]).is_some_and(|(r, _)| r.first().is_some_and(|k| b"TANVE".contains(k)))
     };
-    if let Some(n) = (1..rest.len()).find(sound) {
+    if let Some(n) = (1..rest.len()).find(is_valid) {
         return Err(Refusal {
             file: FILE.into(),
             offset,
             expected: "a record, or the end of the file".into(),
-            found: format!("bytes that are none, with a sound record {n} bytes on"),
+            found: format!("invalid bytes, and a valid record {n} bytes further on"),
         });
     }
     Ok(open)
 }
 
-/// The first record and what follows it; nothing where it is torn.
+/// Splits off the first record. Returns `None` if it is torn.
 fn unframe(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = bytes.split_first_chunk::<4>()?;
     let (sum, rest) = rest.split_first_chunk::<4>()?;
     let length = u32::from_le_bytes(*length) as usize;
-    // None was shorter than its kind and an id.
-    if !(1 + HEAD..=LONGEST).contains(&length) {
+    // The shortest record is its kind and an id.
+    if !(1 + ID_BYTES..=MAX_RECORD_BYTES).contains(&length) {
         return None;
     }
     let (record, rest) = rest.split_at_checked(length)?;
     (crc32fast::hash(record) == u32::from_le_bytes(*sum)).then_some((record, rest))
 }
 
-/// Does over again what a record tells; nothing where it cannot be read.
+/// Applies a record to the open messages. Returns `None` if it cannot be read.
 fn replay(record: &[u8], open: &mut BTreeMap<MessageId, OpenMessage>) -> Option<()> {
-    let mut f = Fields(record);
-    let [kind] = f.bytes()?;
-    let id = MessageId(f.number()?);
+    let mut fields = Fields(record);
+    let [kind] = fields.read_bytes()?;
+    let id = MessageId(fields.read_u64()?);
     match kind {
-        b'T' => drop(open.insert(id, f.taken()?)),
+        b'T' => drop(open.insert(id, fields.read_message()?)),
         b'A' => {
-            let (number, endpoint, at) = (f.small()?, EndpointId(f.number()?), f.number()?);
+            let (number, endpoint, started_at) =
+                (fields.read_u32()?, EndpointId(fields.read_u64()?), fields.read_u64()?);
             let attempts = &mut open.get_mut(&id)?.attempts;
             if attempts.iter().all(|a| a.number != number) {
-                attempts.push(Attempt { number, endpoint, started_at: at, never_ran: false });
+                attempts.push(Attempt { number, endpoint, started_at, never_ran: false });
             }
         }
         b'N' => {
-            let number = f.small()?;
+            let number = fields.read_u32()?;
             let attempts = open.get_mut(&id)?.attempts.iter_mut();
             attempts.filter(|a| a.number == number).for_each(|a| a.never_ran = true);
         }
         b'V' => {
-            let bounced = f.bytes()? != [0];
-            let verdict = if bounced { Verdict::Bounced(f.number()?) } else { Verdict::Dead };
+            let is_bounced = fields.read_bytes()? != [0];
+            let verdict = if is_bounced { Verdict::Bounced(fields.read_u64()?) } else { Verdict::Dead };
             open.get_mut(&id)?.verdict = Some(verdict);
         }
         b'E' => drop(open.remove(&id)),
@@ -122,34 +123,35 @@
         framed
     }
 
-    /// As an old build wrote it: three messages, one with attempts and a verdict, one ended.
-    fn old() -> Vec<u8> {
+    /// Returns a journal as an old build wrote it: three messages, one with an attempt and a verdict, one
+    /// ended.
+    fn old_journal() -> Vec<u8> {
         let record = |kind: u8, id: u64, rest: &[u8]| {
-            let mut r = vec![kind];
-            r.extend(id.to_le_bytes());
-            r.extend(rest);
-            frame(&r)
+            let mut record = vec![kind];
+            record.extend(id.to_le_bytes());
+            record.extend(rest);
+            frame(&record)
         };
-        let mut taken = 3u64.to_le_bytes().to_vec();
-        taken.extend(9_000u64.to_le_bytes());
+        let mut message = 3u64.to_le_bytes().to_vec();
+        message.extend(9_000u64.to_le_bytes());
         for name in ["payment", "acme"] {
-            taken.extend((name.len() as u16).to_le_bytes());
-            taken.extend(name.as_bytes());
+            message.extend((name.len() as u16).to_le_bytes());
+            message.extend(name.as_bytes());
         }
-        taken.extend(b"body");
-        let mut tried = 0u32.to_le_bytes().to_vec();
-        tried.extend(9u64.to_le_bytes());
-        tried.extend(77u64.to_le_bytes());
+        message.extend(b"body");
+        let mut attempt = 0u32.to_le_bytes().to_vec();
+        attempt.extend(9u64.to_le_bytes());
+        attempt.extend(77u64.to_le_bytes());
         let mut bounced = vec![1];
         bounced.extend(250u64.to_le_bytes());
         let mut all = Vec::new();
         for (kind, id, rest) in [
-            (b'T', 1, &taken[..]),
-            (b'T', 2, &taken[..]),
-            (b'A', 2, &tried[..]),
-            (b'N', 2, &tried[..4]),
+            (b'T', 1, &message[..]),
+            (b'T', 2, &message[..]),
+            (b'A', 2, &attempt[..]),
+            (b'N', 2, &attempt[..4]),
             (b'V', 2, &bounced[..]),
-            (b'T', 3, &taken[..]),
+            (b'T', 3, &message[..]),
             (b'E', 3, &[][..]),
         ] {
             all.extend(record(kind, id, rest));
@@ -163,9 +165,9 @@
     }
 
     #[test]
-    fn the_old_journal_is_carried_over_once() {
+    fn the_old_journal_is_migrated_once() {
         let folder = tempfile::tempdir().expect("a folder");
-        fs::write(folder.path().join(FILE), old()).expect("written");
+        fs::write(folder.path().join(FILE), old_journal()).expect("written");
         for _ in 0..2 {
             let journal = open(folder.path()).expect("opened");
             let found: Vec<(u64, OpenMessage)> = journal.iter().map(|(id, m)| (id.0, m.clone())).collect();
@@ -184,14 +186,14 @@
     }
 
     #[test]
-    fn a_torn_tail_is_dropped_and_bad_bytes_before_sound_ones_refused() {
-        let old = old();
+    fn a_torn_tail_is_dropped_and_invalid_bytes_before_valid_records_are_refused() {
+        let old = old_journal();
         assert_eq!(read(&old[..old.len() - 3]).expect("a torn tail").len(), 3);
         for at in 0..50 {
             let mut bad = old.clone();
             bad[at] ^= 0x10;
-            let why = read(&bad).expect_err("sound records follow");
-            assert!(why.offset == 0 && why.file == FILE, "{why}");
+            let refusal = read(&bad).expect_err("valid records follow");
+            assert!(refusal.offset == 0 && refusal.file == FILE, "{refusal}");
         }
         let folder = tempfile::tempdir().expect("a folder");
         let mut bad = old.clone();
--- a/crates/daemon/src/state/pending_writes.rs
+++ b/crates/daemon/src/state/pending_writes.rs
@@ -1,4 +1,5 @@
-//! Writes what the folder did not take, once it takes it again, also where no other traffic would.
+//! Retries records that the folder did not accept, so that they are written also where no other traffic
+//! causes a write.
 
 use crate::state::journal::{Journal, Verdict};
 use notchpoint_policy::MessageId;
@@ -7,12 +8,14 @@
 use std::time::Duration;
 use tokio::time::sleep;
 
-/// How often a folder that takes nothing is tried, beside what other records try.
-const AGAIN: Duration = Duration::from_millis(200);
-/// How often it is looked whether a verdict is written: a notice may be 300 ms late at most.
-const LOOK: Duration = Duration::from_millis(50);
+/// How often a write to a folder that accepts nothing is retried, besides the retries that come with other
+/// records.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How often `wait_for_verdict_write` checks whether a verdict is written. A notice may be 300 ms late at
+/// most.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Writes owed records for as long as the journal lives.
+/// Writes pending records for as long as the journal lives.
 pub async fn retry_pending_writes(journal: Weak<RefCell<Journal>>) {
     let Some(signal) = journal.upgrade().map(|journal| journal.borrow().pending_write_signal()) else {
         return;
@@ -20,7 +23,7 @@
     loop {
         signal.notified().await;
         loop {
-            sleep(AGAIN).await;
+            sleep(RETRY_INTERVAL).await;
             let Some(journal) = journal.upgrade() else { return };
             if journal.borrow_mut().flush_pending_writes().is_ok() {
                 break;
@@ -29,16 +32,16 @@
     }
 }
 
-/// Waits until a verdict that says that handing in again is harmless is written, and gives the one to be
-/// told: a kill would forget one that is not, and the next process would send the message once more. Where
-/// its time runs out before, its client is promised nothing.
+/// Waits until a verdict that allows the client to resend is written, and returns the verdict to report. A
+/// kill would lose an unwritten verdict, and the next process would send the message again. If the message's
+/// time runs out first, the verdict becomes `Dead`, which promises the client nothing.
 pub async fn wait_for_verdict_write(
     journal: &Rc<RefCell<Journal>>,
     id: MessageId,
     verdict: Verdict,
 ) -> Option<Verdict> {
     loop {
-        sleep(LOOK).await;
+        sleep(POLL_INTERVAL).await;
         let mut journal = journal.borrow_mut();
         let deadline = journal.get(id)?.deadline;
         if !journal.has_pending_writes() {
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -1,4 +1,4 @@
-//! The folder that outlasts the process: how it is kept, and the commands that look at one.
+//! The options of the store in the state folder, and the commands that inspect such a folder.
 
 use crate::settings::config::Config;
 use crate::settings::operator::{Durability, StoreSettings};
@@ -17,79 +17,79 @@
 
 type Failure = Box<dyn std::error::Error>;
 
-/// Kept for ends when the disk itself is full: this part of the limit, and no more than so much.
-const RESERVE_PART: u64 = 64;
-const RESERVE_MOST: u64 = 1 << 20;
+/// The divisor of the disk limit that gives the space reserved for ends when the disk itself is full.
+const RESERVE_DIVISOR: u64 = 64;
+const MAX_RESERVE_BYTES: u64 = 1 << 20;
 
-/// How the store is kept under a configuration.
-pub fn options(config: &Config, set: &StoreSettings) -> Options {
-    let durability = match set.durability {
+/// Returns the store's options for a configuration and the operator's settings.
+pub fn options(config: &Config, settings: &StoreSettings) -> Options {
+    let durability = match settings.durability {
         Durability::Process => notchpoint_store::Durability::Process,
         Durability::Power => notchpoint_store::Durability::Power,
     };
-    let usual = Options::new(config.seed, config.disk_bytes);
-    let reserve = (config.disk_bytes / RESERVE_PART).min(RESERVE_MOST);
-    Options { durability, step: set.step_kb as usize * 1024, reserve, ..usual }
+    let defaults = Options::new(config.seed, config.disk_bytes);
+    let reserve = (config.disk_bytes / RESERVE_DIVISOR).min(MAX_RESERVE_BYTES);
+    Options { durability, step: settings.step_kb as usize * 1024, reserve, ..defaults }
 }
 
-/// With what helps.
-pub fn describe_open_error(e: Error) -> Failure {
-    match e {
-        Error::Refused(why) => format!(
-            "the journal is damaged, and going on would be a guess: {why}. Nothing was changed. \
-             `notchpoint store check DIR` says the same; `notchpoint store salvage DIR --to NEW` \
-             saves what can be read"
+/// Describes why the journal did not open, and for a damaged one the commands that help.
+pub fn describe_open_error(error: Error) -> Failure {
+    match error {
+        Error::Refused(refusal) => format!(
+            "the journal is damaged: {refusal}. The sender does not start, and nothing was changed. \
+             `notchpoint store check DIR` reports the damage; `notchpoint store salvage DIR --to NEW` \
+             saves all that can be read"
         )
         .into(),
-        e => format!("the journal cannot be opened: {e}").into(),
+        error => format!("the journal cannot be opened: {error}").into(),
     }
 }
 
 #[derive(Debug, Subcommand)]
 pub enum Command {
-    /// Read every byte of a folder and say whether a sender would start on it
+    /// Read every byte of a folder and report whether a sender would start on it
     ///
     /// Nothing is changed, and the folder may be in use. Exit status: 0 it is sound; 1 it is damaged, and the
-    /// place is said; 2 it cannot be read.
+    /// position is printed; 2 it cannot be read.
     Check {
         /// The folder (BALANCER_STATE)
         dir: PathBuf,
     },
-    /// List all records in the order written, and what cannot be read
+    /// List all records in the order written, and the parts that cannot be read
     Dump {
         /// The folder (BALANCER_STATE)
         dir: PathBuf,
     },
-    /// Save what can be read of a damaged folder into a new one, and say what could not
+    /// Save all that can be read of a damaged folder into a new one, and report the rest
     ///
-    /// The damaged folder is only read. An open message that may have been tried, or may have ended, in
-    /// records that are lost is marked as tried: it is not sent again unless its class allows repeats. Exit
-    /// status: 0 all was saved; 1 something was lost; 2 nothing was done.
+    /// The damaged folder is only read. If lost records may hold an attempt or the end of an open message,
+    /// the message is marked as attempted: it is not sent again unless its class allows repeats. Exit status:
+    /// 0 everything was saved; 1 something was lost; 2 nothing was done.
     Salvage {
         /// The damaged folder
         dir: PathBuf,
-        /// The new one, which must be empty
+        /// The new folder, which must be empty
         #[arg(long, value_name = "NEW")]
         to: PathBuf,
     },
 }
 
-/// Does what the command line says.
-pub fn run(what: Command) -> Result<ExitCode, Failure> {
-    match what {
+/// Runs a command.
+pub fn run(command: Command) -> Result<ExitCode, Failure> {
+    match command {
         Command::Check { dir } => check(&dir),
         Command::Dump { dir } => dump(&dir),
         Command::Salvage { dir, to } => salvage(&dir, &to),
     }
 }
 
-fn folder(dir: &Path) -> Result<Folder, Failure> {
+fn open_folder(dir: &Path) -> Result<Folder, Failure> {
     std::fs::read_dir(dir).map_err(|e| format!("{}: {e}", dir.display()))?;
     Ok(Folder(dir.to_owned()))
 }
 
-fn table(t: Table) -> String {
-    match t {
+fn table_name(table: Table) -> String {
+    match table {
         MESSAGES => "messages".to_owned(),
         CLASSES => "classes".to_owned(),
         OPERATOR_MARKS => "operators' marks".to_owned(),
@@ -101,17 +101,17 @@
 
 fn check(dir: &Path) -> Result<ExitCode, Failure> {
     let name = dir.display();
-    let report = match inspect::check(&folder(dir)?) {
+    let report = match inspect::check(&open_folder(dir)?) {
         Ok(report) => report,
-        Err(Error::Refused(why)) => {
-            print(&format!("{name}: damaged: {why}\n"))?;
+        Err(Error::Refused(refusal)) => {
+            print(&format!("{name}: damaged: {refusal}\n"))?;
             return Ok(ExitCode::from(1));
         }
         Err(e) => return Err(format!("{name}: {e}").into()),
     };
     print(&format!("{name}: sound: {}\n", report.notes))?;
     for (number, keys, bytes) in report.tables.iter().map(|(t, (k, b))| (*t, k, b)) {
-        print(&format!("  {}: {keys} keys, {bytes} bytes\n", table(Table(number))))?;
+        print(&format!("  {}: {keys} keys, {bytes} bytes\n", table_name(Table(number))))?;
     }
     for (number, len, live) in report.segments {
         print(&format!("  {}: {len} bytes, {live} in force\n", format::name(number)))?;
@@ -119,35 +119,37 @@
     Ok(ExitCode::SUCCESS)
 }
 
-fn shown(key: &[u8]) -> String {
+fn hex(key: &[u8]) -> String {
     key.iter().map(|b| format!("{b:02x}")).collect()
 }
 
 fn dump(dir: &Path) -> Result<ExitCode, Failure> {
     let mut failed = Ok(());
-    inspect::walk(&folder(dir)?, |number, piece| {
+    inspect::walk(&open_folder(dir)?, |number, piece| {
         let file = format::name(number);
         let line = match piece {
             Piece::Lost { from, to } => format!("{file}, bytes {from} to {to}: cannot be read"),
             Piece::Missing { from, to } => format!("{file}: frames {from} to {} are missing", to - 1),
             Piece::Record { at, seq, record } => {
-                let what = match record {
+                let text = match record {
                     Record::Put { table: COPIES, key, value, .. } => {
-                        let what = notchpoint_copies::describe_row(key, Some(value));
-                        format!("put copies: {}", what.unwrap_or_else(|| shown(key)))
+                        let row = notchpoint_copies::describe_row(key, Some(value));
+                        format!("put copies: {}", row.unwrap_or_else(|| hex(key)))
                     }
                     Record::Delete { table: COPIES, key } => {
-                        let what = notchpoint_copies::describe_row(key, None);
-                        format!("delete copies: {}", what.unwrap_or_else(|| shown(key)))
+                        let row = notchpoint_copies::describe_row(key, None);
+                        format!("delete copies: {}", row.unwrap_or_else(|| hex(key)))
                     }
                     Record::Put { table: t, key, value, .. } => {
-                        format!("put {} {} ({} bytes)", table(t), shown(key), value.len())
+                        format!("put {} {} ({} bytes)", table_name(t), hex(key), value.len())
+                    }
+                    Record::Delete { table: t, key } => format!("delete {} {}", table_name(t), hex(key)),
+                    Record::DeletePrefix { table: t, key } => {
+                        format!("delete {} {}*", table_name(t), hex(key))
                     }
-                    Record::Delete { table: t, key } => format!("delete {} {}", table(t), shown(key)),
-                    Record::DeletePrefix { table: t, key } => format!("delete {} {}*", table(t), shown(key)),
                     Record::Base(n) => format!("segments below {n} are dropped"),
                 };
-                format!("{file}, byte {at}, frame {seq}: {what}")
+                format!("{file}, byte {at}, frame {seq}: {text}")
             }
         };
         if failed.is_ok() {
@@ -158,15 +160,15 @@
 }
 
 fn salvage(dir: &Path, to: &Path) -> Result<ExitCode, Failure> {
-    let from = folder(dir)?;
+    let from = open_folder(dir)?;
     std::fs::create_dir_all(to).map_err(|e| format!("{}: {e}", to.display()))?;
     if std::fs::read_dir(to)?.next().is_some() {
         return Err(format!("{}: the new folder must be empty", to.display()).into());
     }
     let options = Options::new(fastrand::u64(..), u64::MAX / 4);
     let amend = |table: Table, key: &[u8], _: &[u8], batch: &mut notchpoint_store::Batch| {
-        if let Some(id) = record::id_of(key).filter(|_| table == MESSAGES) {
-            record::doubt(batch, id);
+        if let Some(id) = record::message_id(key).filter(|_| table == MESSAGES) {
+            record::presume_attempt(batch, id);
         }
     };
     let saved = inspect::salvage(&from, Rc::new(Folder(to.to_owned())), options, amend)?;
@@ -180,10 +182,10 @@
     for (t, key) in &saved.doubtful {
         print(&format!(
             "in doubt: {} {}: lost records may have changed or ended it\n",
-            table(*t),
-            shown(key)
+            table_name(*t),
+            hex(key)
         ))?;
     }
-    let whole = saved.lost.is_empty() && saved.missing.is_empty();
-    Ok(ExitCode::from(u8::from(!whole)))
+    let is_complete = saved.lost.is_empty() && saved.missing.is_empty();
+    Ok(ExitCode::from(u8::from(!is_complete)))
 }
--- a/crates/daemon/src/state/timeline/tests.rs
+++ b/crates/daemon/src/state/timeline/tests.rs
@@ -13,9 +13,9 @@
 const HOUR: u64 = 3_600_000_000;
 const SECOND: u64 = 1_000_000;
 
-struct Clocks(Cell<Reading>);
+struct FakeClock(Cell<ClockReading>);
 
-impl Clock for Clocks {
+impl Clock for FakeClock {
     fn unix_now(&self) -> u64 {
         self.0.get().wall
     }
@@ -29,14 +29,14 @@
     }
 }
 
-fn reading(boot: u8, monotonic: u64, wall: u64) -> Reading {
-    Reading { boot: Some(BootId([boot; 16])), monotonic, wall }
+fn reading(boot: u8, monotonic: u64, wall: u64) -> ClockReading {
+    ClockReading { boot: Some(BootId([boot; 16])), monotonic, wall }
 }
 
-fn open(folder: &Path, now: Reading) -> (Journal, Rc<Clocks>) {
-    let clocks = Rc::new(Clocks(Cell::new(now)));
+fn open(folder: &Path, now: ClockReading) -> (Journal, Rc<FakeClock>) {
+    let clock = Rc::new(FakeClock(Cell::new(now)));
     let disk = Rc::new(Folder(folder.to_owned()));
-    (Journal::open(disk, clocks.clone(), Options::new(1, 600_000)).expect("a journal").0, clocks)
+    (Journal::open(disk, clock.clone(), Options::new(1, 600_000)).expect("a journal").0, clock)
 }
 
 fn message(deadline: u64) -> OpenMessage {
@@ -44,11 +44,11 @@
 }
 
 #[test]
-fn on_one_boot_it_advances_with_the_monotonic_clock_over_steps_and_restarts() {
+fn within_one_boot_the_timeline_follows_the_monotonic_clock_across_steps_and_restarts() {
     let folder = tempfile::tempdir().expect("a folder");
-    let (journal, clocks) = open(folder.path(), reading(1, 5 * HOUR, 100 * HOUR));
+    let (journal, clock) = open(folder.path(), reading(1, 5 * HOUR, 100 * HOUR));
     assert_eq!(journal.unix_now(), 100 * HOUR);
-    clocks.0.set(reading(1, 5 * HOUR + SECOND, 99 * HOUR));
+    clock.0.set(reading(1, 5 * HOUR + SECOND, 99 * HOUR));
     assert_eq!(journal.unix_now(), 100 * HOUR + SECOND);
     drop(journal);
     for wall in [0, 100 * HOUR, 900 * HOUR] {
@@ -58,8 +58,8 @@
 }
 
 #[test]
-fn after_a_boot_what_may_have_run_is_older_than_any_window_and_no_deadline_is_beyond_its_class() {
-    // The same boot with an earlier monotonic time is none: a clock of another kind.
+fn after_a_reboot_attempts_are_older_than_any_window_and_deadlines_are_limited_by_their_class() {
+    // The same boot id with an earlier monotonic time counts as another boot, since the clock differs.
     for (after, wall) in
         [(reading(2, SECOND, 90 * HOUR), 90 * HOUR), (reading(1, SECOND, 90 * HOUR), 90 * HOUR)]
     {
@@ -73,27 +73,27 @@
         drop(journal);
         for _ in 0..2 {
             let (mut journal, _) = open(folder.path(), after);
-            assert_eq!(journal.unix_now(), wall, "it begins at the wall clock's time");
+            assert_eq!(journal.unix_now(), wall, "the timeline starts at the wall clock's time");
             journal.bound_deadlines(|tag| (tag == "payment").then_some(24 * SECOND));
             for (_, open) in journal.iter() {
                 assert_eq!(open.deadline, wall + 24 * SECOND);
             }
-            let at = |id| journal.get(MessageId(id)).expect("open").attempts[0].started_at;
-            // The module's clock begins at least as far from its zero as the longest window.
-            assert!(journal.unix_now() - at(1) >= 24 * HOUR, "{}", at(1));
-            assert_eq!(at(2), 100 * HOUR, "it never ran");
+            let started_at = |id| journal.get(MessageId(id)).expect("open").attempts[0].started_at;
+            // The decision module's clock starts at least as far from its zero as the longest window.
+            assert!(journal.unix_now() - started_at(1) >= 24 * HOUR, "{}", started_at(1));
+            assert_eq!(started_at(2), 100 * HOUR, "it never ran");
         }
     }
 }
 
 #[test]
-fn a_folder_of_an_earlier_build_keeps_its_dates() {
+fn a_folder_of_an_earlier_build_keeps_its_timestamps() {
     let (timeline, continuity) = Timeline::resume(None, reading(1, 5, 7 * HOUR));
-    assert_eq!((timeline.at(6), continuity), (7 * HOUR + 1, Continuity::FirstUse));
+    assert_eq!((timeline.time_at(6), continuity), (7 * HOUR + 1, Continuity::FirstUse));
 }
 
 #[test]
-fn the_longest_span_that_settings_allow_does_not_look_back_beyond_the_modules_zero() {
-    // Spans of over 2^50 us are turned down.
+fn the_longest_allowed_span_does_not_reach_before_the_decision_modules_zero() {
+    // Settings with spans of more than 2^50 us are rejected.
     const { assert!(CLOCK_START >= 1 << 50) };
 }
