--- a/crates/daemon/src/clients.rs
+++ b/crates/daemon/src/clients.rs
@@ -1,4 +1,4 @@
-//! Where clients come in: connections, their places, and whether the door is open.
+//! The client side: connections, their slots, and admission of requests.
 
 pub mod accept_queue;
 pub mod admission;
--- a/crates/daemon/src/clients/connection_table.rs
+++ b/crates/daemon/src/clients/connection_table.rs
@@ -1,5 +1,5 @@
-//! The places that clients' connections take: how long each may be held, and who gives way where all are
-//! taken.
+//! The table of client connections: how long a connection may hold its slot, and which one is evicted if all
+//! slots are taken.
 
 use crate::clients::admission::Signal;
 use crate::clients::request_counter::RequestCounter;
@@ -13,111 +13,115 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, timeout, timeout_at};
 
-/// A request may come in pieces over more than 2 s; who takes longer than this from its first byte to its
-/// last, or to read the answer, has given up.
-const SLOW: Duration = Duration::from_millis(2_500);
-/// A new connection that says nothing for so long is closed, since a client that opens one has a message.
-const SILENT: Duration = Duration::from_secs(2);
-/// So long after connecting the first request has come whole, or the connection ends.
-const FIRST: Duration = Duration::from_millis(2_750);
-/// Clients keep connections, so that the next message needs no new one; forgotten ones end after this.
-const IDLE: Duration = Duration::from_secs(10);
-/// A new connection is not ended for this long: its first request is on its way, and one that is closed
-/// with no answer is a request lost.
-const FRESH: Duration = Duration::from_millis(500);
-/// Where all places are taken, the connection idle longest gives up its own, once its client has had so long
-/// to send what it had ready: those in the queue wait for 400 ms at most, and a request that crosses the end
-/// of an idle connection comes again on a new one.
-const UNUSED: Duration = Duration::from_millis(50);
-/// Beyond its end a connection is read for so long at most, while something comes.
-pub const GRACE: Duration = Duration::from_millis(100);
-/// So long a connection that has ended on this side is still read, and what comes is thrown away: closed over
-/// bytes that nobody has read it would be reset, and a reset takes with it the answer that was written last.
-const LINGER: Duration = Duration::from_millis(500);
-/// Thrown away at a time.
-const BLOCK: usize = 16 << 10;
-/// How often it is looked for a place while there is none.
-pub const LOOK: Duration = Duration::from_millis(20);
-
-/// What a connection is at.
+/// The time-out from the first to the last byte of a request, and for reading the answer. A request may
+/// arrive in pieces over more than 2 s. A client that takes longer than this has given up.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The time-out for the first byte on a new connection. A client that connects has a message to send.
+const FIRST_BYTE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The time-out from connecting until the first request is complete.
+const FIRST_REQUEST_TIMEOUT: Duration = Duration::from_millis(2_750);
+/// The time-out of an idle connection. Clients keep connections for their next message.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// The time for which a new connection is not ended. Its first request is on the way, and would be lost if
+/// the connection closed without an answer.
+const MIN_LIFETIME: Duration = Duration::from_millis(500);
+/// The idle time after which a connection may be evicted, if all slots are taken. It is long enough for a
+/// client to send a request that it has ready. Clients in the accept queue wait 400 ms at most, and a request
+/// that crosses the end of an idle connection is sent again on a new one.
+const MIN_IDLE_TO_EVICT: Duration = Duration::from_millis(50);
+/// The longest time for which a connection is read beyond its end, while bytes keep arriving.
+pub const READ_GRACE: Duration = Duration::from_millis(100);
+/// The time for which a connection is read and its bytes discarded after this side has ended it. Closing it
+/// with unread bytes would reset it, and a reset destroys the last answer.
+const LINGER_TIME: Duration = Duration::from_millis(500);
+/// The number of bytes discarded at a time.
+const DISCARD_BLOCK_BYTES: usize = 16 << 10;
+/// How often the table is checked for a free slot while there is none.
+pub const SLOT_POLL_INTERVAL: Duration = Duration::from_millis(20);
+
+/// The stage that a connection is in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     /// No request is open.
     Idle,
-    /// A request's first byte has come.
+    /// The first byte of a request has arrived.
     Reading,
-    /// Its head has come, and the body is read.
+    /// The head has arrived, and the body is being read.
     Serving,
-    /// The answer is written.
+    /// The answer is being written.
     Answering,
-    /// It has ended on this side.
+    /// This side has ended the connection.
     Lingering,
 }
 
-/// The place that a connection takes.
+/// The slot of one connection, with the connection's state.
 pub struct ConnectionSlot {
     pub stream: Rc<dyn Stream>,
     opened: Instant,
-    /// How long its client may have waited before: at most.
+    /// The longest time that the client may have waited in the accept queue.
     waited: Duration,
-    /// It has had an answer.
-    pub asked: Cell<bool>,
-    /// Its answer said that the connection ends with it.
-    pub last: Cell<bool>,
+    /// Whether an answer has been written.
+    pub has_answered: Cell<bool>,
+    /// Whether the current answer announces the end of the connection.
+    pub is_last_answer: Cell<bool>,
     pub stage: Cell<Stage>,
-    /// Since when nothing was open on it, or a request is.
+    /// Since when a request is open, or since when none is.
     since: Cell<Instant>,
     requests: RefCell<RequestCounter>,
-    /// Its place is another's.
-    given_up: Signal,
+    /// Set when the slot is given to another connection.
+    evicted: Signal,
 }
 
 impl ConnectionSlot {
+    /// Creates the slot of a connection that has waited in the accept queue for this long at most.
     pub fn new(stream: Rc<dyn Stream>, waited: Duration) -> Self {
         let opened = Instant::now();
-        let (asked, stage, since) = (Cell::new(false), Cell::new(Stage::Idle), Cell::new(opened));
-        let (last, requests, given_up) = Default::default();
-        Self { stream, opened, waited, asked, last, stage, since, requests, given_up }
+        let (has_answered, stage, since) = (Cell::new(false), Cell::new(Stage::Idle), Cell::new(opened));
+        let (is_last_answer, requests, evicted) = Default::default();
+        Self { stream, opened, waited, has_answered, is_last_answer, stage, since, requests, evicted }
     }
 
-    /// These bytes were read on it.
-    pub fn read(&self, bytes: &[u8]) {
+    /// Records bytes that were read on the connection.
+    pub fn record_read(&self, bytes: &[u8]) {
         self.requests.borrow_mut().read(bytes);
         if self.stage.get() == Stage::Idle && self.requests.borrow().has_unserved() {
             self.enter(Stage::Reading);
         }
     }
 
-    /// A request's head has come whole.
-    pub fn serve(&self) {
-        self.requests.borrow_mut().serve();
+    /// Records that the head of a request is complete.
+    pub fn record_head(&self) {
+        self.requests.borrow_mut().record_served();
         self.enter(Stage::Serving);
     }
 
-    /// An answer has been written. More may have been read behind its request.
-    pub fn answered(&self) {
-        self.asked.set(true);
+    /// Records that an answer has been written. Bytes after its request may have been read already.
+    pub fn record_answered(&self) {
+        self.has_answered.set(true);
         self.enter(Stage::Idle);
         if self.requests.borrow().has_unserved() {
             self.enter(Stage::Reading);
         }
     }
 
-    /// Nothing has come behind the request that is being answered: its answer may be the last.
+    /// Whether nothing has arrived after the request that is being answered, so that its answer may be the
+    /// last.
     pub fn has_read_all(&self) -> bool {
         !self.requests.borrow().has_unserved() && self.stream.has_no_unread_data()
     }
 
-    /// Ends it with nothing more read: what crosses that is not this process's, and comes again.
-    fn give_up(&self) {
-        self.given_up.set();
+    /// Ends the connection without reading any more. The client sends a request that crosses the end again,
+    /// on a new connection.
+    fn evict(&self) {
+        self.evicted.set();
     }
 
-    /// Waits until its place is wanted by another.
-    pub async fn is_given_up(&self) {
-        self.given_up.wait().await;
+    /// Waits until the slot is given to another connection.
+    pub async fn wait_for_eviction(&self) {
+        self.evicted.wait().await;
     }
 
+    /// Enters a stage.
     pub fn enter(&self, stage: Stage) {
         if (self.stage.get() == Stage::Idle) != (stage == Stage::Idle) {
             self.since.set(Instant::now());
@@ -125,34 +129,34 @@
         self.stage.set(stage);
     }
 
-    /// How long ago the client may have sent the first byte of the request that is open. The first one may
-    /// have waited with its connection.
-    pub fn sent_ago(&self) -> Duration {
-        let waited = if self.asked.get() { Duration::ZERO } else { self.waited };
+    /// Returns how long ago the client may have sent the first byte of the open request. The first request of
+    /// a connection may have waited in the accept queue.
+    pub fn max_request_age(&self) -> Duration {
+        let waited = if self.has_answered.get() { Duration::ZERO } else { self.waited };
         self.since.get().elapsed() + waited
     }
 
-    /// When the request that is being read must have come whole.
-    pub fn whole_by(&self) -> Instant {
-        let by = self.since.get() + SLOW;
-        if self.asked.get() { by } else { by.min(self.opened + FIRST) }
+    /// Returns the time by which the request that is being read must be complete.
+    pub fn request_deadline(&self) -> Instant {
+        let by = self.since.get() + REQUEST_TIMEOUT;
+        if self.has_answered.get() { by } else { by.min(self.opened + FIRST_REQUEST_TIMEOUT) }
     }
 
-    /// When the connection ends, if nothing happens on it.
-    pub fn ends_at(&self) -> Instant {
+    /// Returns the time at which the connection times out if nothing happens on it.
+    pub fn times_out_at(&self) -> Instant {
         match self.stage.get() {
-            Stage::Idle if self.asked.get() => self.since.get() + IDLE,
-            Stage::Idle => self.since.get() + SILENT,
-            Stage::Reading => self.whole_by(),
-            Stage::Serving | Stage::Answering => self.whole_by() + SLOW,
-            Stage::Lingering => self.since.get() + LINGER,
+            Stage::Idle if self.has_answered.get() => self.since.get() + IDLE_TIMEOUT,
+            Stage::Idle => self.since.get() + FIRST_BYTE_TIMEOUT,
+            Stage::Reading => self.request_deadline(),
+            Stage::Serving | Stage::Answering => self.request_deadline() + REQUEST_TIMEOUT,
+            Stage::Lingering => self.since.get() + LINGER_TIME,
         }
     }
 
-    /// Ends the connection in an orderly way: its writing side first, and all of it once the client has ended
-    /// its own, or has had the time for that.
-    pub async fn end(&self) {
-        if self.given_up.is_set() {
+    /// Closes the connection gracefully: first its writing side, and then all of it, once the client has
+    /// closed its own side or the time for that is over.
+    pub async fn close_gracefully(&self) {
+        if self.evicted.is_set() {
             return;
         }
         self.enter(Stage::Lingering);
@@ -160,74 +164,77 @@
         if self.stream.shutdown(Shutdown::Write).is_err() {
             return;
         }
-        let mut block = vec![0; BLOCK];
+        let mut block = vec![0; DISCARD_BLOCK_BYTES];
         let read = async { while read_some(&*self.stream, &mut block).await.is_ok_and(|n| n > 0) {} };
-        let gone = async { drop(timeout_at(self.ends_at(), read).await) };
+        let ended = async { drop(timeout_at(self.times_out_at(), read).await) };
         tokio::select! {
             biased;
-            () = self.is_given_up() => {}
-            () = gone => {}
+            () = self.wait_for_eviction() => {}
+            () = ended => {}
         }
     }
 
-    /// No request is open on it, nor waits unread.
+    /// Whether no request is open on the connection or waits unread.
     pub fn is_unused(&self) -> bool {
         self.stage.get() == Stage::Idle && self.stream.has_no_unread_data()
     }
 
-    /// It may be ended between two requests, since this process or its turn ends.
+    /// Whether the connection may be ended now, between two requests, because the process stops serving
+    /// clients.
     pub fn may_end(&self) -> bool {
-        self.is_unused() && (self.asked.get() || self.opened.elapsed() >= FRESH)
+        self.is_unused() && (self.has_answered.get() || self.opened.elapsed() >= MIN_LIFETIME)
     }
 
-    /// Nothing that comes on it would be served.
-    fn is_over(&self) -> bool {
+    /// Whether no further request would be served on the connection.
+    fn is_ended(&self) -> bool {
         self.stage.get() == Stage::Lingering
     }
 }
 
-/// The connections that there are, by their number.
+/// The slots of all connections, by number.
 #[derive(Default)]
 pub struct ConnectionTable {
-    next: Cell<u64>,
-    taken: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
-    freed: Notify,
+    next_number: Cell<u64>,
+    slots: RefCell<BTreeMap<u64, Rc<ConnectionSlot>>>,
+    slot_freed: Notify,
 }
 
 impl ConnectionTable {
-    /// Waits for a place. Where all are taken, the connection that has been idle longest loses its own; one
-    /// with a request that is being read or answered never does.
-    pub async fn free(&self, most: usize) {
-        while self.taken.borrow().len() >= most {
-            if let Some((number, slot)) = self.unused() {
-                slot.give_up();
-                self.taken.borrow_mut().remove(&number);
+    /// Waits until one of `max_connections` slots is free. If all are taken, evicts the connection that has
+    /// been idle longest. A connection on which a request is being read or answered is never evicted.
+    pub async fn wait_for_slot(&self, max_connections: usize) {
+        while self.slots.borrow().len() >= max_connections {
+            if let Some((number, slot)) = self.find_evictable() {
+                slot.evict();
+                self.slots.borrow_mut().remove(&number);
                 return;
             }
-            let _ = timeout(LOOK, self.freed.notified()).await;
+            let _ = timeout(SLOT_POLL_INTERVAL, self.slot_freed.notified()).await;
         }
     }
 
-    fn unused(&self) -> Option<(u64, Rc<ConnectionSlot>)> {
-        let taken = self.taken.borrow();
-        let mut idle: Vec<_> = taken
+    fn find_evictable(&self) -> Option<(u64, Rc<ConnectionSlot>)> {
+        let slots = self.slots.borrow();
+        let mut idle: Vec<_> = slots
             .iter()
-            .filter(|(_, s)| s.stage.get() == Stage::Idle || s.is_over())
-            .filter(|(_, s)| s.since.get().elapsed() >= UNUSED)
+            .filter(|(_, s)| s.stage.get() == Stage::Idle || s.is_ended())
+            .filter(|(_, s)| s.since.get().elapsed() >= MIN_IDLE_TO_EVICT)
             .collect();
         idle.sort_by_key(|(_, s)| s.since.get());
-        idle.into_iter().find(|(_, s)| s.is_over() || s.is_unused()).map(|(&n, s)| (n, s.clone()))
+        idle.into_iter().find(|(_, s)| s.is_ended() || s.is_unused()).map(|(&n, s)| (n, s.clone()))
     }
 
-    pub fn take(&self, slot: &Rc<ConnectionSlot>) -> u64 {
-        let number = self.next.replace(self.next.get() + 1);
-        self.taken.borrow_mut().insert(number, slot.clone());
+    /// Adds a connection's slot and returns its number.
+    pub fn insert(&self, slot: &Rc<ConnectionSlot>) -> u64 {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        self.slots.borrow_mut().insert(number, slot.clone());
         number
     }
 
-    pub fn leave(&self, number: u64) {
-        if self.taken.borrow_mut().remove(&number).is_some() {
-            self.freed.notify_one();
+    /// Frees a slot, unless its connection was evicted.
+    pub fn remove(&self, number: u64) {
+        if self.slots.borrow_mut().remove(&number).is_some() {
+            self.slot_freed.notify_one();
         }
     }
 }
--- a/crates/daemon/src/clients/connection_table/tests.rs
+++ b/crates/daemon/src/clients/connection_table/tests.rs
@@ -2,8 +2,8 @@
 use tokio::net::{TcpListener, TcpStream};
 
 #[test]
-fn a_place_is_taken_from_who_is_idle_longest_and_never_across_a_request() {
-    // Guards against ending a connection on which a request has come that was not read yet.
+fn the_connection_idle_longest_is_evicted_and_never_one_with_a_request() {
+    // Guards against evicting a connection on which a request has arrived and was not read yet.
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
@@ -11,30 +11,30 @@
         let address = listener.local_addr().expect("an address");
         let connections = ConnectionTable::default();
         let mut clients = Vec::new();
-        let long_ago = Instant::now() - 3 * UNUSED;
+        let long_ago = Instant::now() - 3 * MIN_IDLE_TO_EVICT;
         for age in [0, 1, 2, 3] {
             clients.push(TcpStream::connect(address).await.expect("a connection"));
             let (stream, _) = listener.accept().await.expect("a connection");
             let slot = Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::ZERO));
             slot.since.set(long_ago + Duration::from_millis(age));
-            connections.take(&slot);
+            connections.insert(&slot);
         }
-        // The oldest has a request that was not read, the next one whose answer is under way.
+        // The oldest connection has an unread request, and the next one has an answer that is being written.
         clients[0].writable().await.expect("open");
         clients[0].try_write(b"P").expect("written");
-        let first = connections.taken.borrow()[&0].clone();
-        std::future::poll_fn(|cx| first.stream.poll_read_ready(cx)).await.expect("it comes");
-        connections.taken.borrow()[&1].stage.set(Stage::Answering);
-        connections.free(4).await;
-        assert_eq!(connections.taken.borrow().keys().copied().collect::<Vec<_>>(), [0, 1, 3]);
+        let first = connections.slots.borrow()[&0].clone();
+        std::future::poll_fn(|cx| first.stream.poll_read_ready(cx)).await.expect("it arrives");
+        connections.slots.borrow()[&1].stage.set(Stage::Answering);
+        connections.wait_for_slot(4).await;
+        assert_eq!(connections.slots.borrow().keys().copied().collect::<Vec<_>>(), [0, 1, 3]);
         clients[2].readable().await.expect("its end");
         assert_eq!(clients[2].try_read(&mut [0; 1]).expect("its end"), 0);
     });
 }
 
 #[test]
-fn a_place_is_taken_from_a_connection_that_is_over_whatever_comes_on_it() {
-    // Guards against clients that keep their side open, or send without end, filling the places for as long.
+fn an_ended_connection_is_evicted_even_if_bytes_arrive_on_it() {
+    // Guards against clients that keep slots taken by leaving their side open, or by sending without end.
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
@@ -44,16 +44,16 @@
         let (stream, _) = listener.accept().await.expect("a connection");
         let (connections, slot) =
             (ConnectionTable::default(), Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::ZERO)));
-        connections.take(&slot);
+        connections.insert(&slot);
         slot.stage.set(Stage::Answering);
         let (ended, begun) = (slot.clone(), Instant::now());
-        let ending = tokio::task::spawn_local(async move { ended.end().await });
+        let ending = tokio::task::spawn_local(async move { ended.close_gracefully().await });
         client.writable().await.expect("open");
         client.try_write(b"more").expect("written");
-        let gives_way = timeout(Duration::from_secs(20), connections.free(1));
-        gives_way.await.expect("it does not wait for the client's end");
-        assert!(begun.elapsed() >= UNUSED, "after the time that an answer takes");
+        let slot_free = timeout(Duration::from_secs(20), connections.wait_for_slot(1));
+        slot_free.await.expect("it does not wait for the client to close its side");
+        assert!(begun.elapsed() >= MIN_IDLE_TO_EVICT, "after the time that an answer takes");
         ending.await.expect("it ended");
-        assert!(connections.taken.borrow().is_empty());
+        assert!(connections.slots.borrow().is_empty());
     });
 }
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -1,9 +1,11 @@
-//! Where clients connect: `GET /up` and `POST /CLASS`.
+//! The HTTP server for clients: `GET /up` and `POST /CLASS`.
 
 use crate::calls::Calls;
 use crate::clients::accept_queue::AcceptQueue;
 use crate::clients::admission::Admission;
-use crate::clients::connection_table::{ConnectionSlot, ConnectionTable, GRACE, LOOK, Stage};
+use crate::clients::connection_table::{
+    ConnectionSlot, ConnectionTable, READ_GRACE, SLOT_POLL_INTERVAL, Stage,
+};
 use crate::copies::service::ReplicationService;
 use crate::handover::protocol::{ForwardResult, ForwardedRequest};
 use crate::handover::successor::Successor;
@@ -36,68 +38,70 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::time::{Instant, sleep_until, timeout, timeout_at};
 
-const BODY: usize = 64 << 10;
-/// The longest idempotency key: it is kept with each message.
-const KEY: usize = 255;
-/// A head is a few hundred bytes; the rest is room for what fronts add.
-const HEAD: usize = 16 << 10;
-/// How often a connection that is to end is looked at for the gap between two requests.
-const CLOSING_LOOK: Duration = Duration::from_millis(5);
-/// What a connection takes of the memory: hyper's two buffers, its task and its state.
-const PLACE: u64 = 32 << 10;
-/// The shares of the memory for connections and for the bodies that are being read on them.
-const PLACES_SHARE: u64 = 4;
-const BODIES_SHARE: u64 = 8;
-/// A record that is not safe by then is taken back, and the client told to come again: it waits 400 ms.
-const SAFE_WITHIN: Duration = Duration::from_millis(300);
-/// Until the event loop has looked at the socket, that nobody waits there is not known.
-const FIRST_LOOK: Duration = Duration::from_millis(1);
-/// How long `accept` rests where this machine lacks what a connection takes.
-const ACCEPT_AGAIN: Duration = Duration::from_millis(10);
-/// Advice to clients that find no room.
-const COME_BACK: Micros = 1_000_000;
-
-/// What all connections share.
+const MAX_BODY_BYTES: usize = 64 << 10;
+/// The longest idempotency key. It is kept with each message.
+const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
+/// The longest head. A head has a few hundred bytes; the rest is for headers that proxies add.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// How often a connection that is to end is checked for the gap between two requests.
+const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The memory that a connection takes: hyper's two buffers, its task and its state.
+const CONNECTION_BYTES: u64 = 32 << 10;
+/// The divisors of the memory limit for connections, and for the bodies that are being read on them.
+const CONNECTIONS_MEMORY_DIVISOR: u64 = 4;
+const BODIES_MEMORY_DIVISOR: u64 = 8;
+/// The time within which a record must be durable. Otherwise it is withdrawn, and the client is asked to
+/// retry. The client waits 400 ms.
+const DURABILITY_TIMEOUT: Duration = Duration::from_millis(300);
+/// The time that the event loop gets to poll the socket for the first time. Before that an empty queue cannot
+/// be told from one that was not polled.
+const FIRST_POLL_TIMEOUT: Duration = Duration::from_millis(1);
+/// The delay before the next `accept` if this machine lacks a resource for a connection.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(10);
+/// The `Retry-After` of refused requests.
+const RETRY_ADVICE: Micros = 1_000_000;
+
+/// The state that all client connections share.
 pub struct Inbound {
     /// The settings in force.
-    pub terms: Rc<RefCell<ActiveSettings>>,
+    pub active_settings: Rc<RefCell<ActiveSettings>>,
     pub journal: Rc<RefCell<Journal>>,
     pub durability: Rc<DurabilityTracker>,
-    /// Where copies are kept, nothing is promised before others have it.
+    /// If copies are kept, a message is promised only after other senders have it.
     pub copies: Option<Rc<ReplicationService>>,
     pub calls: Rc<Calls>,
     pub inputs: UnboundedSender<Input>,
-    /// Whether clients may come in, and when connections end.
+    /// Whether clients are admitted, and when connections end.
     pub admission: Rc<Admission>,
-    /// Once another process owns the store.
+    /// The process that took over, once it owns the store.
     pub successor: RefCell<Option<Rc<Successor>>>,
-    /// What is known of the queue at the clients' socket, by the time since connections are taken.
+    /// The accept queue of the clients' socket. Its times are counted from `accepting_since`.
     pub accept_queue: RefCell<AcceptQueue>,
     pub accepting_since: Instant,
-    /// The event loop has looked at the clients' socket, and who was there then.
+    /// Whether the event loop has polled the clients' socket, and the connection that it accepted then.
     pub is_queue_polled: Cell<bool>,
     pub first_stream: RefCell<Option<Rc<dyn Stream>>>,
     /// Messages whose 202 is not written yet.
     pub unanswered: RefCell<BTreeSet<MessageId>>,
-    /// Connections at once.
+    /// The largest number of connections at once.
     pub max_connections: usize,
-    /// Bytes of the bodies that are being read, and how many there may be.
+    /// The bytes of all bodies that are being read, and the limit for them.
     pub body_bytes: Cell<usize>,
     pub max_body_bytes: usize,
 }
 
 impl Inbound {
-    /// The moment by which the queue counts.
+    /// Returns the present time as the accept queue counts it.
     fn queue_time(&self) -> Duration {
-        AcceptQueue::BEGINS + self.accepting_since.elapsed()
+        AcceptQueue::START + self.accepting_since.elapsed()
     }
 
-    /// How long ago nobody waited at the clients' socket, if that is known.
+    /// Returns how long ago the accept queue of the clients' socket was last seen empty, if ever.
     pub fn queue_seen_empty(&self) -> Option<Duration> {
         self.accept_queue.borrow().seen_empty(self.queue_time())
     }
 
-    /// Messages that may be recorded, and whose clients have not heard yet.
+    /// Returns the messages that may be recorded and whose clients have not received an answer yet.
     pub fn unacknowledged(&self) -> BTreeSet<MessageId> {
         let mut all = self.unanswered.borrow().clone();
         all.extend(self.successor.borrow().iter().flat_map(|successor| successor.pending()));
@@ -105,97 +109,99 @@
     }
 }
 
-/// As many as descriptors and memory allow.
+/// Returns how many connections descriptors and memory allow.
 pub fn max_connections(config: &Config) -> usize {
-    let fit = usize::try_from(config.memory_bytes / PLACES_SHARE / PLACE).unwrap_or(usize::MAX);
+    let fit = usize::try_from(config.memory_bytes / CONNECTIONS_MEMORY_DIVISOR / CONNECTION_BYTES)
+        .unwrap_or(usize::MAX);
     DescriptorBudget::new(config).client_connections.min(fit).max(1)
 }
 
-/// What bodies may take while they are read: one fits always.
+/// Returns how many bytes bodies may take while they are read. It allows at least one body.
 pub fn max_body_bytes(config: &Config) -> usize {
-    usize::try_from(config.memory_bytes / BODIES_SHARE).unwrap_or(usize::MAX).max(BODY)
+    usize::try_from(config.memory_bytes / BODIES_MEMORY_DIVISOR).unwrap_or(usize::MAX).max(MAX_BODY_BYTES)
 }
 
-/// Watches what passes on a connection. It tells whether a client can have heard that its message was taken
-/// on: until then it is not sent, and if the answer cannot be written it is withdrawn, since the client may
-/// hand it in again. A client that sends requests without waiting has several answers on the way.
-struct Receipt {
-    due: RefCell<Vec<Due>>,
+/// Observes a connection to know when a client can have received the acknowledgement of its message. Until
+/// then the message is not sent, and if the answer cannot be written the message is withdrawn, since the
+/// client may resend it. A client that pipelines requests has several acknowledgements on the way.
+struct AckTracker {
+    pending: RefCell<Vec<PendingAck>>,
     slot: Rc<ConnectionSlot>,
     inbound: Rc<Inbound>,
 }
 
-struct Due {
+/// An acknowledgement that is not written completely.
+struct PendingAck {
     accepted: AcceptedMessage,
-    begun: bool,
+    is_begun: bool,
 }
 
-impl Receipt {
-    /// Its client hears of it with the next answer that is written.
+impl AckTracker {
+    /// Expects the next answer that is written to acknowledge this message.
     fn expect(&self, accepted: AcceptedMessage) {
         self.inbound.unanswered.borrow_mut().insert(accepted.id);
-        self.due.borrow_mut().push(Due { accepted, begun: false });
+        self.pending.borrow_mut().push(PendingAck { accepted, is_begun: false });
     }
 
-    fn is_answered(&self, id: MessageId) {
+    fn record_answered(&self, id: MessageId) {
         self.inbound.unanswered.borrow_mut().remove(&id);
     }
 }
 
-impl Observer for Rc<Receipt> {
+impl Observer for Rc<AckTracker> {
     fn on_read(&self, bytes: &[u8]) {
-        self.slot.read(bytes);
+        self.slot.record_read(bytes);
     }
 
     fn on_write(&self, _: &[u8]) {
-        self.due.borrow_mut().iter_mut().for_each(|d| d.begun = true);
+        self.pending.borrow_mut().iter_mut().for_each(|ack| ack.is_begun = true);
     }
 
     fn on_flush(&self) {
         if self.slot.stage.get() == Stage::Answering {
-            self.slot.answered();
+            self.slot.record_answered();
         }
-        for due in self.due.borrow_mut().extract_if(.., |d| d.begun) {
-            self.is_answered(due.accepted.id);
-            let _ = self.inbound.inputs.send(Input::Acknowledged(due.accepted));
+        for ack in self.pending.borrow_mut().extract_if(.., |ack| ack.is_begun) {
+            self.record_answered(ack.accepted.id);
+            let _ = self.inbound.inputs.send(Input::Acknowledged(ack.accepted));
         }
     }
 }
 
-impl Drop for Receipt {
+impl Drop for AckTracker {
     fn drop(&mut self) {
-        for due in self.due.take() {
-            self.is_answered(due.accepted.id);
-            self.inbound.journal.borrow_mut().record_end(due.accepted.id);
-            let _ = self.inbound.inputs.send(Input::Unacknowledged(due.accepted.id));
+        for ack in self.pending.take() {
+            self.record_answered(ack.accepted.id);
+            self.inbound.journal.borrow_mut().record_end(ack.accepted.id);
+            let _ = self.inbound.inputs.send(Input::Unacknowledged(ack.accepted.id));
         }
     }
 }
 
-/// Gives the event loop the time to look at the clients' socket: before that it says that nobody waits there,
-/// whoever does.
+/// Gives the event loop the time to poll the clients' socket. Before the first poll it reports no connection,
+/// even if some wait.
 pub async fn poll_queue_first(inbound: &Inbound, listener: &dyn Listener) {
-    let came = timeout(FIRST_LOOK, poll_fn(|cx| listener.poll_accept(cx))).await;
-    match came {
+    let accepted = timeout(FIRST_POLL_TIMEOUT, poll_fn(|cx| listener.poll_accept(cx))).await;
+    match accepted {
         Ok(stream) => *inbound.first_stream.borrow_mut() = stream.ok(),
-        Err(_) => inbound.accept_queue.borrow_mut().is_empty(inbound.queue_time()),
+        Err(_) => inbound.accept_queue.borrow_mut().record_empty(inbound.queue_time()),
     }
     inbound.is_queue_polled.set(true);
 }
 
-/// Accepts connections, so many at once. Those that find no place wait in the system's queue.
+/// Accepts connections, up to `max_connections` at once. The rest wait in the system's accept queue.
 pub async fn serve(inbound: Rc<Inbound>, listener: Rc<dyn Listener>) {
     let connections = Rc::new(ConnectionTable::default());
-    let trouble = RateLimitedWarning::default();
+    let accept_warning = RateLimitedWarning::default();
     if !inbound.is_queue_polled.get() {
         poll_queue_first(&inbound, &*listener).await;
     }
     loop {
-        connections.free(inbound.max_connections).await;
+        connections.wait_for_slot(inbound.max_connections).await;
         let next = poll_fn(|cx| {
             let polled = listener.poll_accept(cx);
             if polled.is_pending() {
-                inbound.accept_queue.borrow_mut().is_empty(inbound.queue_time());
+                inbound.accept_queue.borrow_mut().record_empty(inbound.queue_time());
             }
             polled
         });
@@ -206,43 +212,43 @@
         };
         let stream = match stream {
             Ok(stream) => stream,
-            // One client's connection: the next may wait behind it.
-            Err(why) if is_of_one_connection(&why) => {
-                tracing::debug!("accept: {why}");
+            // Only this client's connection failed. The next one may be in the queue.
+            Err(error) if is_connection_error(&error) => {
+                tracing::debug!("accepting a client's connection failed: {error}");
                 continue;
             }
-            Err(why) => {
-                // Out of descriptors or memory: that is not mended by asking again at once.
-                trouble.warn(&format_args!("accept: {why}"));
-                tokio::time::sleep(ACCEPT_AGAIN).await;
+            Err(error) => {
+                // The machine is out of descriptors or memory. An immediate retry would fail as well.
+                accept_warning.warn(&format_args!("accepting clients' connections failed: {error}"));
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             }
         };
-        let waited = inbound.accept_queue.borrow_mut().taken(inbound.queue_time());
+        let waited = inbound.accept_queue.borrow_mut().record_accepted(inbound.queue_time());
         let slot = Rc::new(ConnectionSlot::new(stream, waited));
         let (inbound, connections) = (inbound.clone(), connections.clone());
-        let number = connections.take(&slot);
+        let number = connections.insert(&slot);
         tokio::task::spawn_local(async move {
-            let inside = &inbound.admission.open_connections;
-            inside.set(inside.get() + 1);
-            let why = connection(inbound.clone(), slot.clone()).await;
-            tracing::debug!("client's connection {number} ended: {why:?}");
-            inbound.calls.reasons.count_close(why);
-            // What crosses the end of a resting connection stays unread: its client has to see that.
-            if slot.last.get() {
-                slot.end().await;
+            let open_connections = &inbound.admission.open_connections;
+            open_connections.set(open_connections.get() + 1);
+            let reason = serve_connection(inbound.clone(), slot.clone()).await;
+            tracing::debug!("client's connection {number} ended: {reason:?}");
+            inbound.calls.reasons.count_close(reason);
+            // A request that crosses the end of an idle connection stays unread, so that its client notices.
+            if slot.is_last_answer.get() {
+                slot.close_gracefully().await;
             }
-            inside.set(inside.get() - 1);
-            connections.leave(number);
+            open_connections.set(open_connections.get() - 1);
+            connections.remove(number);
         });
     }
 }
 
-/// Whether an error of `accept` is of the connection that would have been next, which is gone with it, and
-/// not of this machine.
-fn is_of_one_connection(why: &io::Error) -> bool {
+/// Whether an error of `accept` concerns only the connection that would have been accepted, and not this
+/// machine.
+fn is_connection_error(error: &io::Error) -> bool {
     matches!(
-        why.kind(),
+        error.kind(),
         ErrorKind::ConnectionAborted
             | ErrorKind::ConnectionReset
             | ErrorKind::Interrupted
@@ -253,198 +259,213 @@
     )
 }
 
-async fn connection(inbound: Rc<Inbound>, slot: Rc<ConnectionSlot>) -> Close {
-    if let Err(why) = slot.stream.set_nodelay() {
-        // Answers may wait a little; without the connection there would be none.
-        tracing::debug!("a client's connection: TCP_NODELAY: {why}");
+/// Serves a client's connection and returns why it ended.
+async fn serve_connection(inbound: Rc<Inbound>, slot: Rc<ConnectionSlot>) -> Close {
+    if let Err(error) = slot.stream.set_nodelay() {
+        // The connection works without the option, with some delay of answers.
+        tracing::debug!("setting TCP_NODELAY on a client's connection failed: {error}");
     }
-    let receipt = Rc::new(Receipt { due: RefCell::default(), slot: slot.clone(), inbound: inbound.clone() });
+    let tracker =
+        Rc::new(AckTracker { pending: RefCell::default(), slot: slot.clone(), inbound: inbound.clone() });
     let service = {
-        let receipt = Rc::downgrade(&receipt);
+        let tracker = Rc::downgrade(&tracker);
         let inbound = inbound.clone();
         service_fn(move |request| {
-            let (inbound, receipt) = (inbound.clone(), receipt.clone());
+            let (inbound, tracker) = (inbound.clone(), tracker.clone());
             async move {
-                let receipt = receipt.upgrade();
-                let mut answer = match answer(&inbound, request, receipt.as_deref()).await {
+                let tracker = tracker.upgrade();
+                let mut answer = match handle_request(&inbound, request, tracker.as_deref()).await {
                     Ok(answer) => answer,
                     Err(status) => {
                         inbound.calls.reasons.count_refusal(Refusal::Invalid);
-                        plain(status)
+                        empty_response(status)
                     }
                 };
-                // What has been read behind it has its answer too, and the last one says so.
-                if inbound.admission.is_closing() && receipt.as_ref().is_none_or(|r| r.slot.has_read_all()) {
-                    close_after(&mut answer);
+                // Requests that were read after this one are answered too. Only the last answer announces the
+                // end of the connection.
+                if inbound.admission.is_closing() && tracker.as_ref().is_none_or(|t| t.slot.has_read_all()) {
+                    announce_close(&mut answer);
                 }
-                // From here to the answer's last byte nothing waits but the writing.
-                let last = answer.headers().contains_key(CONNECTION);
-                receipt.inspect(|r| {
-                    r.slot.last.set(last);
-                    r.slot.enter(Stage::Answering);
+                // From here to the answer's last byte, only the writing takes time.
+                let is_last = answer.headers().contains_key(CONNECTION);
+                tracker.inspect(|t| {
+                    t.slot.is_last_answer.set(is_last);
+                    t.slot.enter(Stage::Answering);
                 });
                 Ok::<_, Infallible>(answer)
             }
         })
     };
     let served = http1::Builder::new()
-        .max_buf_size(HEAD)
-        .serve_connection(ObservedStream::new(slot.stream.clone(), receipt), service);
+        .max_buf_size(MAX_HEAD_BYTES)
+        .serve_connection(ObservedStream::new(slot.stream.clone(), tracker), service);
     tokio::pin!(served);
-    let (mut closing, mut told) = (false, false);
+    let (mut is_closing, mut is_shut_down) = (false, false);
     loop {
         tokio::select! {
             biased;
-            // Before anything more is read.
-            () = slot.is_given_up() => return Close::PlaceWanted,
-            _ = &mut served => return if told { Close::Drained } else { Close::Finished },
-            () = inbound.admission.close_signal.wait(), if !closing => closing = true,
-            // A request that is being read or answered ends the connection itself; what has come in part is
-            // never dropped. hyper would, between two requests.
-            () = tokio::time::sleep(CLOSING_LOOK), if closing && !told => {
+            // This branch comes first, so that nothing more is read after an eviction.
+            () = slot.wait_for_eviction() => return Close::PlaceWanted,
+            _ = &mut served => return if is_shut_down { Close::Drained } else { Close::Finished },
+            () = inbound.admission.close_signal.wait(), if !is_closing => is_closing = true,
+            // While a request is being read or answered, its answer ends the connection. A graceful shutdown
+            // of hyper between two requests would drop a request that has arrived in part.
+            () = tokio::time::sleep(CLOSE_POLL_INTERVAL), if is_closing && !is_shut_down => {
                 if slot.may_end() {
-                    told = true;
+                    is_shut_down = true;
                     served.as_mut().graceful_shutdown();
                 }
             }
-            // Dropping it ends the connection. What happened meanwhile may have moved the end.
-            () = sleep_until(slot.ends_at()) => {
-                let due = slot.ends_at() <= Instant::now();
-                // What has come is read first, also of a request that is late: a last byte unread is a
-                // request lost. Who never falls silent ends all the same.
-                if due && (slot.stream.has_no_unread_data() || slot.ends_at() + GRACE <= Instant::now()) {
+            // Dropping `served` ends the connection. Its time-out may have moved meanwhile.
+            () = sleep_until(slot.times_out_at()) => {
+                let is_due = slot.times_out_at() <= Instant::now();
+                // Bytes that have arrived are read first, even those of a late request: with its last byte
+                // unread a request would be lost. A client that never stops sending times out all the same.
+                if is_due
+                    && (slot.stream.has_no_unread_data()
+                        || slot.times_out_at() + READ_GRACE <= Instant::now())
+                {
                     return Close::TimedOut;
                 }
-                if due {
-                    // Something came in this very moment: the connection's own turn reads it.
-                    tokio::time::sleep(LOOK).await;
+                if is_due {
+                    // Bytes have just arrived. Meanwhile the connection's own task reads them.
+                    tokio::time::sleep(SLOT_POLL_INTERVAL).await;
                 }
             }
         }
     }
 }
 
-fn plain(status: StatusCode) -> Response<Full<Bytes>> {
+fn empty_response(status: StatusCode) -> Response<Full<Bytes>> {
     let mut answer = Response::new(Full::default());
     *answer.status_mut() = status;
     answer
 }
 
-async fn answer(
+async fn handle_request(
     inbound: &Inbound,
     request: Request<Incoming>,
-    receipt: Option<&Receipt>,
+    tracker: Option<&AckTracker>,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
-    let Some(receipt) = receipt else { return Err(StatusCode::SERVICE_UNAVAILABLE) };
-    receipt.slot.serve();
-    // The client's time runs from when it sent the request, also while that waited to be read.
+    let Some(tracker) = tracker else { return Err(StatusCode::SERVICE_UNAVAILABLE) };
+    tracker.slot.record_head();
+    // The client's time-out runs from when it sent the request, even while the request waited to be read.
     let now = Instant::now();
-    let since = now.checked_sub(receipt.slot.sent_ago()).unwrap_or(now);
+    let sent_at = now.checked_sub(tracker.slot.max_request_age()).unwrap_or(now);
     let path = request.uri().path();
     if path == "/up" {
         return match (request.method(), !inbound.admission.is_up()) {
-            (&Method::GET | &Method::HEAD, false) => Ok(plain(StatusCode::OK)),
+            (&Method::GET | &Method::HEAD, false) => Ok(empty_response(StatusCode::OK)),
             (&Method::GET | &Method::HEAD, true) => Err(StatusCode::SERVICE_UNAVAILABLE),
-            _ => Ok(not_allowed("GET")),
+            _ => Ok(method_not_allowed("GET")),
         };
     }
     let name = path.strip_prefix('/').unwrap_or(path);
     let name = name.split('/').next().unwrap_or(name).to_owned();
-    let Some(class) = inbound.terms.borrow().classes.current_index(&name) else {
+    let Some(class) = inbound.active_settings.borrow().classes.current_index(&name) else {
         return Err(StatusCode::NOT_FOUND);
     };
     if request.method() != Method::POST {
-        return Ok(not_allowed("POST"));
+        return Ok(method_not_allowed("POST"));
     }
-    // Two lengths may hide a request behind another, and hyper shows only one of them: a message's length is
-    // always known, so nothing else is read.
+    // A head with two lengths may smuggle a second request, and hyper exposes only one of the lengths. The
+    // length of a message is always known, so no other encoding is accepted.
     if request.headers().contains_key(TRANSFER_ENCODING) {
-        return Ok(last(StatusCode::LENGTH_REQUIRED));
+        return Ok(closing_response(StatusCode::LENGTH_REQUIRED));
     }
-    if request.body().size_hint().lower() > BODY as u64 {
-        return Ok(last(StatusCode::PAYLOAD_TOO_LARGE));
+    if request.body().size_hint().lower() > MAX_BODY_BYTES as u64 {
+        return Ok(closing_response(StatusCode::PAYLOAD_TOO_LARGE));
     }
-    let (handed, tag) = {
-        let terms = inbound.terms.borrow();
-        (read_headers(&terms, request.headers(), &name, class), terms.classes.tag_at(class).to_owned())
+    let (headers, tag) = {
+        let active = inbound.active_settings.borrow();
+        (parse_headers(&active, request.headers(), &name, class), active.classes.tag_at(class).to_owned())
     };
-    // The body is read even where the headers say no: an answer across a request still being written is lost.
-    let body = match timeout_at(receipt.slot.whole_by(), read_body(inbound, request.into_body())).await {
-        Err(_) => return Ok(last(StatusCode::REQUEST_TIMEOUT)),
-        Ok(Err(NotRead::NoRoom)) => {
-            let mut answer = come_back(inbound, Refusal::BodiesFull);
-            close_after(&mut answer);
-            return Ok(answer);
-        }
-        Ok(Err(NotRead::Broken)) => return Ok(last(StatusCode::BAD_REQUEST)),
-        Ok(Ok(body)) => body,
-    };
-    let handed = handed?;
-    // A destination that no list has named lately is refused, not failed: the list may be late.
+    // The body is read even if the headers are invalid: an answer to a request that is still being written is
+    // lost.
+    let body =
+        match timeout_at(tracker.slot.request_deadline(), read_body(inbound, request.into_body())).await {
+            Err(_) => return Ok(closing_response(StatusCode::REQUEST_TIMEOUT)),
+            Ok(Err(BodyError::OverLimit)) => {
+                let mut answer = refuse(inbound, Refusal::BodiesFull);
+                announce_close(&mut answer);
+                return Ok(answer);
+            }
+            Ok(Err(BodyError::Broken)) => return Ok(closing_response(StatusCode::BAD_REQUEST)),
+            Ok(Ok(body)) => body,
+        };
+    let headers = headers?;
+    // A destination that no recent list named is answered with 503, since the list may be late.
     if inbound.admission.is_shutting_down.get() {
-        return Ok(come_back(inbound, Refusal::ShuttingDown));
+        return Ok(refuse(inbound, Refusal::ShuttingDown));
     }
-    if !inbound.calls.knows_destination(handed.dest) {
-        return Ok(come_back(inbound, Refusal::UnknownDestination));
+    if !inbound.calls.knows_destination(headers.dest) {
+        return Ok(refuse(inbound, Refusal::UnknownDestination));
     }
     let successor = inbound.successor.borrow().clone();
     if let Some(successor) = successor {
-        return pass_on(inbound, &successor, handed, tag, body, since, receipt).await;
-    }
-    let mut open =
-        OpenMessage::new(&tag, &handed.tenant_name, handed.dest.0, deadline(inbound, &handed, since), body);
-    open.idempotency_key.clone_from(&handed.idempotency_key);
-    if !record(inbound, handed.id, open)? {
-        return Ok(come_back(inbound, Refusal::NoRoom));
+        return forward_to_successor(inbound, &successor, headers, tag, body, sent_at, tracker).await;
+    }
+    let mut open = OpenMessage::new(
+        &tag,
+        &headers.tenant_name,
+        headers.dest.0,
+        message_deadline(inbound, &headers, sent_at),
+        body,
+    );
+    open.idempotency_key.clone_from(&headers.idempotency_key);
+    if !record_message(inbound, headers.id, open)? {
+        return Ok(refuse(inbound, Refusal::NoRoom));
     }
-    let (mark, mut record) = (inbound.durability.log_end(), Record { inbound, id: Some(handed.id) });
-    if !is_safe(inbound, handed.id, &mark).await {
+    let (mark, mut record) =
+        (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(headers.id) });
+    if !wait_until_safe(inbound, headers.id, &mark).await {
         return if record.withdraw() {
-            Ok(come_back(inbound, Refusal::NotDurable))
+            Ok(refuse(inbound, Refusal::NotDurable))
         } else {
             inbound.calls.reasons.count_refusal(Refusal::NotWithdrawn);
             Err(StatusCode::INTERNAL_SERVER_ERROR)
         };
     }
     record.id = None;
-    // From here to the return nothing waits: the next flush on this connection is this answer's.
-    receipt.expect(handed.accepted(class as u32));
-    Ok(plain(StatusCode::ACCEPTED))
+    // There is no await between here and the return, so the next flush on this connection is this answer's.
+    tracker.expect(headers.accepted(class as u32));
+    Ok(empty_response(StatusCode::ACCEPTED))
 }
 
-/// Has a message recorded by the process that has taken over, and answers as it says.
-async fn pass_on(
+/// Lets the successor process record a message, and answers with the result.
+async fn forward_to_successor(
     inbound: &Inbound,
     successor: &Successor,
-    handed: Handed,
+    headers: ParsedHeaders,
     tag: String,
     body: Bytes,
-    since: Instant,
-    receipt: &Receipt,
+    sent_at: Instant,
+    tracker: &AckTracker,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
     let passed = ForwardedRequest {
-        id: handed.id,
+        id: headers.id,
         tag,
-        tenant: handed.tenant_name.clone(),
-        dest: handed.dest,
-        deadline: deadline(inbound, &handed, since),
-        idempotency_key: handed.idempotency_key.clone(),
+        tenant: headers.tenant_name.clone(),
+        dest: headers.dest,
+        deadline: message_deadline(inbound, &headers, sent_at),
+        idempotency_key: headers.idempotency_key.clone(),
         body: body.to_vec(),
     };
     let class = match successor.forward(passed).await {
         ForwardResult::Recorded { class } => class,
-        ForwardResult::RetryLater => return Ok(come_back(inbound, Refusal::Successor)),
+        ForwardResult::RetryLater => return Ok(refuse(inbound, Refusal::Successor)),
         ForwardResult::Conflict => return Err(StatusCode::CONFLICT),
     };
-    receipt.expect(handed.accepted(class));
-    Ok(plain(StatusCode::ACCEPTED))
+    tracker.expect(headers.accepted(class));
+    Ok(empty_response(StatusCode::ACCEPTED))
 }
 
-/// Records what the process before this one has read, under the same conditions. A process in between may
-/// have done that (`before`) and died with its answer: the record is the same request's then.
+/// Records a message that the predecessor process has read, under the same conditions as one that this
+/// process reads. If `before` is set, a process in between may have recorded it and died before its answer;
+/// an existing record then belongs to the same request.
 pub async fn record_handed_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
-    let place = inbound.terms.borrow().classes.index_of(&passed.tag);
-    let Some(class) = place.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
+    let class = inbound.active_settings.borrow().classes.index_of(&passed.tag);
+    let Some(class) = class.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
         return ForwardResult::RetryLater;
     };
     if before && inbound.journal.borrow().get(passed.id).is_some() {
@@ -453,130 +474,136 @@
     let ForwardedRequest { id, tag, tenant, dest, deadline, idempotency_key, body } = passed;
     let mut open = OpenMessage::new(&tag, &tenant, dest.0, deadline, body.into());
     open.idempotency_key = idempotency_key;
-    match record(inbound, id, open) {
+    match record_message(inbound, id, open) {
         Ok(true) => {}
         Ok(false) => return ForwardResult::RetryLater,
         Err(_) => return ForwardResult::Conflict,
     }
-    let (mark, mut record) = (inbound.durability.log_end(), Record { inbound, id: Some(id) });
-    if !is_safe(inbound, id, &mark).await {
+    let (mark, mut record) = (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(id) });
+    if !wait_until_safe(inbound, id, &mark).await {
         return if record.withdraw() { ForwardResult::RetryLater } else { ForwardResult::Conflict };
     }
     record.id = None;
     ForwardResult::Recorded { class: class as u32 }
 }
 
-/// Whether a record is on all that it is to outlast, once it is.
-async fn is_safe(inbound: &Inbound, id: MessageId, mark: &Mark) -> bool {
+/// Waits until a record is durable and copied as far as the settings ask for. Returns whether it may be
+/// promised.
+async fn wait_until_safe(inbound: &Inbound, id: MessageId, mark: &Mark) -> bool {
     let Some(copies) = &inbound.copies else {
-        return inbound.durability.wait_until_durable(mark, SAFE_WITHIN).await;
+        return inbound.durability.wait_until_durable(mark, DURABILITY_TIMEOUT).await;
     };
-    let careful = {
-        let (journal, terms) = (inbound.journal.borrow(), inbound.terms.borrow());
-        journal.get(id).is_none_or(|open| terms.is_unsafe_to_repeat(&open.class))
+    let is_unsafe_to_repeat = {
+        let (journal, active) = (inbound.journal.borrow(), inbound.active_settings.borrow());
+        journal.get(id).is_none_or(|open| active.is_unsafe_to_repeat(&open.class))
     };
-    // Both at once: the keepers' disks are no faster than this one.
-    let (kept, firm) = tokio::join!(
-        copies.replicate(id, careful, SAFE_WITHIN),
-        inbound.durability.wait_until_durable(mark, SAFE_WITHIN)
+    // Both run at once, since the replicas' disks are no faster than this one.
+    let (is_copied, is_durable) = tokio::join!(
+        copies.replicate(id, is_unsafe_to_repeat, DURABILITY_TIMEOUT),
+        inbound.durability.wait_until_durable(mark, DURABILITY_TIMEOUT)
     );
-    // What is not written is not promised, and after a restart nobody takes it for promised.
-    kept && firm && (!careful || inbound.journal.borrow_mut().confirm(id).is_ok())
+    // If the confirmation is not written, the message is not promised, and a restart treats it as unpromised.
+    is_copied && is_durable && (!is_unsafe_to_repeat || inbound.journal.borrow_mut().confirm(id).is_ok())
 }
 
-/// When the time of a message that its client sent then is up, by the journal's timeline. Held up between the
-/// two looks at a clock, it ends too soon and not too late.
-fn deadline(inbound: &Inbound, handed: &Handed, since: Instant) -> u64 {
+/// Returns the deadline of a message on the journal's timeline. A delay between the two clock readings makes
+/// it too early, never too late.
+fn message_deadline(inbound: &Inbound, headers: &ParsedHeaders, sent_at: Instant) -> u64 {
     let now = inbound.journal.borrow().unix_now();
-    now + handed.time.saturating_sub(since.elapsed()).as_micros() as Micros
+    now + headers.timeout.saturating_sub(sent_at.elapsed()).as_micros() as Micros
 }
 
-/// Records a message; false where there is no room for it, or its time is up.
-fn record(inbound: &Inbound, id: MessageId, mut open: OpenMessage) -> Result<bool, StatusCode> {
+/// Records a message. Returns false if there is no space for it, or its time is up.
+fn record_message(inbound: &Inbound, id: MessageId, mut open: OpenMessage) -> Result<bool, StatusCode> {
     let mut journal = inbound.journal.borrow_mut();
-    // An id is new each time. One that is still in use would mix up the ends of two messages.
+    // Clients use a new id for each message. With an id that is still in use, the ends of two messages would
+    // be confused.
     if journal.get(id).is_some() || inbound.calls.has_open_attempt(id) {
         return Err(StatusCode::CONFLICT);
     }
-    let is_over = open.deadline <= journal.unix_now();
-    if is_over || journal.held_count() >= inbound.terms.borrow().settings.max_held as usize {
+    let is_expired = open.deadline <= journal.unix_now();
+    if is_expired || journal.held_count() >= inbound.active_settings.borrow().settings.max_held as usize {
         return Ok(false);
     }
-    // Until others have it, a process that ends here has promised nothing.
-    open.is_confirmed = inbound.copies.is_none() || !inbound.terms.borrow().is_unsafe_to_repeat(&open.class);
-    // The record comes before the answer. Without a record there is no promise.
+    // A process that ends before other senders have the message has promised nothing.
+    open.is_confirmed =
+        inbound.copies.is_none() || !inbound.active_settings.borrow().is_unsafe_to_repeat(&open.class);
+    // The record is written before the answer. Without a record nothing is promised.
     Ok(journal.accept(id, open).is_ok())
 }
 
-/// A record whose message is not promised yet: it ends with the request.
-struct Record<'a> {
+/// Withdraws the record of a message on drop, unless the message was promised and `id` cleared.
+struct UnpromisedRecord<'a> {
     inbound: &'a Inbound,
     id: Option<MessageId>,
 }
 
-impl Record<'_> {
-    /// Takes the record back. Where that is not written, the next process would find the message and send it:
-    /// its client must not be told that handing it in again is harmless.
+impl UnpromisedRecord<'_> {
+    /// Withdraws the record and returns whether that is written. If not, the next process would find the
+    /// message and send it, so the client must not learn that a resend is harmless.
     fn withdraw(&mut self) -> bool {
         self.id.take().is_none_or(|id| self.inbound.journal.borrow_mut().record_end(id))
     }
 }
 
-impl Drop for Record<'_> {
+impl Drop for UnpromisedRecord<'_> {
     fn drop(&mut self) {
         self.withdraw();
     }
 }
 
-/// An answer after which nothing more is read.
-fn last(status: StatusCode) -> Response<Full<Bytes>> {
-    let mut answer = plain(status);
-    close_after(&mut answer);
+/// Returns a response after which the connection ends and nothing more is read.
+fn closing_response(status: StatusCode) -> Response<Full<Bytes>> {
+    let mut answer = empty_response(status);
+    announce_close(&mut answer);
     answer
 }
 
-fn close_after(answer: &mut Response<Full<Bytes>>) {
+fn announce_close(answer: &mut Response<Full<Bytes>>) {
     answer.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
 }
 
-enum NotRead {
+/// Why a body could not be read.
+enum BodyError {
     Broken,
-    /// Too much is being read already.
-    NoRoom,
+    /// All bodies that are being read exceed the memory for them.
+    OverLimit,
 }
 
-/// Bytes that count as being read for as long as this lives.
-struct Reading<'a> {
+/// A share of the memory for bodies, which is returned on drop.
+struct BodyReservation<'a> {
     inbound: &'a Inbound,
     bytes: usize,
 }
 
-impl Reading<'_> {
-    fn add(&mut self, bytes: usize) -> bool {
-        let all = self.inbound.body_bytes.get() + bytes;
-        let fits = all <= self.inbound.max_body_bytes;
+impl BodyReservation<'_> {
+    /// Reserves more bytes. Returns false if they exceed the limit.
+    fn try_grow(&mut self, bytes: usize) -> bool {
+        let total = self.inbound.body_bytes.get() + bytes;
+        let fits = total <= self.inbound.max_body_bytes;
         if fits {
-            self.inbound.body_bytes.set(all);
+            self.inbound.body_bytes.set(total);
             self.bytes += bytes;
         }
         fits
     }
 }
 
-impl Drop for Reading<'_> {
+impl Drop for BodyReservation<'_> {
     fn drop(&mut self) {
         self.inbound.body_bytes.set(self.inbound.body_bytes.get() - self.bytes);
     }
 }
 
-/// Reads a body of known length. Only what has come takes room, so that promises of long bodies cost nothing.
-async fn read_body(inbound: &Inbound, mut body: Incoming) -> Result<Bytes, NotRead> {
-    let mut reading = Reading { inbound, bytes: 0 };
+/// Reads a body of known length. Only received bytes take memory, so the announcement of a long body costs
+/// nothing.
+async fn read_body(inbound: &Inbound, mut body: Incoming) -> Result<Bytes, BodyError> {
+    let mut reservation = BodyReservation { inbound, bytes: 0 };
     let mut read = Vec::new();
     while let Some(frame) = body.frame().await {
-        let Ok(data) = frame.map_err(|_| NotRead::Broken)?.into_data() else { continue };
-        if !reading.add(data.len()) {
-            return Err(NotRead::NoRoom);
+        let Ok(data) = frame.map_err(|_| BodyError::Broken)?.into_data() else { continue };
+        if !reservation.try_grow(data.len()) {
+            return Err(BodyError::OverLimit);
         }
         read.extend_from_slice(&data);
     }
@@ -584,17 +611,17 @@
     Ok(read.into())
 }
 
-fn not_allowed(method: &'static str) -> Response<Full<Bytes>> {
-    let mut answer = plain(StatusCode::METHOD_NOT_ALLOWED);
+fn method_not_allowed(method: &'static str) -> Response<Full<Bytes>> {
+    let mut answer = empty_response(StatusCode::METHOD_NOT_ALLOWED);
     answer.headers_mut().insert(ALLOW, HeaderValue::from_static(method));
     answer
 }
 
-/// Refused, with advice on when to come back as far as clients heed it.
-fn come_back(inbound: &Inbound, why: Refusal) -> Response<Full<Bytes>> {
-    inbound.calls.reasons.count_refusal(why);
-    let mut answer = plain(StatusCode::SERVICE_UNAVAILABLE);
-    let advice = COME_BACK.min(inbound.terms.borrow().settings.max_retry_after);
+/// Refuses a request with 503 and a `Retry-After` within the limit that clients obey.
+fn refuse(inbound: &Inbound, reason: Refusal) -> Response<Full<Bytes>> {
+    inbound.calls.reasons.count_refusal(reason);
+    let mut answer = empty_response(StatusCode::SERVICE_UNAVAILABLE);
+    let advice = RETRY_ADVICE.min(inbound.active_settings.borrow().settings.max_retry_after);
     if advice > 0
         && let Ok(value) = HeaderValue::from_str(&format!("{:.3}", advice as f64 / 1e6))
     {
@@ -603,31 +630,32 @@
     answer
 }
 
-struct Handed {
+/// The headers of a message.
+struct ParsedHeaders {
     id: MessageId,
     tenant: Option<u32>,
     tenant_name: String,
     dest: DestinationId,
     again: bool,
-    time: Duration,
+    timeout: Duration,
     idempotency_key: String,
 }
 
-impl Handed {
+impl ParsedHeaders {
     fn accepted(&self, class: u32) -> AcceptedMessage {
         let Self { id, tenant, dest, again, .. } = *self;
         AcceptedMessage { id, class, tenant, dest, again }
     }
 }
 
-fn read_headers(
-    terms: &ActiveSettings,
+fn parse_headers(
+    active: &ActiveSettings,
     headers: &HeaderMap,
     name: &str,
     class: usize,
-) -> Result<Handed, StatusCode> {
+) -> Result<ParsedHeaders, StatusCode> {
     let bad = StatusCode::BAD_REQUEST;
-    // A header given twice would mean one thing to us and another to who reads the other line.
+    // A repeated header is ambiguous: a program that reads the other line would understand something else.
     let text = |name: &str| {
         let mut values = headers.get_all(name).iter();
         match (values.next(), values.next()) {
@@ -638,50 +666,51 @@
     if text("X-Priority-Class")? != Some(name) {
         return Err(bad);
     }
-    let tenants = &terms.names.tenants;
+    let tenants = &active.names.tenants;
     let tenant_name = text("X-Tenant-Id")?.unwrap_or("");
     let tenant = tenants.iter().position(|t| t == tenant_name).map(|t| t as u32);
     if tenant.is_none() && !tenants.is_empty() {
         return Err(bad);
     }
     let id = text("X-Request-ID")?.ok_or(bad)?;
-    let ms = text("X-Timeout-Ms")?.and_then(read_number).ok_or(bad)?;
-    // No message of a class may be delivered for longer.
-    if ms.saturating_mul(1_000) > terms.settings.classes.get(class).map_or(0, |c| c.deadline) {
+    let ms = text("X-Timeout-Ms")?.and_then(parse_number).ok_or(bad)?;
+    // The time-out must not exceed the deadline of the class.
+    if ms.saturating_mul(1_000) > active.settings.classes.get(class).map_or(0, |c| c.deadline) {
         return Err(bad);
     }
     let fields = text("X-Envelope")?.ok_or(bad)?.split([',', ';', '&', ' ']);
     let mut dests = fields.filter_map(|f| f.trim().strip_prefix("dest="));
     let (Some(dest), None) = (dests.next(), dests.next()) else { return Err(bad) };
     let idempotency_key = text("Idempotency-Key")?.unwrap_or("");
-    if !fits_a_line(idempotency_key) {
+    if !is_valid_idempotency_key(idempotency_key) {
         return Err(bad);
     }
-    Ok(Handed {
-        id: read_id(id).ok_or(bad)?,
+    Ok(ParsedHeaders {
+        id: parse_id(id).ok_or(bad)?,
         tenant,
         tenant_name: tenant_name.to_owned(),
-        dest: DestinationId(read_number(dest).ok_or(bad)?),
+        dest: DestinationId(parse_number(dest).ok_or(bad)?),
         again: text("X-Retried")?.is_some_and(|v| !v.is_empty() && v != "0"),
-        time: Duration::from_millis(ms),
+        timeout: Duration::from_millis(ms),
         idempotency_key: idempotency_key.to_owned(),
     })
 }
 
-/// A key goes on unchanged, also as one word of a batch's line, where `-` stands for none.
-fn fits_a_line(key: &str) -> bool {
-    key.len() <= KEY && key != "-" && key.bytes().all(|b| b.is_ascii_graphic())
+/// Whether a key is valid. It is sent on unchanged, and in a batch as one word of a line, where `-` means no
+/// key.
+fn is_valid_idempotency_key(key: &str) -> bool {
+    key.len() <= MAX_IDEMPOTENCY_KEY_BYTES && key != "-" && key.bytes().all(|b| b.is_ascii_graphic())
 }
 
-/// Digits and nothing else: Rust's own reading lets a sign pass.
-fn read_number(text: &str) -> Option<u64> {
+/// Parses a number that has only digits. `str::parse` would allow a sign.
+fn parse_number(text: &str) -> Option<u64> {
     text.parse().ok().filter(|_| text.bytes().all(|b| b.is_ascii_digit()))
 }
 
-/// Ids are 16 hex digits in small letters, so that they come back unchanged.
-fn read_id(text: &str) -> Option<MessageId> {
-    let fits = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
-    u64::from_str_radix(text, 16).ok().filter(|_| fits).map(MessageId)
+/// Parses an id of 16 lower-case hex digits. This form ensures that it is returned unchanged in notices.
+fn parse_id(text: &str) -> Option<MessageId> {
+    let is_valid = text.len() == 16 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'));
+    u64::from_str_radix(text, 16).ok().filter(|_| is_valid).map(MessageId)
 }
 
 #[cfg(test)]
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -9,8 +9,8 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
 
-/// What connections share, with a folder and nothing else behind it.
-fn behind(folder: &std::path::Path) -> (Rc<Inbound>, UnboundedReceiver<Input>) {
+/// Returns the shared state of connections, with a journal and without any other parts of a sender.
+fn inbound_with_journal(folder: &std::path::Path) -> (Rc<Inbound>, UnboundedReceiver<Input>) {
     let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
     let journal = Rc::new(RefCell::new(crate::state::journal::tests::journal(folder)));
     let (inputs, received) = unbounded_channel();
@@ -23,7 +23,9 @@
         calls: Calls::new(&config, net, journal.clone(), durability.clone(), None, inputs.clone()),
         copies: None,
         durability,
-        terms: Rc::new(RefCell::new(ActiveSettings::new(&config, &BTreeMap::new(), &BTreeSet::new()).0)),
+        active_settings: Rc::new(RefCell::new(
+            ActiveSettings::new(&config, &BTreeMap::new(), &BTreeSet::new()).0,
+        )),
         journal,
         inputs,
         admission: Rc::default(),
@@ -38,14 +40,15 @@
 }
 
 #[test]
-fn the_time_of_a_message_that_waited_in_the_queue_ran_meanwhile() {
-    // Guards against telling its end as much too late. The wait is as long as the message's time, so that
-    // no speed matters: the first of the connection has no time left, and the next one did not wait.
+fn the_time_that_a_message_waited_in_the_accept_queue_counts_towards_its_time_out() {
+    // Guards against reporting the end of a message too late by the time that its connection waited. The wait
+    // is as long as the message's time-out, so the result does not depend on speed: the first message on the
+    // connection has no time left, and the next one did not wait.
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
         let folder = tempfile::tempdir().expect("a folder");
-        let (inbound, _received) = behind(folder.path());
+        let (inbound, _received) = inbound_with_journal(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
         inbound.calls.update_endpoint(EndpointId(1), Some(target));
@@ -54,7 +57,7 @@
             TcpStream::connect(listener.local_addr().expect("its address")).await.expect("a connection");
         let (stream, _) = listener.accept().await.expect("a connection");
         let slot = Rc::new(ConnectionSlot::new(Rc::new(stream), Duration::from_secs(6)));
-        tokio::task::spawn_local(connection(inbound.clone(), slot));
+        tokio::task::spawn_local(serve_connection(inbound.clone(), slot));
         for (id, status) in [("00000000000000a1", "503"), ("00000000000000a2", "202")] {
             let request = format!(
                 "POST /update HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: update\r\n\
@@ -74,47 +77,47 @@
 }
 
 #[test]
-fn a_message_counts_only_once_its_client_can_have_heard() {
-    // Guards against sending what its client, gone before the answer, has handed in elsewhere by now.
+fn a_message_is_passed_on_only_once_its_client_can_have_received_the_answer() {
+    // Guards against sending a message whose client left before the answer and has sent it to another sender.
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
         let folder = tempfile::tempdir().expect("a folder");
-        let (inbound, mut received) = behind(folder.path());
+        let (inbound, mut received) = inbound_with_journal(folder.path());
         let journal = inbound.journal.clone();
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let stream: Rc<dyn Stream> = Rc::new(TcpStream::connect(address).await.expect("a connection"));
-        let receive = || {
+        let new_tracker = || {
             let slot = Rc::new(ConnectionSlot::new(stream.clone(), Duration::ZERO));
-            Rc::new(Receipt { due: RefCell::default(), slot, inbound: inbound.clone() })
+            Rc::new(AckTracker { pending: RefCell::default(), slot, inbound: inbound.clone() })
         };
-        let take = |receipt: &Receipt, id: u64| {
+        let accept = |tracker: &AckTracker, id: u64| {
             let (id, class, tenant, dest) = (MessageId(id), 0, None, DestinationId(3));
             let open = OpenMessage::new("update", "acme", 3, u64::MAX, Bytes::new());
             journal.borrow_mut().accept(id, open).expect("room");
             let accepted = AcceptedMessage { id, class, tenant, dest, again: false };
-            receipt.expect(accepted);
+            tracker.expect(accepted);
         };
-        // The connection ends before anything, or before all of the answer is written.
-        for begun in [false, true] {
-            let receipt = receive();
-            take(&receipt, 1);
-            receipt.on_flush();
-            if begun {
-                receipt.on_write(b"HTTP/1.1 2");
+        // The connection ends before any byte of the answer is written, or before all of it is.
+        for is_begun in [false, true] {
+            let tracker = new_tracker();
+            accept(&tracker, 1);
+            tracker.on_flush();
+            if is_begun {
+                tracker.on_write(b"HTTP/1.1 2");
             }
-            drop(receipt);
+            drop(tracker);
             assert!(journal.borrow().get(MessageId(1)).is_none());
             assert!(matches!(received.try_recv(), Ok(Input::Unacknowledged(MessageId(1)))));
         }
-        // Two requests sent without waiting, and both answers flushed at once: neither is forgotten.
-        let receipt = receive();
-        take(&receipt, 2);
-        take(&receipt, 3);
-        receipt.on_write(b"HTTP/1.1 202 Accepted\r\n\r\nHTTP/1.1 202 Accepted\r\n\r\n");
-        receipt.on_flush();
-        drop(receipt);
+        // Two requests are pipelined, and both answers are flushed at once. Both messages are passed on.
+        let tracker = new_tracker();
+        accept(&tracker, 2);
+        accept(&tracker, 3);
+        tracker.on_write(b"HTTP/1.1 202 Accepted\r\n\r\nHTTP/1.1 202 Accepted\r\n\r\n");
+        tracker.on_flush();
+        drop(tracker);
         for id in [2, 3] {
             assert!(journal.borrow().get(MessageId(id)).is_some());
             assert!(matches!(received.try_recv(), Ok(Input::Acknowledged(m)) if m.id == MessageId(id)));
@@ -122,13 +125,13 @@
     });
 }
 
-/// A connection that always looks as if nothing had come on it: what came did so right after the look.
-struct Crossed {
+/// A connection that always reports that nothing has arrived, as if bytes arrived right after each check.
+struct AlwaysQuiet {
     stream: TcpStream,
     was_read: Rc<Cell<bool>>,
 }
 
-impl Stream for Crossed {
+impl Stream for AlwaysQuiet {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
         self.stream.poll_read_ready(cx)
     }
@@ -160,14 +163,14 @@
 }
 
 #[test]
-fn a_request_that_crosses_the_end_of_its_connection_is_not_sent_on() {
+fn a_request_that_crosses_the_end_of_its_connection_is_passed_on_only_if_answered_202() {
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
-        // Its place is wanted by another client; or the process is told to end its connections.
-        for wanted in [true, false] {
+        // The connection is evicted for another client, or the process closes its connections.
+        for is_evicted in [true, false] {
             let folder = tempfile::tempdir().expect("a folder");
-            let (inbound, mut received) = behind(folder.path());
+            let (inbound, mut received) = inbound_with_journal(folder.path());
             let address = "127.0.0.1:4".parse().expect("an address");
             let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
             inbound.calls.update_endpoint(EndpointId(1), Some(target));
@@ -180,42 +183,42 @@
                            X-Timeout-Ms: 6000\r\nX-Envelope: dest=3\r\n\
                            Content-Length: 1\r\n\r\nb";
             client.write_all(request.as_bytes()).await.expect("written");
-            poll_fn(|cx| stream.poll_read_ready(cx)).await.expect("it has come, and nobody has read it");
+            poll_fn(|cx| stream.poll_read_ready(cx)).await.expect("it has arrived unread");
             let was_read = Rc::new(Cell::new(false));
-            let stream = Rc::new(Crossed { stream, was_read: was_read.clone() });
+            let stream = Rc::new(AlwaysQuiet { stream, was_read: was_read.clone() });
             let slot = Rc::new(ConnectionSlot::new(stream, Duration::ZERO));
             let connections = ConnectionTable::default();
-            connections.take(&slot);
-            if wanted {
+            connections.insert(&slot);
+            if is_evicted {
                 tokio::time::sleep(Duration::from_millis(60)).await;
-                connections.free(1).await;
+                connections.wait_for_slot(1).await;
             } else {
                 inbound.admission.close_signal.set();
             }
-            // Nobody else holds it: it is closed with its task.
-            let (behind, ended) = (inbound.clone(), slot);
+            // The slot moves into the task, so that an evicted connection closes when the task ends.
+            let (shared, slot) = (inbound.clone(), slot);
             let served = tokio::task::spawn_local(async move {
-                connection(behind, ended.clone()).await;
-                ended.end().await;
+                serve_connection(shared, slot.clone()).await;
+                slot.close_gracefully().await;
             });
-            let mut said = Vec::new();
-            let _ = client.read_to_end(&mut said).await;
+            let mut answer = Vec::new();
+            let _ = client.read_to_end(&mut answer).await;
             drop(client);
             served.await.expect("it ended");
-            let said = String::from_utf8(said).expect("text");
-            let taken = matches!(received.try_recv(), Ok(Input::Acknowledged(..)));
-            // Promised or not: what is sent on has been promised, and what was not promised is forgotten.
-            assert_eq!(taken, said.starts_with("HTTP/1.1 202"), "{said}");
-            assert_eq!(inbound.journal.borrow().get(MessageId(0xa1)).is_some(), taken);
-            assert!(!(wanted && taken), "its place was gone before it was read");
-            assert!(!(wanted && was_read.get()), "what was read and gets no answer is lost");
-            assert!(wanted || !was_read.get() || !said.is_empty(), "read, and not answered");
+            let answer = String::from_utf8(answer).expect("text");
+            let is_accepted = matches!(received.try_recv(), Ok(Input::Acknowledged(..)));
+            // The message is passed on and recorded exactly if it was promised.
+            assert_eq!(is_accepted, answer.starts_with("HTTP/1.1 202"), "{answer}");
+            assert_eq!(inbound.journal.borrow().get(MessageId(0xa1)).is_some(), is_accepted);
+            assert!(!(is_evicted && is_accepted), "the connection was evicted before the request was read");
+            assert!(!(is_evicted && was_read.get()), "a request that is read and not answered is lost");
+            assert!(is_evicted || !was_read.get() || !answer.is_empty(), "read, and not answered");
         }
     });
 }
 
-/// Hands a message in that has so many milliseconds, and gives the status.
-async fn hand_in(client: &mut TcpStream, id: &str, milliseconds: u64) -> String {
+/// Sends a message with this time-out and returns the status of the answer.
+async fn send_message(client: &mut TcpStream, id: &str, milliseconds: u64) -> String {
     let request = format!(
         "POST /update HTTP/1.1\r\nX-Request-ID: {id}\r\nX-Priority-Class: update\r\nX-Tenant-Id: acme\r\n\
          X-Timeout-Ms: {milliseconds}\r\nX-Envelope: dest=3\r\nContent-Length: 1\r\n\r\nb"
@@ -227,31 +230,30 @@
 }
 
 #[test]
-fn who_waited_at_the_platforms_socket_before_the_process_came_is_not_taken_for_just_come() {
-    // What clients saw: a message that waited while a process started was ended up to 0.4 s too late. Why:
-    // the runtime answers "nobody" until its event loop has looked at a socket, and that was taken for an
-    // empty queue.
+fn a_connection_that_waited_while_the_process_started_is_not_treated_as_new() {
+    // Guards against ending a message that waited while a process started up to 0.4 s too late. The runtime
+    // reports no connection until its event loop has polled a socket, which looks like an empty accept queue.
     let local = tokio::task::LocalSet::new();
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
     local.block_on(&runtime, async {
         let folder = tempfile::tempdir().expect("a folder");
-        let (inbound, _received) = behind(folder.path());
+        let (inbound, _received) = inbound_with_journal(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
         let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
         inbound.calls.update_endpoint(EndpointId(1), Some(target));
-        // The platform's socket: it was there before this process.
-        let held = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
-        let place = held.local_addr().expect("its address");
-        let waited = std::net::TcpStream::connect(place).expect("a connection");
+        // The platform's socket exists before this process.
+        let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
+        let address = socket.local_addr().expect("its address");
+        let waited = std::net::TcpStream::connect(address).expect("a connection");
         waited.set_nonblocking(true).expect("an option");
-        held.set_nonblocking(true).expect("an option");
-        let listener = TcpListener::from_std(held).expect("it listens");
+        socket.set_nonblocking(true).expect("an option");
+        let listener = TcpListener::from_std(socket).expect("it listens");
         tokio::task::spawn_local(serve(inbound.clone(), Rc::new(listener)));
         let mut waited = TcpStream::from_std(waited).expect("a connection");
         // It may have waited for as long as a client waits.
-        assert_eq!(hand_in(&mut waited, "00000000000000a1", 350).await, "503");
+        assert_eq!(send_message(&mut waited, "00000000000000a1", 350).await, "503");
         tokio::time::sleep(Duration::from_millis(50)).await;
-        let mut fresh = TcpStream::connect(place).await.expect("a connection");
-        assert_eq!(hand_in(&mut fresh, "00000000000000a2", 350).await, "202", "it has just come");
+        let mut new = TcpStream::connect(address).await.expect("a connection");
+        assert_eq!(send_message(&mut new, "00000000000000a2", 350).await, "202", "it has just connected");
     });
 }
--- a/crates/daemon/src/clients/request_counter.rs
+++ b/crates/daemon/src/clients/request_counter.rs
@@ -1,48 +1,48 @@
-//! Counts the requests on a client's connection, beside the HTTP library: what it has read and not served yet
-//! still stands in its buffer, and a connection that ends meanwhile loses it.
+//! Counts the requests on a client's connection, independently of the HTTP library. Requests that the library
+//! has read and not served yet are in its buffer, and would be lost if the connection ended.
 //!
-//! Only boundaries are looked for: the blank line that ends a head, and the length of the body behind it.
-//! Heads that are malformed are the library's to refuse; it ends the connection with its answer.
+//! Only boundaries are parsed: the blank line that ends a head, and the length of the body after it.
+//! Malformed heads are left to the library, which refuses them and ends the connection with its answer.
 
-const LENGTH: &[u8] = b"content-length:";
-/// What is kept of a line of a head: more than a length takes.
-const LINE: usize = 64;
+const CONTENT_LENGTH: &[u8] = b"content-length:";
+/// The number of bytes kept of a line of a head, which is more than a length takes.
+const MAX_LINE_BYTES: usize = 64;
 
-/// The requests that have come on a connection.
+/// The requests that have arrived on a connection.
 #[derive(Debug, Default)]
 pub struct RequestCounter {
     begun: u64,
     served: u64,
-    at: Place,
+    position: Position,
 }
 
 /// What the next byte belongs to.
 #[derive(Debug, Default)]
-enum Place {
+enum Position {
     /// The next request.
     #[default]
     Between,
-    /// A head: the line that is being read, in small letters, and the body's length as far as it was told.
+    /// A head: the current line in lower case, and the length of the body as far as it is known.
     Head { line: Vec<u8>, length: usize },
-    /// A body of which so many bytes are missing.
+    /// A body, with the number of bytes still missing.
     Body(usize),
 }
 
 impl RequestCounter {
-    /// These bytes have been read.
+    /// Processes bytes that were read from the connection.
     pub fn read(&mut self, mut bytes: &[u8]) {
         while let Some((&byte, rest)) = bytes.split_first() {
-            match &mut self.at {
-                // Blank lines before a request are passed over.
-                Place::Between if matches!(byte, b'\r' | b'\n') => bytes = rest,
-                Place::Between => {
+            match &mut self.position {
+                // Blank lines before a request are skipped.
+                Position::Between if matches!(byte, b'\r' | b'\n') => bytes = rest,
+                Position::Between => {
                     self.begun += 1;
-                    self.at = Place::Head { line: Vec::new(), length: 0 };
+                    self.position = Position::Head { line: Vec::new(), length: 0 };
                 }
-                Place::Head { line, length } => {
+                Position::Head { line, length } => {
                     bytes = rest;
                     if byte != b'\n' {
-                        if line.len() < LINE {
+                        if line.len() < MAX_LINE_BYTES {
                             line.push(byte.to_ascii_lowercase());
                         }
                         continue;
@@ -50,33 +50,34 @@
                     let text = line.trim_ascii();
                     if text.is_empty() {
                         let length = *length;
-                        self.at = if length > 0 { Place::Body(length) } else { Place::Between };
+                        self.position = if length > 0 { Position::Body(length) } else { Position::Between };
                         continue;
                     }
-                    if let Some(told) = text.strip_prefix(LENGTH) {
-                        let told = std::str::from_utf8(told).ok().and_then(|told| told.trim().parse().ok());
-                        *length = told.unwrap_or(0);
+                    if let Some(value) = text.strip_prefix(CONTENT_LENGTH) {
+                        let value =
+                            std::str::from_utf8(value).ok().and_then(|value| value.trim().parse().ok());
+                        *length = value.unwrap_or(0);
                     }
                     line.clear();
                 }
-                Place::Body(left) => {
-                    let passed = rest.len().min(*left - 1) + 1;
-                    bytes = &bytes[passed..];
-                    *left -= passed;
-                    if *left == 0 {
-                        self.at = Place::Between;
+                Position::Body(remaining) => {
+                    let consumed = rest.len().min(*remaining - 1) + 1;
+                    bytes = &bytes[consumed..];
+                    *remaining -= consumed;
+                    if *remaining == 0 {
+                        self.position = Position::Between;
                     }
                 }
             }
         }
     }
 
-    /// The library has handed on the next of them.
-    pub fn serve(&mut self) {
+    /// Records that the library has passed on the next request.
+    pub fn record_served(&mut self) {
         self.served += 1;
     }
 
-    /// Some of what was read has not been handed on: whole requests, or the begin of one.
+    /// Whether requests that the library has not passed on were read, completely or in part.
     pub fn has_unserved(&self) -> bool {
         self.begun > self.served
     }
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -360,7 +360,7 @@
             max_connections: crate::clients::inbound::max_connections(&config),
             max_body_bytes: crate::clients::inbound::max_body_bytes(&config),
             body_bytes: Cell::new(0),
-            terms,
+            active_settings: terms,
             journal: journal.clone(),
             durability: durability.clone(),
             copies: copies.clone(),
