--- a/crates/daemon/src/platform.rs
+++ b/crates/daemon/src/platform.rs
@@ -1,4 +1,4 @@
-//! What the platform and other senders tell, and what they are told.
+//! Communication with the platform and with other senders.
 
 pub mod discovery;
 pub mod note_sender;
--- a/crates/daemon/src/platform/discovery.rs
+++ b/crates/daemon/src/platform/discovery.rs
@@ -1,9 +1,10 @@
-//! The watch on the list of endpoints. When to watch again after a failure is the module's decision.
+//! The watch on the list of endpoints. The decision module decides when to retry after a failure.
 //!
-//! A change counts as told 6 s after the service had it and could be reached, whatever failed before. Of
-//! that, finding out that a watch is silent takes [`SILENCE`], after which the next one begins at once. An
-//! attempt that began before the service could be reached takes [`ANSWER`], and the module's rest after it
-//! as much at most. Either way the attempt that succeeds begins a second before at the latest.
+//! A change has to be known at most 6 s after the list service had it and was reachable, regardless of
+//! earlier failures. Of that time, [`SILENCE_TIMEOUT`] passes until a silent watch is detected, and the next
+//! one begins at once. An attempt that began before the service was reachable takes up to [`ANSWER_TIMEOUT`],
+//! and the decision module's delay after it takes at most as long. In both cases the attempt that succeeds
+//! begins at least a second before the 6 s are over.
 
 use crate::endpoint_list::EndpointList;
 use crate::input::Input;
@@ -25,32 +26,36 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// A heartbeat comes every 2 s; this is a little for the way. Only whole values and heartbeats count: bytes
-/// that complete nothing keep no watch alive.
-const SILENCE: Duration = Duration::from_millis(2_600);
-/// After a value that could not be read the watch is begun anew, from before that value: what stood in it
-/// counts as told after 6 s. Until then sound values behind it are read, and a service whose values are never
-/// sound is not asked more often.
-const REREAD: Duration = Duration::from_secs(2);
-/// An attempt has brought an answer's head by then, or it failed. Connecting has its part of that: nothing is
-/// heard of a connection over a cut, also once that is over.
-const ANSWER: Duration = Duration::from_millis(2_500);
-const CONNECTING: Duration = Duration::from_millis(1_500);
-
-/// A watch that this side could not begin is tried again after this: that asks nothing of the service.
-const LOCAL_REST: Duration = Duration::from_millis(100);
-
+/// The time without a heartbeat or a complete value after which a watch counts as silent. A heartbeat comes
+/// every 2 s, and the rest allows for the network. Bytes that complete nothing do not keep a watch alive.
+const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_600);
+/// The time after a malformed value until a new watch begins from before that value, whose content has to be
+/// known after 6 s. Until then valid values after it are read, and a service whose values are never valid is
+/// not asked more often.
+const REREAD_DELAY: Duration = Duration::from_secs(2);
+/// The time-out from the start of an attempt until the head of the answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
+/// The part of it for connecting. A connection that was attempted during a network partition reports nothing,
+/// not even after the partition has ended.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
+
+/// The delay before a retry if this machine could not make the connection. Such a retry costs the service
+/// nothing.
+const LOCAL_RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Watches the list of endpoints and sends its changes as inputs.
 pub struct Discovery {
     net: Rc<dyn Network>,
     address: Cell<SocketAddr>,
     revision: Rc<Cell<u64>>,
     inputs: UnboundedSender<Input>,
     watch: RefCell<Option<AbortHandle>>,
-    /// The number of the watch in force: the end of one before it means nothing any more.
+    /// The number of the current watch. The end of an earlier one has no meaning any more.
     number: Cell<u64>,
 }
 
 impl Discovery {
+    /// Creates the watcher. It begins no watch yet. `revision` is the one of the last known list.
     pub fn new(
         address: SocketAddr,
         revision: u64,
@@ -61,47 +66,48 @@
         Self { net, address, revision, inputs, watch: RefCell::default(), number: Cell::new(0) }
     }
 
-    /// The list is kept elsewhere from now on. The watch begins there at once: what it tells counts as told
-    /// a few seconds later, and the old place ends its connections in its own time.
+    /// Changes the address of the list service and begins a watch there at once. A change there has to be
+    /// known within a few seconds, and the old service may keep its connections open for longer.
     pub fn relocate(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
             self.watch();
         }
     }
 
-    /// What the list was read up to.
+    /// Returns the revision up to which the list was read.
     pub fn revision(&self) -> u64 {
         self.revision.get()
     }
 
-    /// Ends the watch: another process has one.
+    /// Ends the watch, because another process has one.
     pub fn stop(&self) {
         if let Some(old) = self.watch.borrow_mut().take() {
             old.abort();
         }
     }
 
-    /// Begins a watch in place of the one before.
+    /// Begins a watch and ends the previous one.
     pub fn watch(&self) {
         let (address, revision, inputs) = (self.address.get(), self.revision.clone(), self.inputs.clone());
         let net = self.net.clone();
         let number = self.number.get() + 1;
         self.number.set(number);
         let task = tokio::task::spawn_local(async move {
-            let trouble = RateLimitedWarning::default();
+            let local_warning = RateLimitedWarning::default();
             loop {
                 let ended = follow(&*net, address, &revision, &inputs).await;
                 match ended {
-                    // What it missed is due: the next one begins at once.
-                    Ok(Silent) => tracing::warn!(
-                        "discovery: the watch fell silent, or a value was spoilt; watching anew"
-                    ),
-                    Err(Failure::Local(why)) => {
-                        trouble.warn(&format_args!("discovery: a connection cannot be made here: {why}"));
-                        sleep(LOCAL_REST).await;
+                    // Missed changes have to be known soon, so the next watch begins at once.
+                    Ok(Interrupted) => {
+                        tracing::warn!("discovery: watch restarted after silence or a malformed value")
+                    }
+                    Err(Failure::Local(error)) => {
+                        local_warning
+                            .warn(&format_args!("discovery: this machine cannot open a connection: {error}"));
+                        sleep(LOCAL_RETRY_DELAY).await;
                     }
-                    Err(Failure::Watch(why)) => {
-                        tracing::warn!("discovery: {why}");
+                    Err(Failure::Watch(error)) => {
+                        tracing::warn!("discovery: the watch failed: {error}");
                         break;
                     }
                 }
@@ -113,93 +119,101 @@
         }
     }
 
-    /// Whether this is the watch in force.
+    /// Whether this is the number of the current watch.
     pub fn is_current(&self, number: u64) -> bool {
         self.number.get() == number
     }
 }
 
-/// Why there is no watch.
+/// Why a watch failed.
 enum Failure {
-    /// This machine has no socket, port or route for its connection just now.
+    /// This machine has no socket, port or route for a connection at present.
     Local(io::Error),
-    /// The service refused it, did not answer, or ended it.
+    /// The service refused the watch, did not answer, or ended it.
     Watch(Box<dyn std::error::Error>),
 }
 
 impl<E: Into<Box<dyn std::error::Error>>> From<E> for Failure {
-    fn from(why: E) -> Self {
-        Self::Watch(why.into())
+    fn from(error: E) -> Self {
+        Self::Watch(error.into())
     }
 }
 
-/// A watch that had begun brought nothing for too long, or something that could not be read.
-struct Silent;
+/// A running watch was silent for too long, or sent a value that could not be read.
+struct Interrupted;
 
+/// Runs one watch until it ends.
 async fn follow(
     net: &dyn Network,
     address: SocketAddr,
     revision: &Cell<u64>,
     inputs: &UnboundedSender<Input>,
-) -> Result<Silent, Failure> {
+) -> Result<Interrupted, Failure> {
     let begun = Instant::now();
-    let stream = timeout(CONNECTING, net.connect(address)).await?;
-    let stream = stream.map_err(|why| if is_local_error(&why) { Failure::Local(why) } else { why.into() })?;
-    let _ = stream.set_nodelay(); // Without it small writes wait, and still arrive.
+    let stream = timeout(CONNECT_TIMEOUT, net.connect(address)).await?;
+    let stream =
+        stream.map_err(|error| if is_local_error(&error) { Failure::Local(error) } else { error.into() })?;
+    let _ = stream.set_nodelay(); // If it fails, small writes are delayed, but still arrive.
     let (mut sender, driver) = http1::handshake(ObservedStream::new(stream, ())).await?;
     let driver = tokio::task::spawn_local(driver);
-    let _closed_with_the_watch = AbortOnDrop(driver.abort_handle());
+    let _closes_connection = AbortOnDrop(driver.abort_handle());
     let request = Request::get(format!("/discovery/hosts?stream=1&index={}", revision.get()))
         .header(HOST, address.to_string())
         .body(Empty::<Bytes>::new())?;
-    let response = timeout_at(begun + ANSWER, sender.send_request(request)).await??;
+    let response = timeout_at(begun + ANSWER_TIMEOUT, sender.send_request(request)).await??;
     if response.status() != 200 {
-        return Err(format!("a watch was answered {}", response.status()).into());
+        return Err(format!("the service answered with status {}", response.status()).into());
     }
     let mut body = response.into_body();
-    let (mut values, mut pieces) = (WatchParser::default(), Vec::new());
-    let mut alive = Instant::now();
-    // What is known by this watch, and since when a value of it is missing: the next watch has to begin
-    // before.
-    let (mut known, mut missing) = (revision.get(), None::<Instant>);
+    let (mut parser, mut items) = (WatchParser::default(), Vec::new());
+    let mut last_received = Instant::now();
+    // The revision that this watch has reached, and since when a value of it is missing. The next watch has
+    // to begin before the missing value.
+    let (mut known, mut missing_since) = (revision.get(), None::<Instant>);
     loop {
-        let until = missing.map_or(alive + SILENCE, |since| (alive + SILENCE).min(since + REREAD));
-        let Ok(frame) = timeout_at(until, body.frame()).await else { return Ok(Silent) };
-        let Ok(data) = frame.ok_or("the watch ended")??.into_data() else { continue };
-        if missing.is_some_and(|since| since.elapsed() >= REREAD) {
-            return Ok(Silent);
+        let until = missing_since.map_or(last_received + SILENCE_TIMEOUT, |since| {
+            (last_received + SILENCE_TIMEOUT).min(since + REREAD_DELAY)
+        });
+        let Ok(frame) = timeout_at(until, body.frame()).await else { return Ok(Interrupted) };
+        let Ok(data) = frame.ok_or("the service ended it")??.into_data() else { continue };
+        if missing_since.is_some_and(|since| since.elapsed() >= REREAD_DELAY) {
+            return Ok(Interrupted);
         }
-        let cut = values.push(&data, &mut pieces);
-        for piece in pieces.drain(..) {
-            let news = match piece {
-                WatchItem::List(news) if !news.complete && news.revision < known => {
-                    tracing::warn!("discovery: changes of {}, which is known", news.revision);
+        let parsed = parser.push(&data, &mut items);
+        for item in items.drain(..) {
+            let listing = match item {
+                WatchItem::List(listing) if !listing.complete && listing.revision < known => {
+                    tracing::warn!(
+                        "discovery: changes of revision {} ignored, which is already known",
+                        listing.revision
+                    );
                     continue;
                 }
-                WatchItem::List(news) => news,
-                // Also an empty line answers the watch.
+                WatchItem::List(listing) => listing,
+                // An empty line confirms that nothing has changed.
                 WatchItem::Heartbeat => EndpointList { revision: known, ..EndpointList::default() },
-                // The values after it may well be sound.
-                WatchItem::Spoilt(why) => {
-                    tracing::warn!("discovery: a value: {why}; what it told is asked for again");
-                    missing.get_or_insert_with(Instant::now);
+                // The values after a malformed one may be valid.
+                WatchItem::Malformed(error) => {
+                    tracing::warn!("discovery: malformed value: {error}; its content is requested again");
+                    missing_since.get_or_insert_with(Instant::now);
                     continue;
                 }
             };
-            alive = Instant::now();
-            known = news.revision;
-            if news.complete {
-                missing = None;
+            last_received = Instant::now();
+            known = listing.revision;
+            if listing.complete {
+                missing_since = None;
             }
-            if missing.is_none() {
+            if missing_since.is_none() {
                 revision.set(known);
             }
-            let _ = inputs.send(Input::ListUpdate(news));
+            let _ = inputs.send(Input::ListUpdate(listing));
         }
-        cut?;
+        parsed?;
     }
 }
 
+/// Aborts a task on drop.
 struct AbortOnDrop(AbortHandle);
 
 impl Drop for AbortOnDrop {
--- a/crates/daemon/src/platform/note_sender.rs
+++ b/crates/daemon/src/platform/note_sender.rs
@@ -1,12 +1,13 @@
-//! Where notes to other senders go out, whoever writes them.
+//! Sends notes to other senders, for all parts of this sender.
 
 use notchpoint_seam::DatagramSocket;
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// A longer datagram is not allowed.
+/// The longest note. The platform does not allow longer datagrams.
 pub const MAX_NOTE_BYTES: usize = 256;
 
+/// Sends notes as datagrams.
 pub struct NoteSender {
     socket: Rc<dyn DatagramSocket>,
     peers: Vec<SocketAddr>,
@@ -14,11 +15,12 @@
 }
 
 impl NoteSender {
+    /// Creates a sender of notes to single peers, and to all peers at the address `all`.
     pub fn new(socket: Rc<dyn DatagramSocket>, peers: Vec<SocketAddr>, all: Option<SocketAddr>) -> Self {
         Self { socket, peers, all }
     }
 
-    /// A note may be lost, so failing to send one is no matter.
+    /// Sends a note to the peer with this number, or to all peers. Notes may be lost, so errors are ignored.
     pub fn send(&self, to: Option<u32>, body: &[u8]) {
         let to = to.map_or(self.all, |n| self.peers.get(n as usize).copied());
         if let Some(to) = to.filter(|_| body.len() <= MAX_NOTE_BYTES) {
--- a/crates/daemon/src/platform/notice_scheduler.rs
+++ b/crates/daemon/src/platform/notice_scheduler.rs
@@ -1,155 +1,174 @@
-//! When owed notices are told, and told again: decisions only, without sockets or clock.
+//! Decides when notices are posted and reposted. This module uses no sockets and reads no clock.
 //!
-//! A notice must be told 300 ms after its message's time is up at the latest. One connection that has fallen
-//! silent may cost no more than a part of that, so what is owed is told again on a second connection well
-//! before. Told twice a notice does no harm.
+//! A notice must be delivered at most 300 ms after its message's time is up. A single connection that stops
+//! answering must take only a part of that, so pending notices are posted again on a second connection well
+//! before. A notice that is delivered twice does no harm.
 
 use crate::state::record::Verdict;
 use notchpoint_policy::MessageId;
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-/// A post without an answer for so long is doubted, and what it tells is told on another connection as well.
-/// Notices are answered at once; the time doubles with each post that is doubted in a row.
-const DOUBT_FIRST: Duration = Duration::from_millis(40);
-const DOUBT_MOST: Duration = Duration::from_millis(640);
-/// A platform that is far away is doubted after so many times its usual answer, and this at most.
-const DOUBT_TIMES: u32 = 3;
-const DOUBT_FAR: Duration = Duration::from_millis(120);
-/// A post that failed is tried again after this, doubling.
-const AGAIN_FIRST: Duration = Duration::from_millis(10);
-const AGAIN_MOST: Duration = Duration::from_millis(200);
-/// Posts under way at once: the oldest gives way. Together with the doubled times one lasts seconds.
-const POSTS: usize = 6;
-/// Notices in one post: it stays well under 64 KiB.
-const MOST: usize = 500;
+/// The time without an answer after which the notices of a post are posted again, on another connection. The
+/// platform answers at once. The time doubles with each consecutive post that is repeated.
+const REPOST_DELAY_MIN: Duration = Duration::from_millis(40);
+const REPOST_DELAY_MAX: Duration = Duration::from_millis(640);
+/// For a distant platform the time before doubling is this multiple of the usual response time, up to a
+/// limit.
+const REPOST_RESPONSE_TIMES: u32 = 3;
+const REPOST_DELAY_DISTANT_MAX: Duration = Duration::from_millis(120);
+/// The delay before the retry of a failed post. It doubles with each consecutive failure.
+const RETRY_DELAY_MIN: Duration = Duration::from_millis(10);
+const RETRY_DELAY_MAX: Duration = Duration::from_millis(200);
+/// The largest number of posts under way. A further one replaces the oldest. Since the time between posts
+/// doubles, a post still has seconds for its answer.
+const MAX_POSTS: usize = 6;
+/// The largest number of notices in one post, which keeps it well under 64 KiB.
+const MAX_NOTICES_PER_POST: usize = 500;
 
-/// A moment, counted from the start of the process.
-pub type Moment = Duration;
+/// A time since the start of the process.
+pub type Time = Duration;
 
+/// A notice that the platform has not confirmed.
 #[derive(Debug)]
-struct Owed {
+struct PendingNotice {
     id: MessageId,
     verdict: Verdict,
-    since: Moment,
-    /// Not told (again) before.
-    due: Moment,
+    since: Time,
+    /// The earliest time of its next post.
+    due: Time,
 }
 
+/// A post under way.
 #[derive(Debug)]
 struct Post {
     ids: Vec<MessageId>,
-    started: Moment,
+    started: Time,
 }
 
 /// A post to be made now.
 #[derive(Debug, PartialEq, Eq)]
-pub struct Start {
+pub struct PostRequest {
     pub post: u64,
     pub notices: Vec<(MessageId, Verdict)>,
-    /// On a connection of its own: the last one is in doubt.
-    pub fresh: bool,
-    /// A post that is given up for it.
-    pub drop: Option<u64>,
+    /// Whether the post needs a new connection, because the previous one may not answer any more.
+    pub needs_new_connection: bool,
+    /// The number of an earlier post that is abandoned for this one.
+    pub abandoned: Option<u64>,
 }
 
-/// What is owed, and the posts under way.
+/// The pending notices, and the posts under way.
 #[derive(Debug)]
 pub struct NoticeScheduler {
-    owed: VecDeque<Owed>,
+    pending: VecDeque<PendingNotice>,
     posts: BTreeMap<u64, Post>,
-    next: u64,
-    /// Not before this moment is the next post made while others are under way or failed.
-    not_before: Moment,
-    doubted: u32,
-    failed: u32,
-    /// What an answer takes, smoothed.
-    usual: Duration,
+    next_post: u64,
+    /// The earliest time of the next post while others are under way or have failed.
+    not_before: Time,
+    consecutive_reposts: u32,
+    consecutive_failures: u32,
+    /// The response time, smoothed.
+    response_time: Duration,
 }
 
 impl Default for NoticeScheduler {
     fn default() -> Self {
-        let (owed, posts) = Default::default();
-        Self { owed, posts, next: 0, not_before: Moment::ZERO, doubted: 0, failed: 0, usual: Duration::ZERO }
+        let (pending, posts) = Default::default();
+        Self {
+            pending,
+            posts,
+            next_post: 0,
+            not_before: Time::ZERO,
+            consecutive_reposts: 0,
+            consecutive_failures: 0,
+            response_time: Duration::ZERO,
+        }
     }
 }
 
 impl NoticeScheduler {
-    pub fn push(&mut self, id: MessageId, verdict: Verdict, now: Moment) {
-        self.owed.push_back(Owed { id, verdict, since: now, due: now });
+    /// Adds a notice, which is due at once.
+    pub fn push(&mut self, id: MessageId, verdict: Verdict, now: Time) {
+        self.pending.push_back(PendingNotice { id, verdict, since: now, due: now });
     }
 
+    /// Whether no notice is pending.
     pub fn is_empty(&self) -> bool {
-        self.owed.is_empty()
+        self.pending.is_empty()
     }
 
-    /// The age of the notice owed longest.
-    pub fn age(&self, now: Moment) -> Duration {
-        self.owed.front().map_or(Duration::ZERO, |o| now.saturating_sub(o.since))
+    /// Returns the age of the oldest pending notice.
+    pub fn oldest_age(&self, now: Time) -> Duration {
+        self.pending.front().map_or(Duration::ZERO, |n| now.saturating_sub(n.since))
     }
 
-    fn doubt(&self) -> Duration {
-        let first = (self.usual * DOUBT_TIMES).clamp(DOUBT_FIRST, DOUBT_FAR);
-        (first * (1 << self.doubted.min(8))).min(DOUBT_MOST)
+    fn repost_delay(&self) -> Duration {
+        let first =
+            (self.response_time * REPOST_RESPONSE_TIMES).clamp(REPOST_DELAY_MIN, REPOST_DELAY_DISTANT_MAX);
+        (first * (1 << self.consecutive_reposts.min(8))).min(REPOST_DELAY_MAX)
     }
 
-    /// The post to be made now, if one is.
-    pub fn start(&mut self, now: Moment) -> Option<Start> {
-        if now < self.not_before || !self.owed.iter().any(|o| o.due <= now) {
+    /// Returns the post to be made now, if any.
+    pub fn next_post(&mut self, now: Time) -> Option<PostRequest> {
+        if now < self.not_before || !self.pending.iter().any(|n| n.due <= now) {
             return None;
         }
-        let fresh = !self.posts.is_empty();
-        let drop = (self.posts.len() >= POSTS).then(|| self.posts.pop_first()).flatten().map(|p| p.0);
-        // What is under way and in doubt was told before this and is told again with it.
-        let doubt = self.doubt();
-        let batch = self.owed.iter_mut().filter(|o| o.due <= now).take(MOST);
+        let needs_new_connection = !self.posts.is_empty();
+        let abandoned =
+            (self.posts.len() >= MAX_POSTS).then(|| self.posts.pop_first()).flatten().map(|p| p.0);
+        // Notices of posts without an answer are due again, and so a part of this post.
+        let delay = self.repost_delay();
+        let batch = self.pending.iter_mut().filter(|n| n.due <= now).take(MAX_NOTICES_PER_POST);
         let notices: Vec<_> = batch
-            .map(|o| {
-                o.due = now + doubt;
-                (o.id, o.verdict)
+            .map(|n| {
+                n.due = now + delay;
+                (n.id, n.verdict)
             })
             .collect();
-        self.doubted = if fresh { self.doubted + 1 } else { 0 };
-        self.not_before = now + doubt;
-        let post = self.next;
-        self.next += 1;
+        self.consecutive_reposts = if needs_new_connection { self.consecutive_reposts + 1 } else { 0 };
+        self.not_before = now + delay;
+        let post = self.next_post;
+        self.next_post += 1;
         self.posts.insert(post, Post { ids: notices.iter().map(|n| n.0).collect(), started: now });
-        Some(Start { post, notices, fresh, drop })
+        Some(PostRequest { post, notices, needs_new_connection, abandoned })
     }
 
-    /// A post was taken; gives the messages for which nothing is owed any more.
-    pub fn answered(&mut self, post: u64, now: Moment) -> Vec<MessageId> {
+    /// Records that the platform confirmed a post. Returns the messages whose notices are now delivered.
+    pub fn record_confirmed(&mut self, post: u64, now: Time) -> Vec<MessageId> {
         let Some(p) = self.posts.remove(&post) else { return Vec::new() };
         let took = now.saturating_sub(p.started);
-        self.usual = if self.usual.is_zero() { took } else { (self.usual * 7 + took) / 8 };
-        (self.doubted, self.failed) = (0, 0);
+        self.response_time =
+            if self.response_time.is_zero() { took } else { (self.response_time * 7 + took) / 8 };
+        (self.consecutive_reposts, self.consecutive_failures) = (0, 0);
         self.not_before = now;
-        self.owed.retain(|o| !p.ids.contains(&o.id));
-        // Those that an earlier post tells are not in doubt on account of this one: they keep their time.
+        self.pending.retain(|n| !p.ids.contains(&n.id));
+        // Notices of earlier posts keep their due time, since this answer says nothing about those posts.
         p.ids
     }
 
-    /// A post failed: what it told is due again soon, on another connection.
-    pub fn failed(&mut self, post: u64, now: Moment) {
+    /// Records that a post failed. Its notices are due again soon, on another connection.
+    pub fn record_failed(&mut self, post: u64, now: Time) {
         let Some(p) = self.posts.remove(&post) else { return };
-        let again = (AGAIN_FIRST * (1 << self.failed.min(8))).min(AGAIN_MOST);
-        self.failed += 1;
-        self.not_before = now + again;
-        for o in self.owed.iter_mut().filter(|o| p.ids.contains(&o.id)) {
-            o.due = o.due.min(now + again);
+        let delay = (RETRY_DELAY_MIN * (1 << self.consecutive_failures.min(8))).min(RETRY_DELAY_MAX);
+        self.consecutive_failures += 1;
+        self.not_before = now + delay;
+        for n in self.pending.iter_mut().filter(|n| p.ids.contains(&n.id)) {
+            n.due = n.due.min(now + delay);
         }
     }
 
-    /// Notices go elsewhere from now on, all of them at once. Gives the posts that are given up.
-    pub fn relocated(&mut self, now: Moment) -> Vec<u64> {
-        (self.doubted, self.failed, self.not_before, self.usual) = (0, 0, now, Duration::ZERO);
-        self.owed.iter_mut().for_each(|o| o.due = now);
+    /// Makes all notices due at once, since the address of the platform has changed. Returns the posts that
+    /// are abandoned.
+    pub fn relocate(&mut self, now: Time) -> Vec<u64> {
+        (self.consecutive_reposts, self.consecutive_failures, self.not_before, self.response_time) =
+            (0, 0, now, Duration::ZERO);
+        self.pending.iter_mut().for_each(|n| n.due = now);
         std::mem::take(&mut self.posts).into_keys().collect()
     }
 
-    /// When [`Self::start`] is to be asked next, if nothing happens.
-    pub fn wake(&self) -> Option<Moment> {
-        self.owed.iter().map(|o| o.due).min().map(|due| due.max(self.not_before))
+    /// Returns when to call [`Self::next_post`] again if nothing else happens.
+    pub fn wake(&self) -> Option<Time> {
+        self.pending.iter().map(|n| n.due).min().map(|due| due.max(self.not_before))
     }
 }
 
@@ -161,96 +180,103 @@
         Duration::from_millis(n)
     }
 
-    /// Plays until `end`; posts whose number `silent` names get no answer, the others one after 2 ms.
-    /// Gives when each notice was told by a post that was answered.
-    fn play(pushes: &[u64], end: u64, silent: impl Fn(u64) -> bool) -> (BTreeMap<u64, u64>, usize) {
-        let (mut n, mut told, mut most) = (NoticeScheduler::default(), BTreeMap::new(), 0);
+    /// Simulates `end` milliseconds, with a notice pushed at each time in `pushes`. A post gets no answer if
+    /// `is_silent` is true for its number, and otherwise one after 2 ms. Returns when each notice was
+    /// confirmed, and the largest number of posts at once.
+    fn simulate(pushes: &[u64], end: u64, is_silent: impl Fn(u64) -> bool) -> (BTreeMap<u64, u64>, usize) {
+        let (mut scheduler, mut confirmed, mut max_posts) = (NoticeScheduler::default(), BTreeMap::new(), 0);
         let mut under_way: Vec<(u64, u64, Vec<u64>)> = Vec::new();
         for t in 0..end {
             if pushes.contains(&t) {
-                n.push(MessageId(t), Verdict::Dead, ms(t));
+                scheduler.push(MessageId(t), Verdict::Dead, ms(t));
             }
             under_way.retain(|(post, at, ids)| {
-                if silent(*post) || t < at + 2 {
+                if is_silent(*post) || t < at + 2 {
                     return true;
                 }
-                n.answered(*post, ms(t));
+                scheduler.record_confirmed(*post, ms(t));
                 ids.iter().for_each(|id| {
-                    told.entry(*id).or_insert(t);
+                    confirmed.entry(*id).or_insert(t);
                 });
                 false
             });
-            while let Some(s) = n.start(ms(t)) {
-                under_way.retain(|u| Some(u.0) != s.drop);
-                under_way.push((s.post, t, s.notices.iter().map(|(id, _)| id.0).collect()));
+            while let Some(request) = scheduler.next_post(ms(t)) {
+                under_way.retain(|u| Some(u.0) != request.abandoned);
+                under_way.push((request.post, t, request.notices.iter().map(|(id, _)| id.0).collect()));
             }
-            most = most.max(under_way.len());
+            max_posts = max_posts.max(under_way.len());
         }
-        (told, most)
+        (confirmed, max_posts)
     }
 
     #[test]
-    fn a_silent_connection_costs_no_notice_its_time() {
-        // Guards against the lost answer that left too little of 300 ms: it was believed for 200 ms.
-        let (told, _) = play(&[0, 1, 30, 39], 400, |post| post == 0);
-        assert_eq!(told.len(), 4);
-        assert!(told.iter().all(|(pushed, at)| at - pushed <= 60), "{told:?}");
-        // Two in a row.
-        let (told, _) = play(&[0, 1, 30, 39], 400, |post| post < 2);
-        assert!(told.len() == 4 && told.iter().all(|(pushed, at)| at - pushed <= 150), "{told:?}");
-        // Three in a row: still in time.
-        let (told, _) = play(&[0, 1, 30, 39], 800, |post| post < 3);
-        assert!(told.len() == 4 && told.iter().all(|(pushed, at)| at - pushed < 300), "{told:?}");
+    fn a_connection_without_answers_makes_no_notice_late() {
+        // Guards against a lost answer that takes too much of the 300 ms, as a repost delay of 200 ms would.
+        let (confirmed, _) = simulate(&[0, 1, 30, 39], 400, |post| post == 0);
+        assert_eq!(confirmed.len(), 4);
+        assert!(confirmed.iter().all(|(pushed, at)| at - pushed <= 60), "{confirmed:?}");
+        // Two connections in a row.
+        let (confirmed, _) = simulate(&[0, 1, 30, 39], 400, |post| post < 2);
+        assert!(
+            confirmed.len() == 4 && confirmed.iter().all(|(pushed, at)| at - pushed <= 150),
+            "{confirmed:?}"
+        );
+        // Three in a row, which is still in time.
+        let (confirmed, _) = simulate(&[0, 1, 30, 39], 800, |post| post < 3);
+        assert!(
+            confirmed.len() == 4 && confirmed.iter().all(|(pushed, at)| at - pushed < 300),
+            "{confirmed:?}"
+        );
     }
 
     #[test]
-    fn a_platform_that_is_silent_is_not_asked_over_and_over() {
+    fn a_platform_without_answers_gets_a_bounded_number_of_posts() {
         let pushes: Vec<u64> = (0..5_000).step_by(5).collect();
-        let (told, most) = play(&pushes, 5_000, |_| true);
-        assert!(told.is_empty());
-        assert!(most <= POSTS, "{most} posts at once");
-        let mut n = NoticeScheduler::default();
-        n.push(MessageId(1), Verdict::Dead, ms(0));
-        let posts = (0..10_000).filter(|t| n.start(ms(*t)).is_some()).count();
+        let (confirmed, max_posts) = simulate(&pushes, 5_000, |_| true);
+        assert!(confirmed.is_empty());
+        assert!(max_posts <= MAX_POSTS, "{max_posts} posts at once");
+        let mut scheduler = NoticeScheduler::default();
+        scheduler.push(MessageId(1), Verdict::Dead, ms(0));
+        let posts = (0..10_000).filter(|t| scheduler.next_post(ms(*t)).is_some()).count();
         assert!(posts <= 20, "{posts} posts in ten seconds");
     }
 
     #[test]
-    fn a_usual_platform_gets_each_notice_once() {
-        let mut n = NoticeScheduler::default();
+    fn a_working_platform_gets_each_notice_once() {
+        let mut scheduler = NoticeScheduler::default();
         for t in 0..1_000u64 {
-            n.push(MessageId(t), Verdict::Bounced(t), ms(t * 10));
-            let s = n.start(ms(t * 10)).expect("due at once");
-            assert_eq!((s.notices.len(), s.fresh), (1, false));
-            assert!(n.start(ms(t * 10 + 5)).is_none());
-            assert_eq!(n.answered(s.post, ms(t * 10 + 6)), [MessageId(t)]);
+            scheduler.push(MessageId(t), Verdict::Bounced(t), ms(t * 10));
+            let request = scheduler.next_post(ms(t * 10)).expect("due at once");
+            assert_eq!((request.notices.len(), request.needs_new_connection), (1, false));
+            assert!(scheduler.next_post(ms(t * 10 + 5)).is_none());
+            assert_eq!(scheduler.record_confirmed(request.post, ms(t * 10 + 6)), [MessageId(t)]);
         }
-        assert!(n.is_empty() && n.wake().is_none());
+        assert!(scheduler.is_empty() && scheduler.wake().is_none());
     }
 
     #[test]
-    fn a_failed_post_is_told_again_and_a_late_answer_does_no_harm() {
-        let mut n = NoticeScheduler::default();
-        n.push(MessageId(1), Verdict::Dead, ms(0));
-        let first = n.start(ms(0)).expect("due");
-        n.failed(first.post, ms(1));
-        assert_eq!(n.wake(), Some(ms(11)));
-        let second = n.start(ms(11)).expect("again");
+    fn a_failed_post_is_repeated_and_a_late_answer_has_no_effect() {
+        let mut scheduler = NoticeScheduler::default();
+        scheduler.push(MessageId(1), Verdict::Dead, ms(0));
+        let first = scheduler.next_post(ms(0)).expect("due");
+        scheduler.record_failed(first.post, ms(1));
+        assert_eq!(scheduler.wake(), Some(ms(11)));
+        let second = scheduler.next_post(ms(11)).expect("again");
         assert_eq!(second.notices, first.notices);
-        assert!(n.answered(first.post, ms(12)).is_empty(), "that post is over");
-        assert_eq!(n.answered(second.post, ms(13)), [MessageId(1)]);
-        n.failed(second.post, ms(14));
-        assert!(n.is_empty() && n.age(ms(20)).is_zero());
+        assert!(scheduler.record_confirmed(first.post, ms(12)).is_empty(), "that post is over");
+        assert_eq!(scheduler.record_confirmed(second.post, ms(13)), [MessageId(1)]);
+        scheduler.record_failed(second.post, ms(14));
+        assert!(scheduler.is_empty() && scheduler.oldest_age(ms(20)).is_zero());
     }
 
     #[test]
-    fn a_new_place_is_told_all_at_once() {
-        let mut n = NoticeScheduler::default();
-        n.push(MessageId(1), Verdict::Dead, ms(0));
-        let first = n.start(ms(0)).expect("due");
-        assert!(n.start(ms(3)).is_none());
-        assert_eq!(n.relocated(ms(3)), [first.post]);
-        let second = n.start(ms(3)).expect("at once");
-        assert!(!second.fresh && second.notices == first.notices);
+    fn after_a_change_of_address_all_notices_are_posted_at_once() {
+        let mut scheduler = NoticeScheduler::default();
+        scheduler.push(MessageId(1), Verdict::Dead, ms(0));
+        let first = scheduler.next_post(ms(0)).expect("due");
+        assert!(scheduler.next_post(ms(3)).is_none());
+        assert_eq!(scheduler.relocate(ms(3)), [first.post]);
+        let second = scheduler.next_post(ms(3)).expect("at once");
+        assert!(!second.needs_new_connection && second.notices == first.notices);
     }
 }
--- a/crates/daemon/src/platform/peers.rs
+++ b/crates/daemon/src/platform/peers.rs
@@ -1,4 +1,4 @@
-//! Notes between senders, by UDP.
+//! Notes between senders, over UDP.
 
 use crate::input::Input;
 use crate::platform::note_sender::{MAX_NOTE_BYTES, NoteSender};
@@ -15,21 +15,24 @@
 use tokio::task::AbortHandle;
 use tokio::time::sleep;
 
-const AGAIN: Duration = Duration::from_millis(10);
+/// The delay before the next receive after an error.
+const RECEIVE_RETRY_DELAY: Duration = Duration::from_millis(10);
 
+/// The socket for notes. Receives for as long as this lives; then another process may bind the address.
 pub struct Peers {
     note_sender: Rc<NoteSender>,
-    /// Hears for as long as this lives; then the address is free for another process.
-    hears: AbortHandle,
+    receiver: AbortHandle,
 }
 
 impl Drop for Peers {
     fn drop(&mut self) {
-        self.hears.abort();
+        self.receiver.abort();
     }
 }
 
 impl Peers {
+    /// Binds the address and begins to receive. Notes about zones go to the zone monitor, all others to the
+    /// inputs.
     pub fn bind(
         address: SocketAddr,
         config: &Config,
@@ -39,17 +42,21 @@
     ) -> io::Result<Self> {
         let socket = net.bind_datagram(address)?;
         let (peers, all) = (config.peers.clone(), config.broadcast_addr);
-        let (heard, known) = (socket.clone(), peers.clone());
-        let hears = tokio::task::spawn_local(async move {
+        let (receiving_socket, known_peers) = (socket.clone(), peers.clone());
+        let receiver = tokio::task::spawn_local(async move {
             let mut buffer = [0; MAX_NOTE_BYTES + 1];
             loop {
-                // An error tells of an earlier datagram that found nobody. A lasting one must not spin.
-                let Ok((n, from)) = poll_fn(|cx| heard.poll_recv_from(cx, &mut buffer)).await else {
-                    sleep(AGAIN).await;
+                // An error may report an earlier datagram that could not be delivered. The delay keeps a
+                // persistent error from causing a busy loop.
+                let Ok((n, from)) = poll_fn(|cx| receiving_socket.poll_recv_from(cx, &mut buffer)).await
+                else {
+                    sleep(RECEIVE_RETRY_DELAY).await;
                     continue;
                 };
-                // Only senders of the tier are believed.
-                if let Some(from) = known.iter().position(|p| *p == from).filter(|_| n <= MAX_NOTE_BYTES) {
+                // Only notes from senders of the fleet are accepted.
+                if let Some(from) =
+                    known_peers.iter().position(|p| *p == from).filter(|_| n <= MAX_NOTE_BYTES)
+                {
                     if zone_monitor.as_ref().is_some_and(|z| z.receive_note(from, &buffer[..n])) {
                         continue;
                     }
@@ -59,10 +66,10 @@
             }
         });
         let note_sender = Rc::new(NoteSender::new(socket, peers, all));
-        Ok(Self { note_sender, hears: hears.abort_handle() })
+        Ok(Self { note_sender, receiver: receiver.abort_handle() })
     }
 
-    /// Where others of this sender's parts write.
+    /// Returns the sender of notes, for other parts of this process.
     pub fn note_sender(&self) -> Rc<NoteSender> {
         self.note_sender.clone()
     }
--- a/crates/daemon/src/platform/reports.rs
+++ b/crates/daemon/src/platform/reports.rs
@@ -1,7 +1,7 @@
-//! Notices to the platform. When they are told is decided in `notice_scheduler.rs`; here they are posted.
+//! Posts notices to the platform. `notice_scheduler.rs` decides when.
 
 use crate::io::ObservedStream;
-use crate::platform::notice_scheduler::{NoticeScheduler, Start};
+use crate::platform::notice_scheduler::{NoticeScheduler, PostRequest};
 use crate::state::journal::{Journal, Verdict};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -21,68 +21,74 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until, timeout};
 
-/// After so long a post has failed; what it tells was told again elsewhere long before.
-const PATIENCE: Duration = Duration::from_secs(2);
-/// A notice owed for longer than this is worth a line in the log: 300 ms are allowed.
-const LONG: Duration = Duration::from_millis(150);
+/// The time-out of a post. Its notices have been posted again on another connection long before.
+const POST_TIMEOUT: Duration = Duration::from_secs(2);
+/// The age from which on a confirmed notice is logged as late. 300 ms are allowed.
+const LOGGED_AGE: Duration = Duration::from_millis(150);
 
 type Failure = Box<dyn std::error::Error>;
 type Connection = SendRequest<Full<Bytes>>;
 
+/// Posts notices to the platform until each is confirmed, and then records the end of its message.
 pub struct Reports {
     net: Rc<dyn Network>,
     address: Cell<SocketAddr>,
-    relocated: Notify,
-    notices: RefCell<NoticeScheduler>,
-    news: Notify,
+    address_changed: Notify,
+    scheduler: RefCell<NoticeScheduler>,
+    notice_added: Notify,
     journal: Rc<RefCell<Journal>>,
     started: Instant,
 }
 
 impl Reports {
+    /// Creates the queue of notices and starts its task. It has to be called within a `LocalSet`.
     pub fn new(address: SocketAddr, net: Rc<dyn Network>, journal: Rc<RefCell<Journal>>) -> Rc<Self> {
-        let (address, relocated, news) = (Cell::new(address), Notify::new(), Notify::new());
-        let (notices, started) = (RefCell::default(), Instant::now());
-        let reports = Rc::new(Self { net, address, relocated, notices, news, journal, started });
+        let (address, address_changed, notice_added) = (Cell::new(address), Notify::new(), Notify::new());
+        let (scheduler, started) = (RefCell::default(), Instant::now());
+        let reports =
+            Rc::new(Self { net, address, address_changed, scheduler, notice_added, journal, started });
         let task = reports.clone();
         tokio::task::spawn_local(async move { task.run().await });
         reports
     }
 
+    /// Adds a notice.
     pub fn push(&self, id: MessageId, verdict: Verdict) {
-        self.notices.borrow_mut().push(id, verdict, self.started.elapsed());
-        self.news.notify_one();
+        self.scheduler.borrow_mut().push(id, verdict, self.started.elapsed());
+        self.notice_added.notify_one();
     }
 
-    /// Notices go elsewhere from now on, also those that are under way: told twice they do no harm.
+    /// Changes the address of the platform. Notices that are under way are posted there as well, since a
+    /// notice that is delivered twice does no harm.
     pub fn relocate(&self, address: SocketAddr) {
         if self.address.replace(address) != address {
-            self.relocated.notify_one();
+            self.address_changed.notify_one();
         }
     }
 
-    /// Nothing is left to be told.
+    /// Whether all notices are confirmed.
     pub fn is_empty(&self) -> bool {
-        self.notices.borrow().is_empty()
+        self.scheduler.borrow().is_empty()
     }
 
     async fn run(self: Rc<Self>) {
-        let (ended, mut ends) = unbounded_channel::<(u64, Result<Connection, String>)>();
-        let mut kept: Option<Connection> = None;
+        let (results, mut ended_posts) = unbounded_channel::<(u64, Result<Connection, String>)>();
+        let mut idle_connection: Option<Connection> = None;
         let mut posts: BTreeMap<u64, AbortHandle> = BTreeMap::new();
         loop {
-            let start = self.notices.borrow_mut().start(self.started.elapsed());
-            if let Some(start) = start {
-                if let Some(old) = start.drop.and_then(|p| posts.remove(&p)) {
+            let request = self.scheduler.borrow_mut().next_post(self.started.elapsed());
+            if let Some(request) = request {
+                if let Some(old) = request.abandoned.and_then(|p| posts.remove(&p)) {
                     old.abort();
                 }
-                let connection = if start.fresh { None } else { kept.take() };
-                let post = start.post;
-                let task = tokio::task::spawn_local(self.clone().tell(start, connection, ended.clone()));
+                let connection = if request.needs_new_connection { None } else { idle_connection.take() };
+                let post = request.post;
+                let task =
+                    tokio::task::spawn_local(self.clone().run_post(request, connection, results.clone()));
                 posts.insert(post, task.abort_handle());
                 continue;
             }
-            let wake = self.notices.borrow().wake().map(|w| self.started + w);
+            let wake = self.scheduler.borrow().wake().map(|w| self.started + w);
             let alarm = async {
                 match wake {
                     Some(at) => sleep_until(at).await,
@@ -91,71 +97,73 @@
             };
             tokio::select! {
                 biased;
-                () = self.relocated.notified() => {
-                    kept = None;
-                    for post in self.notices.borrow_mut().relocated(self.started.elapsed()) {
+                () = self.address_changed.notified() => {
+                    idle_connection = None;
+                    for post in self.scheduler.borrow_mut().relocate(self.started.elapsed()) {
                         posts.remove(&post).inspect(AbortHandle::abort);
                     }
                 }
-                Some((post, result)) = ends.recv() => {
+                Some((post, result)) = ended_posts.recv() => {
                     if posts.remove(&post).is_none() {
                         continue;
                     }
                     let now = self.started.elapsed();
-                    let age = self.notices.borrow().age(now);
+                    let age = self.scheduler.borrow().oldest_age(now);
                     match result {
                         Ok(connection) => {
-                            kept = Some(connection);
-                            let told = self.notices.borrow_mut().answered(post, now);
+                            idle_connection = Some(connection);
+                            let confirmed = self.scheduler.borrow_mut().record_confirmed(post, now);
                             let mut journal = self.journal.borrow_mut();
-                            told.into_iter().for_each(|id| _ = journal.record_end(id));
-                            if age > LONG {
-                                tracing::warn!("reports: a notice was told after {} ms", age.as_millis());
+                            confirmed.into_iter().for_each(|id| _ = journal.record_end(id));
+                            if age > LOGGED_AGE {
+                                tracing::warn!("reports: notice confirmed after {} ms", age.as_millis());
                             }
                         }
-                        Err(why) => {
+                        Err(error) => {
                             let ms = age.as_millis();
-                            tracing::warn!("reports: {why}; the oldest notice waits for {ms} ms");
-                            self.notices.borrow_mut().failed(post, now);
+                            tracing::warn!("reports: post failed: {error}; oldest notice waits for {ms} ms");
+                            self.scheduler.borrow_mut().record_failed(post, now);
                         }
                     }
                 }
-                () = self.news.notified() => {}
+                () = self.notice_added.notified() => {}
                 () = alarm => {}
             }
         }
     }
 
-    async fn tell(
+    /// Makes a post and sends its result.
+    async fn run_post(
         self: Rc<Self>,
-        start: Start,
+        request: PostRequest,
         connection: Option<Connection>,
-        ended: UnboundedSender<(u64, Result<Connection, String>)>,
+        results: UnboundedSender<(u64, Result<Connection, String>)>,
     ) {
-        let posted = match timeout(PATIENCE, self.post(connection, &start.notices)).await {
-            Ok(posted) => posted.map_err(|e| e.to_string()),
-            Err(_) => Err(format!("no answer in {} ms", PATIENCE.as_millis())),
+        let result = match timeout(POST_TIMEOUT, self.post(connection, &request.notices)).await {
+            Ok(result) => result.map_err(|e| e.to_string()),
+            Err(_) => Err(format!("no answer within {} ms", POST_TIMEOUT.as_millis())),
         };
-        let _ = ended.send((start.post, posted));
+        let _ = results.send((request.post, result));
     }
 
+    /// Posts notices, and returns the connection for the next post.
     async fn post(
         &self,
         connection: Option<Connection>,
-        batch: &[(MessageId, Verdict)],
+        notices: &[(MessageId, Verdict)],
     ) -> Result<Connection, Failure> {
         let mut sender = match connection {
             Some(c) if !c.is_closed() => c,
             _ => {
                 let stream = self.net.connect(self.address.get()).await?;
-                let _ = stream.set_nodelay(); // Without it small writes wait, and still arrive.
+                let _ = stream.set_nodelay(); // If it fails, small writes are delayed, but still arrive.
                 let (sender, driver) = http1::handshake(ObservedStream::new(stream, ())).await?;
                 tokio::task::spawn_local(driver);
                 sender
             }
         };
         sender.ready().await?;
-        let lines: String = batch.iter().map(|(id, v)| line(*id, *v)).collect();
+        let lines: String = notices.iter().map(|(id, v)| notice_line(*id, *v)).collect();
         let request = Request::post("/reports")
             .header(HOST, self.address.get().to_string())
             .header(CONTENT_TYPE, "application/x-ndjson")
@@ -163,11 +171,11 @@
         let response = sender.send_request(request).await?;
         let status = response.status();
         let _ = Limited::new(response.into_body(), 1 << 16).collect().await;
-        if status == 204 { Ok(sender) } else { Err(format!("notices were answered {status}").into()) }
+        if status == 204 { Ok(sender) } else { Err(format!("the platform answered {status}").into()) }
     }
 }
 
-fn line(id: MessageId, verdict: Verdict) -> String {
+fn notice_line(id: MessageId, verdict: Verdict) -> String {
     let id = id.0;
     match verdict {
         Verdict::Dead => format!("{{\"ref\":\"{id:016x}\",\"result\":\"dead\"}}\n"),
--- a/crates/daemon/src/platform/watch_parser.rs
+++ b/crates/daemon/src/platform/watch_parser.rs
@@ -1,110 +1,115 @@
-//! Cuts what comes on a watch into JSON objects, compact or indented, and empty lines: free of I/O and clock.
+//! Splits the stream of a watch into JSON objects, compact or indented, and empty lines.
+//!
+//! This module does no I/O and reads no clock.
 
 use crate::endpoint_list::EndpointList;
 
-/// A longer value is no list.
+/// The longest value. A longer one is not a list.
 pub const MAX_VALUE_BYTES: usize = 4 << 20;
 
-/// A piece of a watch.
+/// An item of a watch's stream.
 #[derive(Debug)]
 pub enum WatchItem {
     List(EndpointList),
-    /// An empty line between two values: nothing has changed.
+    /// An empty line between two values. It means that nothing has changed.
     Heartbeat,
-    /// What can be made nothing of, and why.
-    Spoilt(String),
+    /// Bytes that could not be parsed, with the error.
+    Malformed(String),
 }
 
+/// Parses the stream of a watch incrementally.
 #[derive(Default)]
 pub struct WatchParser {
-    /// The value that has begun.
+    /// The bytes of the incomplete value.
     pending: Vec<u8>,
-    /// Brackets that are open in it.
+    /// The number of brackets that are open in it.
     depth: usize,
-    in_string: bool,
-    escaped: bool,
-    /// Where its last line begins.
-    line: usize,
-    /// Between values: something stood on this line already, and whether it is passed over.
-    used: bool,
-    skips: bool,
+    is_in_string: bool,
+    is_escaped: bool,
+    /// The offset of its last line.
+    line_start: usize,
+    /// Between values: whether the current line has other bytes than white space, and whether the rest of it
+    /// is skipped.
+    is_line_used: bool,
+    is_line_skipped: bool,
 }
 
 impl WatchParser {
-    /// Takes what has come.
+    /// Parses received bytes and adds the completed items.
     ///
     /// # Errors
     /// A value is too long.
-    pub fn push(&mut self, bytes: &[u8], pieces: &mut Vec<WatchItem>) -> Result<(), String> {
+    pub fn push(&mut self, bytes: &[u8], items: &mut Vec<WatchItem>) -> Result<(), String> {
         for &byte in bytes {
             if self.depth == 0 {
-                self.between(byte, pieces)
+                self.push_between_values(byte, items)
             } else {
-                self.within(byte, pieces)
+                self.push_within_value(byte, items)
             }
             if self.pending.len() > MAX_VALUE_BYTES {
-                return Err(format!("a value of over {MAX_VALUE_BYTES} bytes"));
+                return Err(format!("a value has more than {MAX_VALUE_BYTES} bytes"));
             }
         }
         Ok(())
     }
 
-    fn between(&mut self, byte: u8, pieces: &mut Vec<WatchItem>) {
+    fn push_between_values(&mut self, byte: u8, items: &mut Vec<WatchItem>) {
         match byte {
             b'\n' => {
-                if !std::mem::take(&mut self.used) {
-                    pieces.push(WatchItem::Heartbeat);
+                if !std::mem::take(&mut self.is_line_used) {
+                    items.push(WatchItem::Heartbeat);
                 }
-                self.skips = false;
+                self.is_line_skipped = false;
             }
             b' ' | b'\t' | b'\r' => {}
-            b'{' if !self.skips => {
+            b'{' if !self.is_line_skipped => {
                 self.pending.push(byte);
-                (self.depth, self.line, self.used) = (1, 0, true);
+                (self.depth, self.line_start, self.is_line_used) = (1, 0, true);
             }
             _ => {
-                self.used = true;
-                if !std::mem::replace(&mut self.skips, true) {
-                    pieces.push(WatchItem::Spoilt("something that is no object".into()));
+                self.is_line_used = true;
+                if !std::mem::replace(&mut self.is_line_skipped, true) {
+                    items.push(WatchItem::Malformed("not a JSON object".into()));
                 }
             }
         }
     }
 
-    fn within(&mut self, byte: u8, pieces: &mut Vec<WatchItem>) {
+    fn push_within_value(&mut self, byte: u8, items: &mut Vec<WatchItem>) {
         self.pending.push(byte);
         match byte {
-            b'\n' => return self.end_line(pieces),
-            _ if std::mem::take(&mut self.escaped) => {}
-            b'\\' if self.in_string => self.escaped = true,
-            b'"' => self.in_string = !self.in_string,
-            _ if self.in_string => {}
+            b'\n' => return self.end_line(items),
+            _ if std::mem::take(&mut self.is_escaped) => {}
+            b'\\' if self.is_in_string => self.is_escaped = true,
+            b'"' => self.is_in_string = !self.is_in_string,
+            _ if self.is_in_string => {}
             b'{' | b'[' => self.depth += 1,
             b'}' | b']' => self.depth -= 1,
             _ => {}
         }
         if self.depth == 0 {
-            let read = serde_json::from_slice(&self.pending);
-            pieces.push(read.map_or_else(|e| WatchItem::Spoilt(e.to_string()), WatchItem::List));
+            let parsed = serde_json::from_slice(&self.pending);
+            items.push(parsed.map_or_else(|e| WatchItem::Malformed(e.to_string()), WatchItem::List));
             self.pending.clear();
         }
     }
 
-    /// A line that is a whole list by itself shows that the value before it was cut: no list holds another.
-    fn end_line(&mut self, pieces: &mut Vec<WatchItem>) {
-        // No string goes on over the end of a line.
-        (self.in_string, self.escaped) = (false, false);
-        let line = &self.pending[self.line..];
-        if self.line > 0
+    /// Handles the end of a line within a value. If the line is a complete list, the value before it was cut
+    /// off, since a list does not contain another one.
+    fn end_line(&mut self, items: &mut Vec<WatchItem>) {
+        // A JSON string does not continue after the end of a line.
+        (self.is_in_string, self.is_escaped) = (false, false);
+        let line = &self.pending[self.line_start..];
+        if self.line_start > 0
             && line.starts_with(b"{")
             && let Ok(list) = serde_json::from_slice(line)
         {
-            pieces.extend([WatchItem::Spoilt("a value that was cut".into()), WatchItem::List(list)]);
+            items.extend([WatchItem::Malformed("a value was cut off".into()), WatchItem::List(list)]);
             self.pending.clear();
-            (self.depth, self.used) = (0, false);
+            (self.depth, self.is_line_used) = (0, false);
             return;
         }
-        self.line = self.pending.len();
+        self.line_start = self.pending.len();
     }
 }
 
--- a/crates/daemon/src/platform/zone_monitor.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -1,11 +1,11 @@
-//! What senders find together of zones: calls' ends go to `crates/zones`, its notes go over the senders'
-//! datagrams, what it finds is said, and what share each zone is sent goes to the module. Nothing is decided
-//! on it here.
+//! Connects the state machine of `crates/zones`, which detects failing zones, to the sender. Outcomes of
+//! calls and received notes go to the state machine, its notes to other senders, its findings to the log, and
+//! the share of calls for each zone to the decision module. Nothing is decided here.
 
 use crate::input::Input;
 use crate::platform::note_sender::NoteSender;
 use crate::settings::config::Config;
-use crate::settings::operator::ZoneSettings as Wanted;
+use crate::settings::operator::ZoneSettings;
 use notchpoint_policy::{DestinationId, EndpointId, Event, Outcome, Settings};
 use notchpoint_zones::{
     CallResult, ColdStart, DestinationHash, EvacuationState, Event as ZoneEvent, Health, Output,
@@ -19,196 +19,203 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep_until};
 
-/// Names of zones that are kept for the log: the platform names few.
-const NAMES: usize = 256;
-/// Senders that a line of the log names.
-const NAMED: usize = 5;
+/// The largest number of zone names kept for the log. The platform has few zones.
+const MAX_NAMES: usize = 256;
+/// The largest number of senders named in a log line.
+const MAX_LOGGED_SENDERS: usize = 5;
 
+/// Runs the zone state machine of this sender.
 pub struct ZoneMonitor {
-    machine: RefCell<ZoneStateMachine>,
-    /// What operators want, and what the platform says of cold endpoints; each may come anew.
-    wanted: RefCell<(Wanted, ColdStart)>,
-    numbers: Numbers,
+    state_machine: RefCell<ZoneStateMachine>,
+    /// The settings of the operator, and the platform's settings of cold endpoints. Both may change.
+    settings: RefCell<(ZoneSettings, ColdStart)>,
+    numbers: SenderNumbers,
     started: Instant,
     names: RefCell<BTreeMap<ZoneId, String>>,
-    /// The module's numbers of zones.
+    /// The names of zones, in the order of their numbers in the decision module.
     zones: Vec<String>,
-    /// Where listed endpoints stand, and whose they are.
-    places: RefCell<BTreeMap<EndpointId, (ZoneId, DestinationHash, DestinationId)>>,
+    /// The zone and the destination of each listed endpoint.
+    endpoints: RefCell<BTreeMap<EndpointId, (ZoneId, DestinationHash, DestinationId)>>,
     inputs: UnboundedSender<Input>,
     task: RefCell<Option<AbortHandle>>,
 }
 
-/// Which sender is at which place of the platform's list of addresses.
+/// Maps the fleet's numbers of senders to indexes in the platform's list of addresses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct Numbers {
-    me: u32,
+struct SenderNumbers {
+    own: u32,
     fleet: u32,
-    /// This sender's own address is on the list, as the platform's page says.
-    own_listed: bool,
+    /// Whether this sender's own address is on the list, as the platform documents it.
+    is_own_listed: bool,
 }
 
-impl Numbers {
-    fn of(me: u32, fleet: u32, listed: usize) -> Option<Self> {
-        let own_listed = listed == fleet as usize;
-        let fits = own_listed || listed + 1 == fleet as usize;
-        (fits && me < fleet).then_some(Self { me, fleet, own_listed })
+impl SenderNumbers {
+    /// Returns `None` if the length of the list does not match the size of the fleet.
+    fn new(own: u32, fleet: u32, listed: usize) -> Option<Self> {
+        let is_own_listed = listed == fleet as usize;
+        let fits = is_own_listed || listed + 1 == fleet as usize;
+        (fits && own < fleet).then_some(Self { own, fleet, is_own_listed })
     }
 
-    fn place(self, at: usize) -> SenderId {
-        let at = at as u32;
-        SenderId(at + u32::from(!self.own_listed && at >= self.me))
+    /// Returns the sender at an index of the list.
+    fn sender_at(self, index: usize) -> SenderId {
+        let index = index as u32;
+        SenderId(index + u32::from(!self.is_own_listed && index >= self.own))
     }
 
-    fn at(self, place: SenderId) -> u32 {
-        place.0 - u32::from(!self.own_listed && place.0 > self.me)
+    /// Returns the index of a sender in the list.
+    fn index_of(self, sender: SenderId) -> u32 {
+        sender.0 - u32::from(!self.is_own_listed && sender.0 > self.own)
     }
 }
 
-fn cold(set: &Settings) -> ColdStart {
+fn cold_settings(settings: &Settings) -> ColdStart {
     ColdStart {
-        initial_share: set.start_capacity,
-        warm_up: set.warm_up,
-        overload_factor: set.overload_factor,
+        initial_share: settings.start_capacity,
+        warm_up: settings.warm_up,
+        overload_factor: settings.overload_factor,
     }
 }
 
 impl ZoneMonitor {
-    /// Nothing where operators do not want it. Where the platform lets senders write nothing to one another
-    /// it only says what it sees itself, and leaves nothing.
+    /// Creates a monitor, if the operator's settings ask for one. If the platform does not let senders
+    /// exchange notes, the monitor only reports its own observations, and evacuates no zone.
     pub fn from_settings(
-        wanted: &Wanted,
+        settings: &ZoneSettings,
         config: &Config,
         inputs: &UnboundedSender<Input>,
     ) -> Option<Rc<Self>> {
-        if !wanted.is_enabled() {
+        if !settings.is_enabled() {
             return None;
         }
-        let numbers = Numbers::of(config.own_number, config.settings.senders, config.peers.len());
-        let writes = numbers.is_some() && config.settings.may_send_notes && config.settings.senders > 1;
-        if !writes {
-            tracing::warn!("zones: no other sender can be written to: no zone is found failing");
+        let numbers = SenderNumbers::new(config.own_number, config.settings.senders, config.peers.len());
+        let can_send = numbers.is_some() && config.settings.may_send_notes && config.settings.senders > 1;
+        if !can_send {
+            tracing::warn!("zones: notes cannot be sent to other senders: no zone will be found failing");
         }
-        let numbers = numbers.unwrap_or(Numbers { me: 0, fleet: 1, own_listed: true });
-        let own = config.names.zones.get(config.settings.zone as usize).map_or("", |z| z);
-        let cold = cold(&config.settings);
-        let set = ZonesConfig {
-            sender: SenderId(numbers.me),
+        let numbers = numbers.unwrap_or(SenderNumbers { own: 0, fleet: 1, is_own_listed: true });
+        let own_zone = config.names.zones.get(config.settings.zone as usize).map_or("", |z| z);
+        let cold = cold_settings(&config.settings);
+        let zones_config = ZonesConfig {
+            sender: SenderId(numbers.own),
             fleet_size: numbers.fleet,
-            own_zone: ZoneId::from_name(own),
-            can_send: writes,
-            thresholds: wanted.failure_thresholds(numbers.fleet as usize),
-            return_schedule: wanted.leave.then(|| ReturnSchedule::new(cold)),
-            pinned: wanted.pinned_zones(),
+            own_zone: ZoneId::from_name(own_zone),
+            can_send,
+            thresholds: settings.failure_thresholds(numbers.fleet as usize),
+            return_schedule: settings.leave.then(|| ReturnSchedule::new(cold)),
+            pinned: settings.pinned_zones(),
         };
         let zone_monitor = Rc::new(Self {
-            machine: RefCell::new(ZoneStateMachine::new(set, config.seed, 0)),
-            wanted: RefCell::new((wanted.clone(), cold)),
+            state_machine: RefCell::new(ZoneStateMachine::new(zones_config, config.seed, 0)),
+            settings: RefCell::new((settings.clone(), cold)),
             numbers,
             started: Instant::now(),
             names: RefCell::default(),
             zones: config.names.zones.clone(),
-            places: RefCell::default(),
+            endpoints: RefCell::default(),
             inputs: inputs.clone(),
             task: RefCell::default(),
         });
-        config.names.zones.iter().for_each(|name| zone_monitor.name(name));
-        zone_monitor.say_unknown();
+        config.names.zones.iter().for_each(|name| zone_monitor.add_name(name));
+        zone_monitor.warn_of_unknown_zones();
         Some(zone_monitor)
     }
 
-    fn say_unknown(&self) {
-        for name in self.wanted.borrow().0.unknown_zones(&self.zones) {
-            tracing::warn!("zones: {name} is pinned, and the configuration names no such zone");
+    fn warn_of_unknown_zones(&self) {
+        for name in self.settings.borrow().0.unknown_zones(&self.zones) {
+            tracing::warn!("zones: pinned zone {name} is not in the configuration");
         }
     }
 
-    /// What operators want from now on.
-    pub fn update_operator_settings(&self, wanted: &Wanted) {
-        if self.wanted.borrow().0 == *wanted {
+    /// Applies changed settings of the operator.
+    pub fn update_operator_settings(&self, settings: &ZoneSettings) {
+        if self.settings.borrow().0 == *settings {
             return;
         }
-        self.wanted.borrow_mut().0 = wanted.clone();
-        tracing::info!("operator's file read anew: {wanted}");
-        self.say_unknown();
-        self.tune();
+        self.settings.borrow_mut().0 = settings.clone();
+        tracing::info!("operator's file reloaded: {settings}");
+        self.warn_of_unknown_zones();
+        self.apply_settings();
     }
 
-    /// What the platform says of cold endpoints from now on.
-    pub fn update_cold_settings(&self, set: &Settings) {
-        self.wanted.borrow_mut().1 = cold(set);
-        self.tune();
+    /// Applies changed settings of cold endpoints, from the platform.
+    pub fn update_cold_settings(&self, settings: &Settings) {
+        self.settings.borrow_mut().1 = cold_settings(settings);
+        self.apply_settings();
     }
 
-    fn tune(&self) {
-        let wanted = self.wanted.borrow();
-        let (wanted, cold) = &*wanted;
-        let pace = wanted.leave.then(|| ReturnSchedule::new(*cold));
-        let mut machine = self.machine.borrow_mut();
-        machine.reconfigure(
-            wanted.failure_thresholds(self.numbers.fleet as usize),
-            pace,
-            wanted.pinned_zones(),
+    fn apply_settings(&self) {
+        let settings = self.settings.borrow();
+        let (settings, cold) = &*settings;
+        let return_schedule = settings.leave.then(|| ReturnSchedule::new(*cold));
+        let mut state_machine = self.state_machine.borrow_mut();
+        state_machine.reconfigure(
+            settings.failure_thresholds(self.numbers.fleet as usize),
+            return_schedule,
+            settings.pinned_zones(),
         );
-        let _ = self.inputs.send(Input::RedirectClients(wanted.give_way && machine.redirects_clients()));
+        let _ =
+            self.inputs.send(Input::RedirectClients(settings.give_way && state_machine.redirects_clients()));
     }
 
     fn now(&self) -> u64 {
         self.started.elapsed().as_micros() as u64
     }
 
-    fn name(&self, name: &str) {
+    /// Keeps the name of a zone for the log.
+    fn add_name(&self, name: &str) {
         let mut names = self.names.borrow_mut();
-        if names.len() < NAMES {
+        if names.len() < MAX_NAMES {
             names.entry(ZoneId::from_name(name)).or_insert_with(|| name.to_owned());
         }
     }
 
-    /// What the list says of an endpoint; one that names no zone tells of none.
+    /// Updates an endpoint from the list. An endpoint without a zone is not evidence for any zone.
     pub fn update_endpoint(&self, id: EndpointId, dest: DestinationId, zone: &str, gone: bool) {
-        let mut places = self.places.borrow_mut();
+        let mut endpoints = self.endpoints.borrow_mut();
         if gone || zone.is_empty() {
-            places.remove(&id);
+            endpoints.remove(&id);
             return;
         }
-        places.insert(id, (ZoneId::from_name(zone), DestinationHash::from_number(dest.0), dest));
-        self.name(zone);
+        endpoints.insert(id, (ZoneId::from_name(zone), DestinationHash::from_number(dest.0), dest));
+        self.add_name(zone);
     }
 
-    /// Only these endpoints are listed.
-    pub fn retain_endpoints(&self, listed: impl Fn(EndpointId) -> bool) {
-        let mut places = self.places.borrow_mut();
-        places.retain(|&id, _| listed(id));
-        self.machine.borrow_mut().set_listed_zones(places.values().map(|p| p.0).collect());
+    /// Removes all endpoints that are not listed.
+    pub fn retain_endpoints(&self, is_listed: impl Fn(EndpointId) -> bool) {
+        let mut endpoints = self.endpoints.borrow_mut();
+        endpoints.retain(|&id, _| is_listed(id));
+        self.state_machine.borrow_mut().set_listed_zones(endpoints.values().map(|e| e.0).collect());
     }
 
-    /// An attempt at an endpoint, begun so long ago, ended.
+    /// Records how an attempt at an endpoint ended. `age` is the time since its start, in microseconds.
     pub fn record_outcome(&self, endpoint: EndpointId, outcome: Outcome, age: u64) {
-        let came = match outcome {
-            // Whoever answers is there, whatever it says.
+        let result = match outcome {
+            // An endpoint that answers is reachable, whatever the answer is.
             Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt => {
                 CallResult::Answered
             }
             Outcome::TimedOut | Outcome::ConnectFailed | Outcome::Reset => CallResult::Failed,
             Outcome::Cancelled | Outcome::Moot | Outcome::NotSent => return,
         };
-        if let Some(&(zone, dest, _)) = self.places.borrow().get(&endpoint) {
+        if let Some(&(zone, dest, _)) = self.endpoints.borrow().get(&endpoint) {
             let now = self.now();
-            self.machine.borrow_mut().record_call(now, now.saturating_sub(age), zone, dest, came);
+            self.state_machine.borrow_mut().record_call(now, now.saturating_sub(age), zone, dest, result);
         }
     }
 
-    /// Another sender, at this place of the platform's list, wrote. Whether it was of zones.
+    /// Processes a note from another sender, which is at index `from` in the platform's list. Returns whether
+    /// the note is about zones.
     pub fn receive_note(&self, from: usize, note: &[u8]) -> bool {
         let mut out = Vec::new();
-        let from = self.numbers.place(from);
-        let taken = self.machine.borrow_mut().receive_note(self.now(), from, note, &mut out);
-        self.carry_out(out, None);
-        taken
+        let from = self.numbers.sender_at(from);
+        let is_zone_note = self.state_machine.borrow_mut().receive_note(self.now(), from, note, &mut out);
+        self.handle_outputs(out, None);
+        is_zone_note
     }
 
-    /// Begins to look and to write. What a process before this one had left is called as any, until this one
-    /// has heard how far others are.
+    /// Starts the timer of the state machine and its notes. Zones that an earlier process had left get their
+    /// whole share until this process has received the state of other senders.
     pub fn start(self: &Rc<Self>, note_sender: Option<Rc<NoteSender>>) {
         for zone in 0..self.zones.len() as u32 {
             let _ = self.inputs.send(Input::Event(Event::Zone {
@@ -221,84 +228,81 @@
         let zone_monitor = self.clone();
         let task = tokio::task::spawn_local(async move {
             loop {
-                let wake = zone_monitor.machine.borrow().next_wake();
+                let wake = zone_monitor.state_machine.borrow().next_wake();
                 sleep_until(zone_monitor.started + Duration::from_micros(wake)).await;
                 let mut out = Vec::new();
-                zone_monitor.machine.borrow_mut().tick(zone_monitor.now(), &mut out);
-                zone_monitor.carry_out(out, note_sender.as_deref());
+                zone_monitor.state_machine.borrow_mut().tick(zone_monitor.now(), &mut out);
+                zone_monitor.handle_outputs(out, note_sender.as_deref());
             }
         });
-        if let Some(before) = self.task.borrow_mut().replace(task.abort_handle()) {
-            before.abort();
+        if let Some(old) = self.task.borrow_mut().replace(task.abort_handle()) {
+            old.abort();
         }
     }
 
-    /// The destinations of these short names that the list knows.
-    fn dests(&self, short: &BTreeSet<DestinationHash>) -> Vec<DestinationId> {
-        let places = self.places.borrow();
-        let known = places.values().filter(|p| short.contains(&p.1)).map(|p| p.2);
+    /// Returns the listed destinations that have these hashes.
+    fn destinations(&self, hashes: &BTreeSet<DestinationHash>) -> Vec<DestinationId> {
+        let endpoints = self.endpoints.borrow();
+        let known = endpoints.values().filter(|e| hashes.contains(&e.1)).map(|e| e.2);
         known.collect::<BTreeSet<_>>().into_iter().collect()
     }
 
-    /// Where operators let it, the front is told to send clients elsewhere.
-    fn give_way(&self, wanted: bool) {
-        if !self.wanted.borrow().0.give_way {
+    /// Directs clients to other senders, or admits them again, if the operator's settings allow it.
+    fn redirect_clients(&self, wanted: bool) {
+        if !self.settings.borrow().0.give_way {
             return;
         }
         match wanted {
-            true => tracing::warn!("zones: this sender's zone is left: clients are sent elsewhere"),
-            false => tracing::info!("zones: clients may come here again"),
+            true => tracing::warn!("zones: this sender's zone is left: clients are sent to other senders"),
+            false => tracing::info!("zones: clients are admitted again"),
         }
         let _ = self.inputs.send(Input::RedirectClients(wanted));
     }
 
-    fn carry_out(&self, out: Vec<Output>, note_sender: Option<&NoteSender>) {
+    fn handle_outputs(&self, out: Vec<Output>, note_sender: Option<&NoteSender>) {
         for o in out {
             match o {
                 Output::Send(to, body) => {
                     if let Some(note_sender) = note_sender {
-                        note_sender.send(Some(self.numbers.at(to)), &body);
+                        note_sender.send(Some(self.numbers.index_of(to)), &body);
                     }
                 }
-                Output::SetShare { zone, share, probe: tries, exempt: spared } => {
-                    let spared = self.dests(&spared);
-                    let name = self.called(zone);
+                Output::SetShare { zone, share, probe, exempt } => {
+                    let exempt = self.destinations(&exempt);
+                    let name = self.zone_name(zone);
                     if let Some(zone) = self.zones.iter().position(|z| *z == name) {
                         let zone = zone as u32;
-                        let _ = self.inputs.send(Input::Event(Event::Zone {
-                            zone,
-                            share,
-                            probe: tries,
-                            exempt: spared,
-                        }));
+                        let _ = self.inputs.send(Input::Event(Event::Zone { zone, share, probe, exempt }));
                     }
                 }
-                Output::RedirectClients(wanted) => self.give_way(wanted),
-                Output::Log(event) => self.say(&event),
+                Output::RedirectClients(wanted) => self.redirect_clients(wanted),
+                Output::Log(event) => self.log(&event),
             }
         }
     }
 
-    /// Another process goes on.
+    /// Stops the state machine, because another process takes over.
     pub fn stop(&self) {
         if let Some(task) = self.task.borrow_mut().take() {
             task.abort();
         }
     }
 
-    fn called(&self, zone: ZoneId) -> String {
+    /// Returns the name of a zone, or its id if the name is not known.
+    fn zone_name(&self, zone: ZoneId) -> String {
         self.names.borrow().get(&zone).cloned().unwrap_or_else(|| format!("{:08x}", zone.0))
     }
 
-    fn say(&self, event: &ZoneEvent) {
+    /// Logs an event of the state machine.
+    fn log(&self, event: &ZoneEvent) {
         match event {
             ZoneEvent::HealthChanged { zone, before, finding: f, changes } => {
                 let text = format!(
-                    "zones: {} is {} (was {}, change {changes} here): {:.0} of {:.0} calls fail, \
-                     {} of {} destinations, as {} senders in {} zones see",
-                    self.called(*zone),
-                    word(f.health),
-                    word(*before),
+                    "zones: {} is {} (was {}, change {changes} on this sender): {:.0} of {:.0} calls and \
+                     {} of {} destinations fail, as observed by {} senders in {} zones",
+                    self.zone_name(*zone),
+                    health_name(f.health),
+                    health_name(*before),
                     f.failed_calls,
                     f.calls,
                     f.destinations.0,
@@ -314,98 +318,99 @@
             ZoneEvent::ShareChanged {
                 zone,
                 before,
-                state: course,
+                state,
                 share,
-                reason: why,
+                reason,
                 consecutive_failures: failed,
-                senders: on,
+                senders,
             } => {
                 let text = format!(
                     "zones: {} {} (term {}): {:.0} % of its share from now on; {}; failed {failed} times in \
-                     a row; on the word of {}",
-                    self.called(*zone),
-                    match (before.has_full_share(), course.level) {
+                     a row; reported by {}",
+                    self.zone_name(*zone),
+                    match (before.has_full_share(), state.level) {
                         (true, _) => "is left",
                         (false, 0) => "is left again",
                         (false, EvacuationState::FULL_SHARE) => "has its whole share again",
                         (false, _) => "is returned to",
                     },
-                    course.term,
+                    state.term,
                     100.0 * share,
-                    match why {
+                    match reason {
                         TransitionReason::Evidence => "it is found failing",
-                        TransitionReason::Quorum => "enough other senders have come as far",
-                        TransitionReason::ProbeFailed => "what was tried failed",
-                        TransitionReason::StepHeld => "what was tried held",
+                        TransitionReason::Quorum => "enough other senders have the same state",
+                        TransitionReason::ProbeFailed => "trial calls failed",
+                        TransitionReason::StepHeld => "trial calls were served",
                     },
-                    senders(on),
+                    format_senders(senders),
                 );
-                match course.is_evacuated() {
+                match state.is_evacuated() {
                     true => tracing::warn!("{text}"),
                     false => tracing::info!("{text}"),
                 }
             }
-            ZoneEvent::ContradictoryReport(place) => {
-                tracing::warn!("zones: sender {} contradicts itself", place.0)
+            ZoneEvent::ContradictoryReport(sender) => {
+                tracing::warn!("zones: sender {} sent contradictory notes", sender.0)
             }
             ZoneEvent::Isolated(true) => {
                 tracing::warn!(
-                    "zones: this sender hears no other, or all of its calls fail: what was found is kept"
+                    "zones: this sender is isolated (no notes received, or all calls fail): findings are kept"
                 );
             }
-            ZoneEvent::Isolated(false) => tracing::info!("zones: this sender is not alone any more"),
+            ZoneEvent::Isolated(false) => tracing::info!("zones: this sender is not isolated any more"),
         }
     }
 
-    /// What operators are told.
+    /// Returns the state of all zones for `/status`.
     pub fn status(&self) -> serde_json::Value {
-        let machine = self.machine.borrow();
-        let wanted = self.wanted.borrow();
-        let zones: serde_json::Map<String, serde_json::Value> = machine
+        let state_machine = self.state_machine.borrow();
+        let settings = self.settings.borrow();
+        let zones: serde_json::Map<String, serde_json::Value> = state_machine
             .statuses()
             .iter()
             .map(|(&zone, s)| {
                 let f = &s.finding;
-                let told = serde_json::json!({
-                    "standing": word(s.health),
+                let status = serde_json::json!({
+                    "standing": health_name(s.health),
                     "changes": s.health_changes,
-                    "state": state(s.phase()),
+                    "state": phase_name(s.phase()),
                     "term": s.evacuation.term,
-                    "share": machine.share(zone),
-                    "spared": self.dests(&s.exempt).iter().map(|d| d.0).collect::<Vec<_>>(),
+                    "share": state_machine.share(zone),
+                    "spared": self.destinations(&s.exempt).iter().map(|d| d.0).collect::<Vec<_>>(),
                     "failed_in_a_row": s.consecutive_failures,
                     "with": { "as_far": s.in_sync.0, "heard": s.in_sync.1 },
                     "calls": f.calls.round(),
                     "failed": f.failed_calls.round(),
                     "destinations": { "failing": f.destinations.0, "seen": f.destinations.1 },
                     "senders": f.senders.len(),
-                    "from_zones": f.sender_zones.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
-                    "against": f.opposing_zones.iter().map(|&z| self.called(z)).collect::<Vec<_>>(),
+                    "from_zones": f.sender_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
+                    "against": f.opposing_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
                 });
-                (self.called(zone), told)
+                (self.zone_name(zone), status)
             })
             .collect();
-        let (out, stay) = (&wanted.0.out, &wanted.0.stay);
+        let (out, stay) = (&settings.0.out, &settings.0.stay);
         serde_json::json!({
-            "alone": machine.is_isolated(), "leaves": wanted.0.leave, "found": zones, "out": out,
+            "alone": state_machine.is_isolated(), "leaves": settings.0.leave, "found": zones, "out": out,
             "stay": stay,
         })
     }
 }
 
-/// Senders by their numbers; of many the first.
-fn senders(on: &[SenderId]) -> String {
-    let first: Vec<String> = on.iter().take(NAMED).map(|p| p.0.to_string()).collect();
-    match on.len() {
-        0 => "nobody else".to_owned(),
+/// Lists senders by their numbers, of many only the first ones.
+fn format_senders(senders: &[SenderId]) -> String {
+    let first: Vec<String> =
+        senders.iter().take(MAX_LOGGED_SENDERS).map(|sender| sender.0.to_string()).collect();
+    match senders.len() {
+        0 => "no other sender".to_owned(),
         1 => format!("sender {}", first[0]),
-        n if n > NAMED => format!("{n} senders, such as {}", first.join(", ")),
+        n if n > MAX_LOGGED_SENDERS => format!("{n} senders, such as {}", first.join(", ")),
         _ => format!("senders {}", first.join(", ")),
     }
 }
 
-fn state(state: ZonePhase) -> &'static str {
-    match state {
+fn phase_name(phase: ZonePhase) -> &'static str {
+    match phase {
         ZonePhase::Serving => "serving",
         ZonePhase::Doubted => "doubted",
         ZonePhase::Failing => "failing",
@@ -416,8 +421,8 @@
     }
 }
 
-fn word(standing: Health) -> &'static str {
-    match standing {
+fn health_name(health: Health) -> &'static str {
+    match health {
         Health::Serving => "serving",
         Health::Doubted => "doubted",
         Health::Failing => "failing",
@@ -429,17 +434,17 @@
     use super::*;
 
     #[test]
-    fn senders_are_numbered_whether_or_not_the_list_names_this_one_too() {
-        for (listed, own) in [(5, true), (4, false)] {
-            let numbers = Numbers::of(2, 5, listed).expect("it fits");
-            assert_eq!(numbers.own_listed, own);
-            for at in 0..listed {
-                let place = numbers.place(at);
-                assert_eq!(numbers.at(place), at as u32);
-                assert_eq!(place == SenderId(2), own && at == 2);
+    fn senders_are_numbered_whether_or_not_the_list_contains_this_one() {
+        for (listed, is_own_listed) in [(5, true), (4, false)] {
+            let numbers = SenderNumbers::new(2, 5, listed).expect("it fits");
+            assert_eq!(numbers.is_own_listed, is_own_listed);
+            for index in 0..listed {
+                let sender = numbers.sender_at(index);
+                assert_eq!(numbers.index_of(sender), index as u32);
+                assert_eq!(sender == SenderId(2), is_own_listed && index == 2);
             }
         }
-        assert_eq!(Numbers::of(2, 5, 3), None);
-        assert_eq!(Numbers::of(5, 5, 5), None);
+        assert_eq!(SenderNumbers::new(2, 5, 3), None);
+        assert_eq!(SenderNumbers::new(5, 5, 5), None);
     }
 }
--- a/crates/daemon/tests/fleet/zones.rs
+++ b/crates/daemon/tests/fleet/zones.rs
@@ -49,7 +49,7 @@
 }
 
 const FAILING: &str = "zones: b is failing";
-const ALONE: &str = "zones: this sender hears no other";
+const ALONE: &str = "zones: this sender is isolated";
 
 fn all_say(fleet: &Fleet, what: &str) {
     (0..SENDERS).for_each(|i| fleet.says(i, what));
