--- a/crates/zones/src/assess.rs
+++ b/crates/zones/src/assess.rs
@@ -1,4 +1,4 @@
-//! What the pool says of each zone.
+//! Assesses the health of each zone from the pooled reports of the fleet.
 
 use crate::evacuation::{EvacuationState, ProbeResult};
 use crate::ids::{DestinationHash, SenderId, ZoneId};
@@ -6,28 +6,28 @@
 use crate::pool::ReportView;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How a zone stands.
+/// The health of a zone.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Health {
-    /// Nothing says otherwise.
+    /// No evidence of a failure.
     #[default]
     Serving,
-    /// Something fails there, and it is not enough to say that the zone does.
+    /// Some calls fail there, but the evidence does not suffice to find the zone failing.
     Doubted,
-    /// It fails.
+    /// The zone is found failing.
     Failing,
 }
 
-/// When a zone counts as failing.
+/// The thresholds at which a zone is found failing.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct FailureThresholds {
-    /// A destination fails in a zone where this share of its calls does, at least.
+    /// A destination counts as failing in a zone if at least this share of its calls there fails.
     pub failed_share: f64,
-    /// So many destinations fail there, or all that are seen there if those are at least two.
+    /// The number of destinations that must fail in the zone.
     pub destinations: usize,
-    /// Seen by so many senders,
+    /// The number of senders that must see the zone fail.
     pub senders: usize,
-    /// that stand in so many zones.
+    /// The number of zones in which those senders must run.
     pub zones: usize,
 }
 
@@ -37,37 +37,38 @@
     }
 }
 
-/// One sender's calls to one destination in one zone weigh as much as this many at most: who sees most is not
-/// believed most.
+/// The most calls that one sender's observation of one destination in one zone counts for, so that a sender
+/// with much traffic does not outweigh the others.
 const MAX_CALL_WEIGHT: u32 = 8;
-/// A zone serves, as far as others may be said to fail beside it, where less than this share fails: while
-/// all of them begin to, one must not be taken for the one that does.
+/// A zone counts as serving if less than this share of its calls fails. A zone is found failing only while
+/// some other zone serves: when all zones begin to fail, the first one must not be singled out.
 const MAX_SERVING_FAILED_SHARE: f64 = 0.2;
-/// So many senders' words are enough for a few of those that stand elsewhere to try: asking costs few calls.
+/// The number of senders that must see a zone fail before a few senders in other zones probe it. A probe
+/// costs few calls, so this number is small.
 const MIN_SENDERS_FOR_PROBES: usize = 2;
-/// Fewer calls than these say nothing.
+/// Fewer calls than this are no evidence.
 const MIN_CALLS: u32 = 2;
 
-/// What is found of a zone, and on whose evidence.
+/// The health found for a zone, and the evidence for it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Finding {
-    /// How it stands.
+    /// The health of the zone.
     pub health: Health,
-    /// Calls that failed, and all, weighed.
+    /// The weighted number of calls that failed.
     pub failed_calls: f64,
-    /// See `failed`.
+    /// The weighted number of all calls.
     pub calls: f64,
-    /// Destinations that fail there, of those that are seen there.
+    /// The number of destinations that fail in the zone, and of all that were observed there.
     pub destinations: (usize, usize),
-    /// Senders that see it fail.
+    /// The senders that see the zone fail.
     pub senders: BTreeSet<SenderId>,
-    /// Zones in which those stand.
+    /// The zones in which those senders run.
     pub sender_zones: BTreeSet<ZoneId>,
-    /// Zones whose senders see it serve.
+    /// The zones whose senders see the zone serve.
     pub opposing_zones: BTreeSet<ZoneId>,
 }
 
-/// Calls that failed and all of them, weighed.
+/// The weighted number of calls, and of those that failed.
 #[derive(Clone, Copy, Default)]
 struct WeightedCalls {
     failed: f64,
@@ -75,177 +76,194 @@
 }
 
 impl WeightedCalls {
-    fn add(&mut self, s: &Observation) {
-        let all = u32::from(s.answered) + u32::from(s.failed);
+    fn add(&mut self, observation: &Observation) {
+        let all = u32::from(observation.answered) + u32::from(observation.failed);
         let weight = f64::from(all.min(MAX_CALL_WEIGHT)) / f64::from(all.max(1));
-        self.failed += weight * f64::from(s.failed);
+        self.failed += weight * f64::from(observation.failed);
         self.calls += weight * f64::from(all);
     }
 
-    fn fails(&self, share: f64) -> bool {
-        self.calls >= f64::from(MIN_CALLS) && self.failed >= share * self.calls
+    fn is_failing(&self, failed_share: f64) -> bool {
+        self.calls >= f64::from(MIN_CALLS) && self.failed >= failed_share * self.calls
     }
 }
 
-/// What one sender, or those of one zone, see of a zone: by destination, since of those that fail fewer calls
-/// are made than of those that serve.
+/// What one sender, or all senders of one zone, observe of a zone. The calls are kept by destination, since
+/// senders make fewer calls to failing destinations than to serving ones.
 #[derive(Clone, Default)]
 struct CallsByDestination {
     by_destination: BTreeMap<DestinationHash, WeightedCalls>,
 }
 
 impl CallsByDestination {
-    fn add(&mut self, s: &Observation) {
-        self.by_destination.entry(s.destination).or_default().add(s);
+    fn add(&mut self, observation: &Observation) {
+        self.by_destination.entry(observation.destination).or_default().add(observation);
     }
 
-    /// Whether most of its destinations fail; nothing where too little was seen.
-    fn fails(&self, share: f64) -> Option<bool> {
-        let calls: f64 = self.by_destination.values().map(|s| s.calls).sum();
-        let failing = self.by_destination.values().filter(|s| s.failed > 0.0 && s.failed >= share * s.calls);
+    /// Returns whether most of the destinations fail, or `None` if too few calls were observed.
+    fn is_failing(&self, failed_share: f64) -> Option<bool> {
+        let calls: f64 = self.by_destination.values().map(|c| c.calls).sum();
+        let failing =
+            self.by_destination.values().filter(|c| c.failed > 0.0 && c.failed >= failed_share * c.calls);
         (calls >= f64::from(MIN_CALLS)).then(|| 2 * failing.count() > self.by_destination.len())
     }
 }
 
-/// Whether a sender's own word counts: one to which everything fails, and not in one zone alone, has more
-/// likely lost its own link. One with little traffic may have called nothing else of late.
-pub(crate) fn is_unreliable(seen: &[Observation]) -> bool {
-    let zones: BTreeSet<ZoneId> = seen.iter().map(|s| s.zone).collect();
-    zones.len() > 1 && seen.iter().all(|s| s.answered == 0)
+/// Returns whether a sender's observations are to be ignored: if all its calls fail, in more than one zone,
+/// it has more likely lost its own link. If they fail in a single zone they still count, since a sender with
+/// little traffic may have called no other zone recently.
+pub(crate) fn is_unreliable(observations: &[Observation]) -> bool {
+    let zones: BTreeSet<ZoneId> = observations.iter().map(|o| o.zone).collect();
+    zones.len() > 1 && observations.iter().all(|o| o.answered == 0)
 }
 
-/// Judges each zone that anything is known of, by what senders say that do not doubt themselves.
-pub(crate) fn assess_zones(words: &[ReportView<'_>], rules: &FailureThresholds) -> BTreeMap<ZoneId, Finding> {
-    let mut by_dest: BTreeMap<(ZoneId, DestinationHash), WeightedCalls> = BTreeMap::new();
-    let mut by_place: BTreeMap<(ZoneId, ZoneId), CallsByDestination> = BTreeMap::new();
+/// Assesses each zone for which there is any observation. The caller has removed the reports of senders that
+/// are unreliable (see [`is_unreliable`]).
+pub(crate) fn assess_zones(
+    reports: &[ReportView<'_>],
+    thresholds: &FailureThresholds,
+) -> BTreeMap<ZoneId, Finding> {
+    let mut by_destination: BTreeMap<(ZoneId, DestinationHash), WeightedCalls> = BTreeMap::new();
+    let mut by_sender_zone: BTreeMap<(ZoneId, ZoneId), CallsByDestination> = BTreeMap::new();
     let mut by_sender: BTreeMap<(ZoneId, SenderId), (ZoneId, CallsByDestination)> = BTreeMap::new();
-    for &ReportView { from, sender_zone: stands, observations: seen, .. } in words {
-        for s in seen {
-            by_dest.entry((s.zone, s.destination)).or_default().add(s);
-            by_place.entry((s.zone, stands)).or_default().add(s);
+    for &ReportView { from, sender_zone, observations, .. } in reports {
+        for o in observations {
+            by_destination.entry((o.zone, o.destination)).or_default().add(o);
+            by_sender_zone.entry((o.zone, sender_zone)).or_default().add(o);
             by_sender
-                .entry((s.zone, from))
-                .or_insert_with(|| (stands, CallsByDestination::default()))
+                .entry((o.zone, from))
+                .or_insert_with(|| (sender_zone, CallsByDestination::default()))
                 .1
-                .add(s);
+                .add(o);
         }
     }
-    let mut found: BTreeMap<ZoneId, Finding> = BTreeMap::new();
-    for (&(zone, _), sum) in &by_dest {
-        let f = found.entry(zone).or_default();
-        (f.failed_calls, f.calls) = (f.failed_calls + sum.failed, f.calls + sum.calls);
-        f.destinations.0 += usize::from(sum.fails(rules.failed_share));
-        f.destinations.1 += 1;
+    let mut findings: BTreeMap<ZoneId, Finding> = BTreeMap::new();
+    for (&(zone, _), calls) in &by_destination {
+        let finding = findings.entry(zone).or_default();
+        (finding.failed_calls, finding.calls) =
+            (finding.failed_calls + calls.failed, finding.calls + calls.calls);
+        finding.destinations.0 += usize::from(calls.is_failing(thresholds.failed_share));
+        finding.destinations.1 += 1;
     }
-    for (&(zone, from), (stands, view)) in &by_sender {
-        if view.fails(rules.failed_share) == Some(true) {
-            let f = found.entry(zone).or_default();
-            f.senders.insert(from);
-            f.sender_zones.insert(*stands);
+    for (&(zone, from), (sender_zone, calls)) in &by_sender {
+        if calls.is_failing(thresholds.failed_share) == Some(true) {
+            let finding = findings.entry(zone).or_default();
+            finding.senders.insert(from);
+            finding.sender_zones.insert(*sender_zone);
         }
     }
-    for (&(zone, stands), view) in &by_place {
-        // Where those of one zone see it serve, what others see may be the way there.
-        if view.fails(rules.failed_share) == Some(false) {
-            found.entry(zone).or_default().opposing_zones.insert(stands);
+    for (&(zone, sender_zone), calls) in &by_sender_zone {
+        // If the senders of one zone see it serve, the failures that others see may be on the network path.
+        if calls.is_failing(thresholds.failed_share) == Some(false) {
+            findings.entry(zone).or_default().opposing_zones.insert(sender_zone);
         }
     }
-    let serves =
+    let is_serving =
         |f: &Finding| f.calls >= f64::from(MIN_CALLS) && f.failed_calls < MAX_SERVING_FAILED_SHARE * f.calls;
-    let elsewhere = found.values().any(serves);
-    for f in found.values_mut() {
-        f.sender_zones.retain(|z| !f.opposing_zones.contains(z));
-        let enough = f.destinations.0 >= rules.destinations
-            && 2 * f.destinations.0 > f.destinations.1
-            && f.senders.len() >= rules.senders
-            && f.sender_zones.len() >= rules.zones
-            && f.opposing_zones.is_empty();
-        let some = f.destinations.0 > 0 || !f.senders.is_empty();
-        f.health = match (enough && elsewhere, some) {
+    let another_zone_serves = findings.values().any(is_serving);
+    for finding in findings.values_mut() {
+        finding.sender_zones.retain(|z| !finding.opposing_zones.contains(z));
+        let enough_evidence = finding.destinations.0 >= thresholds.destinations
+            && 2 * finding.destinations.0 > finding.destinations.1
+            && finding.senders.len() >= thresholds.senders
+            && finding.sender_zones.len() >= thresholds.zones
+            && finding.opposing_zones.is_empty();
+        let some_evidence = finding.destinations.0 > 0 || !finding.senders.is_empty();
+        finding.health = match (enough_evidence && another_zone_serves, some_evidence) {
             (true, _) => Health::Failing,
             (false, true) => Health::Doubted,
             (false, false) => Health::Serving,
         };
     }
-    found
+    findings
 }
 
-/// Where senders of one zone alone see a zone fail: it may be their way there, or nobody else calls it. It is
-/// asked about by a few that stand elsewhere.
-pub(crate) fn needs_probes(f: &Finding, rules: &FailureThresholds) -> bool {
-    f.health == Health::Doubted
-        && f.destinations.0 >= rules.destinations
-        && 2 * f.destinations.0 > f.destinations.1
-        && f.senders.len() >= MIN_SENDERS_FOR_PROBES.min(rules.senders)
-        && f.opposing_zones.is_empty()
-        && f.sender_zones.len() < rules.zones
+/// Returns whether a few senders in other zones are to probe a zone: only senders of one zone see it fail, so
+/// either their network path has failed, or no other sender calls that zone.
+pub(crate) fn needs_probes(finding: &Finding, thresholds: &FailureThresholds) -> bool {
+    finding.health == Health::Doubted
+        && finding.destinations.0 >= thresholds.destinations
+        && 2 * finding.destinations.0 > finding.destinations.1
+        && finding.senders.len() >= MIN_SENDERS_FOR_PROBES.min(thresholds.senders)
+        && finding.opposing_zones.is_empty()
+        && finding.sender_zones.len() < thresholds.zones
 }
 
-/// Destinations that are seen to serve in a zone, by two senders where there are two, and those that are seen
-/// to fail there: what a zone that fails for some is spared, and what it is not.
+/// Returns the destinations that serve in a zone, and those that fail there. A destination counts as serving
+/// if two senders (or one in a fleet of one) have called it. Serving destinations are exempt from an
+/// evacuation of the zone; failing ones are not.
 pub(crate) fn split_destinations(
     zone: ZoneId,
-    words: &[ReportView<'_>],
-    rules: &FailureThresholds,
-    fleet: usize,
+    reports: &[ReportView<'_>],
+    thresholds: &FailureThresholds,
+    fleet_size: usize,
 ) -> (BTreeSet<DestinationHash>, BTreeSet<DestinationHash>) {
-    let mut by_dest: BTreeMap<DestinationHash, (WeightedCalls, usize)> = BTreeMap::new();
-    for s in words.iter().flat_map(|w| w.observations).filter(|s| s.zone == zone) {
-        let (sum, senders) = by_dest.entry(s.destination).or_default();
-        sum.add(s);
+    let mut by_destination: BTreeMap<DestinationHash, (WeightedCalls, usize)> = BTreeMap::new();
+    for o in reports.iter().flat_map(|r| r.observations).filter(|o| o.zone == zone) {
+        let (calls, senders) = by_destination.entry(o.destination).or_default();
+        calls.add(o);
         *senders += 1;
     }
-    let enough =
-        |senders: usize, sum: &WeightedCalls| senders >= fleet.min(2) && sum.calls >= f64::from(MIN_CALLS);
-    let serves = |(sum, senders): &(WeightedCalls, usize)| {
-        enough(*senders, sum) && sum.failed < MAX_SERVING_FAILED_SHARE * sum.calls
+    let has_enough = |senders: usize, calls: &WeightedCalls| {
+        senders >= fleet_size.min(2) && calls.calls >= f64::from(MIN_CALLS)
     };
-    let fails = |(sum, _): &(WeightedCalls, usize)| sum.fails(rules.failed_share);
-    let of = |what: &dyn Fn(&(WeightedCalls, usize)) -> bool| {
-        by_dest.iter().filter(|(_, s)| what(s)).map(|(&d, _)| d).collect()
+    let is_serving = |(calls, senders): &(WeightedCalls, usize)| {
+        has_enough(*senders, calls) && calls.failed < MAX_SERVING_FAILED_SHARE * calls.calls
     };
-    (of(&serves), of(&fails))
+    let is_failing = |(calls, _): &(WeightedCalls, usize)| calls.is_failing(thresholds.failed_share);
+    let matching = |condition: &dyn Fn(&(WeightedCalls, usize)) -> bool| {
+        by_destination.iter().filter(|(_, c)| condition(c)).map(|(&d, _)| d).collect()
+    };
+    (matching(&is_serving), matching(&is_failing))
 }
 
-/// What the calls since a zone was left say of it: two senders' are wanted either way, where there are two.
-/// Only those count that have come as far or further, so that nobody's old failures or answers do; who gives
-/// the zone its whole share, in whatever term, counts where it is served. So senders that are all in
-/// different terms still agree: the first in its term hears what those after it have tried.
+/// Returns the result of the probes and calls made to a zone since its last transition. Either result needs
+/// two senders, or one in a fleet of one.
+///
+/// Only reports of senders whose evacuation state is at least as new count, so that failures and answers from
+/// an earlier step are ignored. Observations without failures also count if their sender gives the zone its
+/// full share, in any term. Thereby senders that are all in different terms still agree: the sender with the
+/// oldest term uses the results of those with newer ones.
 ///
-/// Destinations that are spared there say nothing of the rest.
+/// Observations of exempt destinations are ignored, since they are no evidence for the rest of the zone.
 pub(crate) fn probe_result(
     zone: ZoneId,
-    (course, spared): (EvacuationState, &BTreeSet<DestinationHash>),
-    words: &[ReportView<'_>],
-    rules: &FailureThresholds,
-    fleet: usize,
+    (state, exempt): (EvacuationState, &BTreeSet<DestinationHash>),
+    reports: &[ReportView<'_>],
+    thresholds: &FailureThresholds,
+    fleet_size: usize,
 ) -> ProbeResult {
-    let mut by_dest: BTreeMap<DestinationHash, WeightedCalls> = BTreeMap::new();
+    let mut by_destination: BTreeMap<DestinationHash, WeightedCalls> = BTreeMap::new();
     let mut all = WeightedCalls::default();
-    let (mut fail, mut serve) = (0, 0);
-    for word in words {
-        let theirs = word.evacuation(zone).state;
+    let (mut failing_senders, mut serving_senders) = (0, 0);
+    for report in reports {
+        let sender_state = report.evacuation(zone).state;
         let mut own = WeightedCalls::default();
-        for s in word.observations.iter().filter(|s| s.zone == zone && !spared.contains(&s.destination)) {
-            if theirs >= course || theirs.has_full_share() && s.failed == 0 {
-                by_dest.entry(s.destination).or_default().add(s);
-                own.add(s);
-                all.add(s);
+        for o in report.observations.iter().filter(|o| o.zone == zone && !exempt.contains(&o.destination)) {
+            if sender_state >= state || sender_state.has_full_share() && o.failed == 0 {
+                by_destination.entry(o.destination).or_default().add(o);
+                own.add(o);
+                all.add(o);
             }
         }
-        fail += usize::from(own.failed > 0.0 && own.failed >= rules.failed_share * own.calls);
-        serve += usize::from(own.calls > 0.0 && own.failed < MAX_SERVING_FAILED_SHARE * own.calls);
+        failing_senders += usize::from(own.failed > 0.0 && own.failed >= thresholds.failed_share * own.calls);
+        serving_senders += usize::from(own.calls > 0.0 && own.failed < MAX_SERVING_FAILED_SHARE * own.calls);
     }
-    let two = fleet.min(2);
-    let failing =
-        by_dest.values().filter(|s| s.failed > 0.0 && s.failed >= rules.failed_share * s.calls).count();
-    let serving = by_dest.values().filter(|s| s.failed < MAX_SERVING_FAILED_SHARE * s.calls).count();
-    if fail >= two && all.failed >= rules.failed_share * all.calls && 2 * failing > by_dest.len() {
+    let min_senders = fleet_size.min(2);
+    let failing = by_destination
+        .values()
+        .filter(|c| c.failed > 0.0 && c.failed >= thresholds.failed_share * c.calls)
+        .count();
+    let serving = by_destination.values().filter(|c| c.failed < MAX_SERVING_FAILED_SHARE * c.calls).count();
+    if failing_senders >= min_senders
+        && all.failed >= thresholds.failed_share * all.calls
+        && 2 * failing > by_destination.len()
+    {
         ProbeResult::Failed
-    } else if serve >= two
+    } else if serving_senders >= min_senders
         && all.calls >= f64::from(MIN_CALLS)
         && all.failed < MAX_SERVING_FAILED_SHARE * all.calls
-        && serving >= rules.destinations.min(by_dest.len())
+        && serving >= thresholds.destinations.min(by_destination.len())
     {
         ProbeResult::Passed
     } else {
@@ -257,153 +275,168 @@
 mod tests {
     use super::*;
 
-    /// Where senders stand and endpoints do; `X` is the one that is judged.
+    /// Zones in which senders run and endpoints are; `X` is the zone that is assessed.
     const A: ZoneId = ZoneId(1);
     const B: ZoneId = ZoneId(2);
     const C: ZoneId = ZoneId(3);
     const X: ZoneId = ZoneId(9);
 
-    fn seen(zone: ZoneId, dest: u32, answered: u8, failed: u8) -> Observation {
-        Observation { zone, destination: DestinationHash(dest), answered, failed }
+    fn observation(zone: ZoneId, destination: u32, answered: u8, failed: u8) -> Observation {
+        Observation { zone, destination: DestinationHash(destination), answered, failed }
     }
 
-    /// What is found of X where these senders, one after another, stand there and saw that.
-    fn found(words: &[(ZoneId, Vec<Observation>)]) -> Health {
-        let word = |(n, (stands, seen)): (usize, &'static (ZoneId, Vec<Observation>))| ReportView {
-            from: SenderId(n as u32),
-            sender_zone: *stands,
-            evacuations: &[],
-            observations: seen,
+    /// Returns the health found for X by senders in these zones that made these observations.
+    fn health(reports: &[(ZoneId, Vec<Observation>)]) -> Health {
+        let view = |(n, (sender_zone, observations)): (usize, &'static (ZoneId, Vec<Observation>))| {
+            ReportView { from: SenderId(n as u32), sender_zone: *sender_zone, evacuations: &[], observations }
         };
-        let words: &'static [(ZoneId, Vec<Observation>)] = words.to_vec().leak();
-        let words: Vec<ReportView<'_>> = words.iter().enumerate().map(word).collect();
-        let words: Vec<ReportView<'_>> =
-            words.into_iter().filter(|w| !is_unreliable(w.observations)).collect();
-        assess_zones(&words, &FailureThresholds::default()).get(&X).map_or(Health::Serving, |f| f.health)
+        let reports: &'static [(ZoneId, Vec<Observation>)] = reports.to_vec().leak();
+        let reports: Vec<ReportView<'_>> = reports.iter().enumerate().map(view).collect();
+        let reports: Vec<ReportView<'_>> =
+            reports.into_iter().filter(|r| !is_unreliable(r.observations)).collect();
+        assess_zones(&reports, &FailureThresholds::default()).get(&X).map_or(Health::Serving, |f| f.health)
     }
 
     /// Two destinations fail in X, and one serves in A.
-    fn fails() -> Vec<Observation> {
-        vec![seen(X, 1, 0, 5), seen(X, 2, 0, 5), seen(A, 1, 5, 0)]
+    fn failing() -> Vec<Observation> {
+        vec![observation(X, 1, 0, 5), observation(X, 2, 0, 5), observation(A, 1, 5, 0)]
     }
 
-    /// The same two serve.
-    fn serves() -> Vec<Observation> {
-        vec![seen(X, 1, 5, 0), seen(X, 2, 5, 0), seen(A, 1, 5, 0)]
+    /// The same two destinations serve.
+    fn serving() -> Vec<Observation> {
+        vec![observation(X, 1, 5, 0), observation(X, 2, 5, 0), observation(A, 1, 5, 0)]
     }
 
     #[test]
-    fn three_senders_in_two_zones_that_see_two_destinations_fail_are_enough_and_two_or_one_zone_are_not() {
-        assert_eq!(found(&[(A, fails()), (A, fails()), (B, fails())]), Health::Failing);
-        assert_eq!(found(&[(A, fails()), (B, fails())]), Health::Doubted, "two senders");
-        assert_eq!(found(&[(A, fails()), (A, fails()), (A, fails())]), Health::Doubted, "one zone's way");
-        assert_eq!(found(&[(A, serves()), (B, serves())]), Health::Serving);
+    fn a_zone_fails_if_three_senders_in_two_zones_see_two_destinations_fail_and_not_with_fewer() {
+        assert_eq!(health(&[(A, failing()), (A, failing()), (B, failing())]), Health::Failing);
+        assert_eq!(health(&[(A, failing()), (B, failing())]), Health::Doubted, "two senders");
+        assert_eq!(
+            health(&[(A, failing()), (A, failing()), (A, failing())]),
+            Health::Doubted,
+            "the network path of one zone"
+        );
+        assert_eq!(health(&[(A, serving()), (B, serving())]), Health::Serving);
     }
 
     #[test]
-    fn one_destination_or_a_few_of_many_are_their_own_matter() {
-        let one = || vec![seen(X, 1, 0, 9), seen(A, 1, 5, 0)];
-        assert_eq!(found(&[(A, one()), (A, one()), (B, one())]), Health::Doubted);
-        let few = || {
-            let mut all = vec![seen(A, 1, 5, 0), seen(X, 1, 0, 20), seen(X, 2, 0, 20)];
-            all.extend((3..6).map(|d| seen(X, d, 2, 0)));
+    fn a_zone_does_not_fail_if_one_destination_or_a_minority_of_them_fails() {
+        let one = || vec![observation(X, 1, 0, 9), observation(A, 1, 5, 0)];
+        assert_eq!(health(&[(A, one()), (A, one()), (B, one())]), Health::Doubted);
+        let minority = || {
+            let mut all = vec![observation(A, 1, 5, 0), observation(X, 1, 0, 20), observation(X, 2, 0, 20)];
+            all.extend((3..6).map(|d| observation(X, d, 2, 0)));
             all
         };
-        assert_eq!(found(&[(A, few()), (A, few()), (B, few())]), Health::Doubted);
+        assert_eq!(health(&[(A, minority()), (A, minority()), (B, minority())]), Health::Doubted);
     }
 
     #[test]
-    fn most_destinations_that_fail_are_not_outvoted_by_the_calls_of_one_that_serves() {
-        // Of those that fail each sender makes a call now and then, of the other one many.
-        let most = || vec![seen(X, 1, 0, 1), seen(X, 2, 0, 1), seen(X, 3, 200, 0), seen(A, 1, 5, 0)];
-        assert_eq!(found(&[(A, most()), (A, most()), (B, most())]), Health::Failing);
+    fn many_calls_to_one_serving_destination_do_not_outvote_a_majority_of_failing_ones() {
+        // Each sender makes few calls to the destinations that fail, and many to the other one.
+        let majority = || {
+            vec![
+                observation(X, 1, 0, 1),
+                observation(X, 2, 0, 1),
+                observation(X, 3, 200, 0),
+                observation(A, 1, 5, 0),
+            ]
+        };
+        assert_eq!(health(&[(A, majority()), (A, majority()), (B, majority())]), Health::Failing);
     }
 
     #[test]
-    fn two_senders_that_have_come_as_far_say_what_a_trial_came_to_and_one_or_older_words_do_not() {
+    fn a_probe_result_needs_two_senders_in_the_same_step_or_a_newer_one() {
         use crate::note::ZoneEvacuation;
-        let course = EvacuationState { term: 2, level: 1 };
+        let state = EvacuationState { term: 2, level: 1 };
         let at = |term, level| {
             vec![ZoneEvacuation { zone: X, state: EvacuationState { term, level }, consecutive_failures: 1 }]
         };
-        let (answered, failed) =
-            (vec![seen(X, 1, 3, 0), seen(X, 2, 3, 0)], vec![seen(X, 1, 0, 3), seen(X, 2, 0, 3)]);
-        let came = |words: &[(&[ZoneEvacuation], &[Observation])], spared: &[DestinationHash]| {
-            let word = |(n, &(courses, seen)): (usize, &(&[ZoneEvacuation], &[Observation]))| {
-                let seen: &'static [Observation] = seen.to_vec().leak();
-                let courses: &'static [ZoneEvacuation] = courses.to_vec().leak();
-                ReportView {
-                    from: SenderId(n as u32),
-                    sender_zone: A,
-                    evacuations: courses,
-                    observations: seen,
-                }
+        let (answered, failed) = (
+            vec![observation(X, 1, 3, 0), observation(X, 2, 3, 0)],
+            vec![observation(X, 1, 0, 3), observation(X, 2, 0, 3)],
+        );
+        let result = |reports: &[(&[ZoneEvacuation], &[Observation])], exempt: &[DestinationHash]| {
+            let view = |(n, &(evacuations, observations)): (usize, &(&[ZoneEvacuation], &[Observation]))| {
+                let observations: &'static [Observation] = observations.to_vec().leak();
+                let evacuations: &'static [ZoneEvacuation] = evacuations.to_vec().leak();
+                ReportView { from: SenderId(n as u32), sender_zone: A, evacuations, observations }
             };
-            let words: Vec<ReportView<'_>> = words.iter().enumerate().map(word).collect();
+            let reports: Vec<ReportView<'_>> = reports.iter().enumerate().map(view).collect();
             probe_result(
                 X,
-                (course, &spared.iter().copied().collect()),
-                &words,
+                (state, &exempt.iter().copied().collect()),
+                &reports,
                 &FailureThresholds::default(),
                 9,
             )
         };
-        let (same, older, later, whole) = (at(2, 1), at(2, 0), at(3, 0), at(1, EvacuationState::FULL_SHARE));
-        assert_eq!(came(&[(&same, &answered)], &[]), ProbeResult::Inconclusive, "one sender");
-        assert_eq!(came(&[(&same, &failed)], &[]), ProbeResult::Inconclusive, "one sender");
-        assert_eq!(came(&[(&same, &answered), (&same, &answered)], &[]), ProbeResult::Passed);
-        assert_eq!(came(&[(&same, &failed), (&later, &failed)], &[]), ProbeResult::Failed);
+        let (same, older, newer, full) = (at(2, 1), at(2, 0), at(3, 0), at(1, EvacuationState::FULL_SHARE));
+        assert_eq!(result(&[(&same, &answered)], &[]), ProbeResult::Inconclusive, "one sender");
+        assert_eq!(result(&[(&same, &failed)], &[]), ProbeResult::Inconclusive, "one sender");
+        assert_eq!(result(&[(&same, &answered), (&same, &answered)], &[]), ProbeResult::Passed);
+        assert_eq!(result(&[(&same, &failed), (&newer, &failed)], &[]), ProbeResult::Failed);
         assert_eq!(
-            came(&[(&same, &failed), (&older, &failed)], &[]),
+            result(&[(&same, &failed), (&older, &failed)], &[]),
             ProbeResult::Inconclusive,
-            "of the step before"
+            "one of them in the previous step"
         );
         assert_eq!(
-            came(&[(&same, &answered), (&whole, &answered)], &[]),
+            result(&[(&same, &answered), (&full, &answered)], &[]),
             ProbeResult::Passed,
-            "where it was never left"
+            "the other sender never evacuated the zone"
         );
         assert_eq!(
-            came(&[(&same, &failed), (&whole, &failed)], &[]),
+            result(&[(&same, &failed), (&full, &failed)], &[]),
             ProbeResult::Inconclusive,
-            "old failures"
+            "failures from an older term"
         );
-        let spared = [DestinationHash(1), DestinationHash(2)];
+        let exempt = [DestinationHash(1), DestinationHash(2)];
         assert_eq!(
-            came(&[(&same, &answered), (&same, &answered)], &spared),
+            result(&[(&same, &answered), (&same, &answered)], &exempt),
             ProbeResult::Inconclusive,
-            "spared ones say nothing"
+            "exempt destinations are no evidence"
         );
     }
 
     #[test]
-    fn where_those_of_one_zone_see_it_serve_it_may_be_the_way_there() {
-        let all = [(A, fails()), (A, fails()), (B, fails()), (B, fails()), (C, serves())];
-        assert_eq!(found(&all), Health::Doubted);
-        assert_eq!(found(&all[..4]), Health::Failing);
+    fn a_zone_that_the_senders_of_one_zone_see_serve_is_not_failing() {
+        let all = [(A, failing()), (A, failing()), (B, failing()), (B, failing()), (C, serving())];
+        assert_eq!(health(&all), Health::Doubted);
+        assert_eq!(health(&all[..4]), Health::Failing);
     }
 
     #[test]
-    fn senders_to_which_everything_fails_say_nothing_of_a_zone() {
-        let lost = || vec![seen(X, 1, 0, 9), seen(X, 2, 0, 9), seen(A, 1, 0, 9)];
-        let calm = vec![seen(A, 1, 9, 0)];
-        assert_eq!(found(&[(A, lost()), (B, lost()), (B, lost()), (C, calm)]), Health::Serving);
+    fn reports_of_senders_whose_calls_all_fail_are_ignored() {
+        let cut_off = || vec![observation(X, 1, 0, 9), observation(X, 2, 0, 9), observation(A, 1, 0, 9)];
+        let connected = vec![observation(A, 1, 9, 0)];
+        assert_eq!(
+            health(&[(A, cut_off()), (B, cut_off()), (B, cut_off()), (C, connected)]),
+            Health::Serving
+        );
     }
 
     #[test]
-    fn who_is_loudest_is_not_believed_most() {
-        let loud = vec![seen(X, 1, 0, 255), seen(X, 2, 0, 255), seen(A, 1, 5, 0)];
-        let quiet = || vec![seen(X, 1, 0, 2), seen(X, 2, 0, 2), seen(A, 1, 5, 0)];
-        let mut all = vec![(A, loud.clone()), (B, loud), (B, quiet())];
+    fn a_sender_with_many_calls_does_not_outweigh_the_others() {
+        let many = vec![observation(X, 1, 0, 255), observation(X, 2, 0, 255), observation(A, 1, 5, 0)];
+        let few = || vec![observation(X, 1, 0, 2), observation(X, 2, 0, 2), observation(A, 1, 5, 0)];
+        let mut all = vec![(A, many.clone()), (B, many), (B, few())];
         for _ in 0..4 {
-            all.extend([(A, serves()), (B, serves())]);
+            all.extend([(A, serving()), (B, serving())]);
         }
-        assert_eq!(found(&all), Health::Doubted);
+        assert_eq!(health(&all), Health::Doubted);
     }
 
     #[test]
-    fn where_nothing_serves_no_zone_is_the_one_that_fails() {
-        let all = || vec![seen(X, 1, 1, 5), seen(X, 2, 1, 5), seen(A, 1, 1, 5), seen(B, 1, 1, 5)];
-        assert_eq!(found(&[(A, all()), (A, all()), (B, all())]), Health::Doubted);
+    fn no_zone_is_failing_if_no_other_zone_serves() {
+        let all = || {
+            vec![
+                observation(X, 1, 1, 5),
+                observation(X, 2, 1, 5),
+                observation(A, 1, 1, 5),
+                observation(B, 1, 1, 5),
+            ]
+        };
+        assert_eq!(health(&[(A, all()), (A, all()), (B, all())]), Health::Doubted);
     }
 }
--- a/crates/zones/src/evacuation.rs
+++ b/crates/zones/src/evacuation.rs
@@ -1,21 +1,22 @@
-//! How far a zone is left, and what takes it further: the machine that all senders of a fleet run alike.
+//! How far a zone is evacuated: the state machine that each sender of a fleet runs for each zone.
 //!
-//! A [`EvacuationState`] only grows: its term with each leaving and each fall back, its level with each step
-//! of one return. Of two courses the higher one is the newer, whoever says it first, so senders that were
-//! apart agree once they hear one another. There is no clock here: callers say whether a wait is over, and a
-//! wait that is cut short or drawn out costs time, never agreement.
+//! An [`EvacuationState`] only increases: its term with each evacuation and each failed return, its level
+//! with each step of one return. Of two states the higher one is the newer, whichever sender took it first,
+//! so senders that were partitioned agree once they receive each other's notes. The state machine reads no
+//! clock: the caller passes in whether a wait has elapsed, and a wait that is cut short or extended changes
+//! how long an evacuation takes, but not whether the senders agree.
 
 use crate::ids::ZoneId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 
-/// How far a zone is left.
+/// How far a zone is evacuated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct EvacuationState {
-    /// How often the zone was left, or left anew in the middle of a return.
+    /// The number of times the zone was evacuated, including each time a return to it failed.
     pub term: u32,
-    /// 0 while it is left, 1 and on in the steps of a return, [`EvacuationState::FULL_SHARE`] once it
-    /// has its whole share.
+    /// 0 while the zone is evacuated, 1 and more in the steps of a return, and
+    /// [`EvacuationState::FULL_SHARE`] once it receives its full share.
     pub level: u8,
 }
 
@@ -25,93 +26,94 @@
     }
 }
 
-/// What the calls of this term say.
+/// The result of the calls made to a zone in the current term.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub enum ProbeResult {
-    /// Not enough.
+    /// There is not enough evidence.
     #[default]
     Inconclusive,
-    /// The zone serves what it is sent.
+    /// The zone serves the calls that it receives.
     Passed,
-    /// It does not.
+    /// The zone fails them.
     Failed,
 }
 
-/// What a sender knows when it decides.
+/// What a sender knows about a zone when it decides on a transition.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct DecisionInput {
-    /// The zone is found failing, by enough of the fleet.
+    /// Whether the zone is found failing on the evidence of enough senders.
     pub is_failing: bool,
-    /// The newest course that enough other senders have taken.
+    /// The newest state that a quorum of other senders has reached.
     pub quorum_state: Option<EvacuationState>,
-    /// What the calls of this term say.
+    /// The result of the calls made in this term.
     pub probe_result: ProbeResult,
-    /// The wait that belongs to this level is over.
+    /// Whether the minimum duration of this level has elapsed.
     pub wait_elapsed: bool,
-    /// Some other zone keeps its whole share.
+    /// Whether some other zone receives its full share.
     pub has_other_zone: bool,
-    /// Steps of a return before the whole share.
+    /// The number of steps of a return before the full share.
     pub return_steps: u8,
 }
 
-/// Why a course was taken.
+/// Why a transition was made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum TransitionReason {
-    /// The pooled evidence says so, here as elsewhere.
+    /// The pooled evidence requires it.
     Evidence,
-    /// Enough other senders had taken it.
+    /// A quorum of other senders had made it.
     Quorum,
-    /// What was tried did not hold.
+    /// The probes failed, or the calls in a step of a return.
     ProbeFailed,
-    /// The step before held.
+    /// The previous step succeeded.
     StepHeld,
 }
 
-/// One sender is never followed, however few there are.
-const MIN_FOLLOWED_SENDERS: usize = 2;
+/// The smallest quorum: a single sender is never followed, however small the fleet is.
+const MIN_QUORUM: usize = 2;
 
-/// How many of these words, newest course first, are enough to follow the last of them: so many senders',
-/// that stand in so many zones. One sender that is wrong or lies is not followed, nor are those of one zone.
-pub fn quorum_len(words: &[(EvacuationState, ZoneId)], senders: usize, zones: usize) -> Option<usize> {
-    (senders.max(MIN_FOLLOWED_SENDERS)..=words.len())
-        .find(|&n| words[..n].iter().map(|w| w.1).collect::<BTreeSet<_>>().len() >= zones)
+/// Returns how many of these states, given newest first, form a quorum, so that the last of them may be
+/// adopted: at least `senders` states, from senders in at least `zones` zones. Thereby neither a single
+/// faulty or lying sender is followed, nor the senders of a single zone.
+pub fn quorum_len(states: &[(EvacuationState, ZoneId)], senders: usize, zones: usize) -> Option<usize> {
+    (senders.max(MIN_QUORUM)..=states.len())
+        .find(|&n| states[..n].iter().map(|s| s.1).collect::<BTreeSet<_>>().len() >= zones)
 }
 
 impl EvacuationState {
-    /// The level of a zone that has its whole share.
+    /// The level of a zone that receives its full share.
     pub const FULL_SHARE: u8 = u8::MAX;
 
-    /// Whether the zone has its whole share.
+    /// Returns whether the zone receives its full share.
     pub fn has_full_share(self) -> bool {
         self.level == Self::FULL_SHARE
     }
 
-    /// Whether the zone gets nothing but what is tried.
+    /// Returns whether the zone receives nothing but probes.
     pub fn is_evacuated(self) -> bool {
         self.level == 0
     }
 
-    /// Left, from now on.
-    fn evacuated_again(self) -> Self {
+    /// Returns the state after an evacuation: the next term, at level 0.
+    fn evacuate(self) -> Self {
         Self { term: self.term.saturating_add(1), level: 0 }
     }
 
-    /// What is to be done next, and why; nothing while it stays as it is.
-    pub fn next(self, look: &DecisionInput) -> Option<(Self, TransitionReason)> {
-        // Never the last zone, on whoever's word.
-        let may = |to: &Self| look.has_other_zone || !self.has_full_share() || to.has_full_share();
-        if let Some(told) = look.quorum_state.filter(|t| *t > self && may(t)) {
-            return Some((told, TransitionReason::Quorum));
+    /// Returns the next state and the reason for it, or `None` if the state does not change.
+    pub fn next(self, input: &DecisionInput) -> Option<(Self, TransitionReason)> {
+        // The last zone with its full share is never evacuated, even if a quorum has done so.
+        let is_allowed = |to: &Self| input.has_other_zone || !self.has_full_share() || to.has_full_share();
+        if let Some(quorum_state) = input.quorum_state.filter(|s| *s > self && is_allowed(s)) {
+            return Some((quorum_state, TransitionReason::Quorum));
         }
         if self.has_full_share() {
-            return (look.is_failing && look.has_other_zone)
-                .then(|| (self.evacuated_again(), TransitionReason::Evidence));
+            return (input.is_failing && input.has_other_zone)
+                .then(|| (self.evacuate(), TransitionReason::Evidence));
         }
-        match look.probe_result {
-            // Further than it climbed: to nothing, and the wait grows.
-            ProbeResult::Failed => Some((self.evacuated_again(), TransitionReason::ProbeFailed)),
-            ProbeResult::Passed if look.wait_elapsed => {
-                let level = if self.level >= look.return_steps { Self::FULL_SHARE } else { self.level + 1 };
+        match input.probe_result {
+            // A failure at any step goes back to level 0, and the wait there grows.
+            ProbeResult::Failed => Some((self.evacuate(), TransitionReason::ProbeFailed)),
+            ProbeResult::Passed if input.wait_elapsed => {
+                let level = if self.level >= input.return_steps { Self::FULL_SHARE } else { self.level + 1 };
                 Some((Self { level, ..self }, TransitionReason::StepHeld))
             }
             ProbeResult::Passed | ProbeResult::Inconclusive => None,
@@ -123,66 +125,66 @@
 mod tests {
     use super::*;
 
-    const IN: EvacuationState = EvacuationState { term: 3, level: EvacuationState::FULL_SHARE };
+    const FULL: EvacuationState = EvacuationState { term: 3, level: EvacuationState::FULL_SHARE };
 
     fn at(level: u8) -> EvacuationState {
         EvacuationState { term: 4, level }
     }
 
     #[test]
-    fn a_zone_is_left_on_pooled_evidence_climbs_step_by_step_and_falls_to_nothing() {
-        let look = DecisionInput {
+    fn evidence_evacuates_a_zone_the_return_goes_step_by_step_and_a_failed_step_goes_back_to_level_0() {
+        let failing = DecisionInput {
             is_failing: true,
             has_other_zone: true,
             return_steps: 2,
             ..DecisionInput::default()
         };
-        assert_eq!(IN.next(&look), Some((at(0), TransitionReason::Evidence)));
-        assert_eq!(at(0).next(&look), None, "that it failed is no news to who has left");
-        let serves = DecisionInput {
+        assert_eq!(FULL.next(&failing), Some((at(0), TransitionReason::Evidence)));
+        assert_eq!(at(0).next(&failing), None, "evidence of a failure does not change an evacuated zone");
+        let passed = DecisionInput {
             probe_result: ProbeResult::Passed,
             wait_elapsed: true,
             has_other_zone: true,
             return_steps: 2,
             ..DecisionInput::default()
         };
-        assert_eq!(at(0).next(&serves), Some((at(1), TransitionReason::StepHeld)));
-        assert_eq!(at(1).next(&serves), Some((at(2), TransitionReason::StepHeld)));
-        assert_eq!(at(2).next(&serves), Some((at(EvacuationState::FULL_SHARE), TransitionReason::StepHeld)));
-        assert_eq!(at(2).next(&DecisionInput { wait_elapsed: false, ..serves }), None);
+        assert_eq!(at(0).next(&passed), Some((at(1), TransitionReason::StepHeld)));
+        assert_eq!(at(1).next(&passed), Some((at(2), TransitionReason::StepHeld)));
+        assert_eq!(at(2).next(&passed), Some((at(EvacuationState::FULL_SHARE), TransitionReason::StepHeld)));
+        assert_eq!(at(2).next(&DecisionInput { wait_elapsed: false, ..passed }), None);
         assert_eq!(
-            at(2).next(&DecisionInput { probe_result: ProbeResult::Inconclusive, ..serves }),
+            at(2).next(&DecisionInput { probe_result: ProbeResult::Inconclusive, ..passed }),
             None,
             "no step without evidence"
         );
-        let fails = DecisionInput { probe_result: ProbeResult::Failed, ..serves };
+        let failed = DecisionInput { probe_result: ProbeResult::Failed, ..passed };
         assert_eq!(
-            at(2).next(&fails),
+            at(2).next(&failed),
             Some((EvacuationState { term: 5, level: 0 }, TransitionReason::ProbeFailed))
         );
     }
 
     #[test]
-    fn what_is_newer_is_followed_what_is_older_is_not_and_never_out_of_the_last_zone() {
-        let told = |c, other| DecisionInput {
-            quorum_state: Some(c),
-            has_other_zone: other,
+    fn a_newer_quorum_state_is_adopted_an_older_one_is_not_and_the_last_zone_is_never_evacuated() {
+        let quorum = |state, has_other_zone| DecisionInput {
+            quorum_state: Some(state),
+            has_other_zone,
             return_steps: 3,
             ..DecisionInput::default()
         };
-        assert_eq!(IN.next(&told(at(0), true)), Some((at(0), TransitionReason::Quorum)));
-        assert_eq!(IN.next(&told(at(0), false)), None);
+        assert_eq!(FULL.next(&quorum(at(0), true)), Some((at(0), TransitionReason::Quorum)));
+        assert_eq!(FULL.next(&quorum(at(0), false)), None);
         assert_eq!(
-            IN.next(&told(at(EvacuationState::FULL_SHARE), false)),
+            FULL.next(&quorum(at(EvacuationState::FULL_SHARE), false)),
             Some((at(EvacuationState::FULL_SHARE), TransitionReason::Quorum))
         );
-        assert_eq!(at(1).next(&told(IN, true)), None);
-        assert_eq!(at(1).next(&told(at(3), false)), Some((at(3), TransitionReason::Quorum)));
+        assert_eq!(at(1).next(&quorum(FULL, true)), None);
+        assert_eq!(at(1).next(&quorum(at(3), false)), Some((at(3), TransitionReason::Quorum)));
         assert_eq!(
-            at(1).next(&told(EvacuationState { term: 5, level: 0 }, false)).map(|n| n.1),
+            at(1).next(&quorum(EvacuationState { term: 5, level: 0 }, false)).map(|n| n.1),
             Some(TransitionReason::Quorum)
         );
-        let alone = DecisionInput { is_failing: true, return_steps: 2, ..DecisionInput::default() };
-        assert_eq!(IN.next(&alone), None, "the last zone is never left");
+        let last_zone = DecisionInput { is_failing: true, return_steps: 2, ..DecisionInput::default() };
+        assert_eq!(FULL.next(&last_zone), None, "the last zone is never evacuated");
     }
 }
--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -1,18 +1,21 @@
-//! Whether a zone fails, as the senders of a fleet find together, and how far they leave it. No I/O and no
-//! clock: [`ZoneStateMachine`] is told what calls came to and what other senders wrote, and says what
-//! to write to whom, what it found, and what share of its calls each zone is to be sent.
+//! Zone failure detection by the senders of a fleet, and evacuation of a failing zone. The crate has no I/O
+//! and reads no clock: the caller reports to [`ZoneStateMachine`] how calls ended and which notes other
+//! senders sent, and the state machine returns the notes to send, the health that it found for each zone, and
+//! the share of its traffic that each zone is to receive.
 //!
-//! - `evidence`: what this sender saw of late, by zone and destination.
-//! - `note`: what a sender writes to others, within one datagram: its own word and nobody else's.
-//! - `pool`: the newest word of each sender. Merging is a join: in any order, doubled or late, the same words
-//!   give the same pool.
-//! - `assess`: what the pool says of each zone. No sender's word counts for more than a few calls, and one
-//!   sender, one destination or one link is never enough.
-//! - `evacuation`: how far a zone is left, and what takes it further: the same machine at each sender,
-//!   without time, so that it can be checked through all its states.
-//! - `return_schedule`: the steps of a return, and who tries.
+//! - `evidence`: how this sender's recent calls ended, by zone and destination.
+//! - `note`: the note that a sender sends to others, within one datagram. It holds the sender's own
+//!   observations only.
+//! - `pool`: the newest report of each sender. Merging is a join: the same reports in any order, duplicated
+//!   or late, give the same pool.
+//! - `assess`: the health of each zone, as the pooled reports show it. One sender's calls have a bounded
+//!   weight, and one sender, one destination or one link is never enough to find a zone failing.
+//! - `evacuation`: how far a zone is evacuated, and the transitions between these states. Each sender runs
+//!   the same state machine; it has no notion of time, so that a model checker can explore all its states.
+//! - `return_schedule`: the steps of a return to a zone, and which senders send probes.
 //!
-//! Moments are microseconds; the zero of each clock is the caller's, and no two clocks are compared.
+//! Points in time are in microseconds. The caller chooses the origin of its clock, and the times of two
+//! clocks are never compared.
 #![warn(missing_docs)]
 
 mod assess;
--- a/crates/zones/src/model.rs
+++ b/crates/zones/src/model.rs
@@ -1,10 +1,10 @@
-//! All states of a small fleet: two zones and three senders, whose notes are lost, doubled or late, which
-//! restart, and of which one may lie. The machine is the real one: courses, who is followed, and how trials
-//! are judged.
+//! Explores all states of a small fleet with a model checker: two zones and three senders, with notes that
+//! are lost, duplicated or late, senders that restart, and one sender that may lie. The state machine is the
+//! real one: evacuation states, quorums, and the assessment of probes.
 //!
-//! A note that is late is one that was heard when it was sent and acted on later, so between what a sender
-//! has heard and what is true any number of steps may lie; one that is lost was never heard. Which evidence
-//! comes when is left open, within what a zone that is up or down can give.
+//! A late note is modelled as one that is received at once and acted on later, so any number of steps may lie
+//! between what a sender has received and the present state. A lost note is one that is never received. The
+//! order in which evidence arrives is left open, within what a zone that is up or down can produce.
 
 use crate::assess::{FailureThresholds, probe_result};
 use crate::evacuation::{DecisionInput, EvacuationState, ProbeResult, TransitionReason, quorum_len};
@@ -15,87 +15,96 @@
 use std::collections::{BTreeSet, HashMap};
 use std::sync::{Arc, Mutex};
 
-const N: usize = 3;
-const Z: usize = 2;
-/// Steps of a return.
-const STEPS: u8 = 1;
+const SENDERS: usize = 3;
+const ZONES: usize = 2;
+/// The number of steps of a return.
+const RETURN_STEPS: u8 = 1;
 
-type Courses = [EvacuationState; Z];
+/// The evacuation state of each zone, at one sender.
+type Evacuations = [EvacuationState; ZONES];
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct State {
-    courses: [Courses; N],
-    heard: [[Option<Courses>; N]; N],
-    down: [bool; Z],
-    /// What may still happen: zones that turn, senders that restart.
-    turns: u8,
+struct FleetState {
+    evacuations: [Evacuations; SENDERS],
+    /// By receiver and sender: the last report received.
+    received: [[Option<Evacuations>; SENDERS]; SENDERS],
+    is_down: [bool; ZONES],
+    /// How many more times a zone may go down or recover, and a sender may restart.
+    outage_changes: u8,
     restarts: u8,
-    /// Some sender has come to a zone's whole share, or left it, against what it had: never.
-    back: bool,
+    /// Whether the evacuation state of a zone has ever decreased, or stayed the same in a transition, at some
+    /// sender. This must not happen.
+    has_regressed: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-enum Does {
-    Hear(usize, usize),
+enum Action {
+    /// The first sender receives the report of the second.
+    Receive(usize, usize),
     Restart(usize),
-    Turn(usize),
-    /// A sender decides about a zone: it is found failing, or its trials say this.
+    /// A zone goes down or recovers.
+    ChangeOutage(usize),
+    /// A sender decides about a zone: whether it is found failing, and the result of its probes.
     Decide(usize, usize, bool, ProbeResult),
-    /// A sender that lies writes this to another.
-    Lie(usize, Courses),
+    /// The lying sender sends this report to another.
+    Lie(usize, Evacuations),
 }
 
-/// What is taken out, to see that it is missed.
+/// The safeguard that is removed, to show that the model detects its absence.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Without {
     Nothing,
-    /// One sender is enough to be followed.
+    /// One sender suffices as a quorum.
     Quorum,
-    /// The last zone is left like any.
+    /// The last zone is evacuated like any other.
     LastZone,
-    /// Only calls of the very same term count.
+    /// Only calls of exactly the same term count.
     LaterTerms,
 }
 
-/// Whether fleets come to agree, by their courses and the zones that are down: many states share these.
-type AgreementCache = Mutex<HashMap<([Courses; N], [bool; Z]), bool>>;
+/// Caches whether a fleet reaches agreement, by evacuation states and zones that are down. Many states of the
+/// model share these.
+type AgreementCache = Mutex<HashMap<([Evacuations; SENDERS], [bool; ZONES]), bool>>;
 
 #[derive(Clone)]
-struct Small {
+struct SmallFleet {
     without: Without,
-    /// The last sender lies, whatever it likes, and no zone ever fails.
-    liar: bool,
-    /// Only zone 0 is ever left.
-    one: bool,
-    turns: u8,
+    /// The last sender sends any lie, and no zone ever fails.
+    has_liar: bool,
+    /// Only zone 0 is ever evacuated.
+    only_one_zone: bool,
+    outage_changes: u8,
     restarts: u8,
-    /// Terms that are looked at.
-    terms: u32,
-    known: Arc<AgreementCache>,
+    /// The highest term that is explored.
+    max_term: u32,
+    agreement_cache: Arc<AgreementCache>,
 }
 
 fn zone(z: usize) -> ZoneId {
     ZoneId(z as u32)
 }
 
-/// Two stand in the first zone, one in the second; where one lies, each stands alone.
-fn stands(i: usize, liar: bool) -> ZoneId {
-    zone(if liar { i } else { i % 2 })
+/// Returns the zone in which a sender runs: two run in the first zone and one in the second. In a fleet with
+/// a liar each runs in a zone of its own.
+fn sender_zone(i: usize, has_liar: bool) -> ZoneId {
+    zone(if has_liar { i } else { i % 2 })
 }
 
-impl Small {
-    fn told(
+impl SmallFleet {
+    fn quorum(
         &self,
         i: usize,
         z: usize,
         own: EvacuationState,
-        heard: &[Option<Courses>; N],
+        received: &[Option<Evacuations>; SENDERS],
     ) -> Option<EvacuationState> {
-        let others = (0..N).filter(|&j| j != i).filter_map(|j| Some((heard[j]?[z], stands(j, self.liar))));
-        let mut ahead: Vec<(EvacuationState, ZoneId)> = others.filter(|w| w.0 > own).collect();
-        ahead.sort_by_key(|w| std::cmp::Reverse(w.0));
+        let others = (0..SENDERS)
+            .filter(|&j| j != i)
+            .filter_map(|j| Some((received[j]?[z], sender_zone(j, self.has_liar))));
+        let mut ahead: Vec<(EvacuationState, ZoneId)> = others.filter(|s| s.0 > own).collect();
+        ahead.sort_by_key(|s| std::cmp::Reverse(s.0));
         match self.without {
-            Without::Quorum => ahead.first().map(|w| w.0),
+            Without::Quorum => ahead.first().map(|s| s.0),
             _ => quorum_len(&ahead, 2, 2).map(|n| ahead[n - 1].0),
         }
     }
@@ -104,248 +113,279 @@
         &self,
         i: usize,
         z: usize,
-        courses: &Courses,
-        heard: &[Option<Courses>; N],
+        evacuations: &Evacuations,
+        received: &[Option<Evacuations>; SENDERS],
         evidence: (bool, ProbeResult),
     ) -> Option<(EvacuationState, TransitionReason)> {
-        let other = courses[1 - z].has_full_share() || self.without == Without::LastZone;
-        let told = self.told(i, z, courses[z], heard);
-        let (failing, trial) = evidence;
-        courses[z].next(&DecisionInput {
-            is_failing: failing,
-            quorum_state: told,
-            probe_result: trial,
+        let has_other_zone = evacuations[1 - z].has_full_share() || self.without == Without::LastZone;
+        let quorum_state = self.quorum(i, z, evacuations[z], received);
+        let (is_failing, probe_result) = evidence;
+        evacuations[z].next(&DecisionInput {
+            is_failing,
+            quorum_state,
+            probe_result,
             wait_elapsed: true,
-            has_other_zone: other,
-            return_steps: STEPS,
+            has_other_zone,
+            return_steps: RETURN_STEPS,
         })
     }
 
-    /// What trials say to a sender that has heard all, while the zones are as they are: the real judgement.
-    fn judged(&self, i: usize, z: usize, all: &[Courses; N], down: bool) -> ProbeResult {
-        let (answered, failed) = if down { (0, 2) } else { (2, 0) };
-        let seen: Vec<Observation> = (0..2)
+    /// Returns the result of probes for a sender that has received all reports, while the zones stay as they
+    /// are, by the real assessment.
+    fn probe_result(&self, i: usize, z: usize, all: &[Evacuations; SENDERS], is_down: bool) -> ProbeResult {
+        let (answered, failed) = if is_down { (0, 2) } else { (2, 0) };
+        let observations: Vec<Observation> = (0..2)
             .map(|d| Observation { zone: zone(z), destination: DestinationHash(d), answered, failed })
             .collect();
-        let taken = |j: usize| {
-            let same = |c: EvacuationState| self.without != Without::LaterTerms || c.term == all[i][z].term;
-            let course = if same(all[j][z]) || all[j][z].has_full_share() {
+        let evacuation = |j: usize| {
+            let is_counted =
+                |e: EvacuationState| self.without != Without::LaterTerms || e.term == all[i][z].term;
+            let state = if is_counted(all[j][z]) || all[j][z].has_full_share() {
                 all[j][z]
             } else {
                 EvacuationState::default()
             };
-            let hidden = course != all[j][z];
-            (vec![ZoneEvacuation { zone: zone(z), state: course, consecutive_failures: 0 }], hidden)
+            let is_hidden = state != all[j][z];
+            (vec![ZoneEvacuation { zone: zone(z), state, consecutive_failures: 0 }], is_hidden)
         };
-        let taken: Vec<_> = (0..N).map(taken).collect();
-        let words: Vec<ReportView<'_>> = (0..N)
-            .filter(|&j| !taken[j].1)
+        let evacuations: Vec<_> = (0..SENDERS).map(evacuation).collect();
+        let reports: Vec<ReportView<'_>> = (0..SENDERS)
+            .filter(|&j| !evacuations[j].1)
             .map(|j| ReportView {
                 from: SenderId(j as u32),
-                sender_zone: stands(j, self.liar),
-                evacuations: &taken[j].0,
-                observations: &seen,
+                sender_zone: sender_zone(j, self.has_liar),
+                evacuations: &evacuations[j].0,
+                observations: &observations,
             })
             .collect();
-        probe_result(zone(z), (all[i][z], &BTreeSet::new()), &words, &FailureThresholds::default(), N)
+        probe_result(zone(z), (all[i][z], &BTreeSet::new()), &reports, &FailureThresholds::default(), SENDERS)
     }
 
-    /// Whether a fleet in this state comes to leave just the zones that are down, once all hear all.
-    fn heals(&self, state: &State, down: [bool; Z]) -> bool {
-        let key = (state.courses, down);
-        let known = self.known.lock().expect("sound").get(&key).copied();
-        known.unwrap_or_else(|| {
-            let heals = self.agrees(state.courses, down);
-            self.known.lock().expect("sound").insert(key, heals);
-            heals
+    /// Returns whether a fleet in this state evacuates exactly the zones that are down, once all senders
+    /// receive all reports.
+    fn converges(&self, state: &FleetState, is_down: [bool; ZONES]) -> bool {
+        let key = (state.evacuations, is_down);
+        let cached = self.agreement_cache.lock().expect("not poisoned").get(&key).copied();
+        cached.unwrap_or_else(|| {
+            let converges = self.reaches_agreement(state.evacuations, is_down);
+            self.agreement_cache.lock().expect("not poisoned").insert(key, converges);
+            converges
         })
     }
 
-    fn agrees(&self, mut courses: [Courses; N], down: [bool; Z]) -> bool {
+    fn reaches_agreement(&self, mut evacuations: [Evacuations; SENDERS], is_down: [bool; ZONES]) -> bool {
         for _ in 0..12 {
-            let before = courses;
-            for i in 0..N {
-                for z in 0..Z {
-                    let heard = courses.map(Some);
-                    let failing = down[z] && courses[i][z].has_full_share();
-                    let evidence = (failing, self.judged(i, z, &courses, down[z]));
-                    if let Some((course, _)) = self.decide(i, z, &courses[i], &heard, evidence) {
-                        courses[i][z] = course;
+            let before = evacuations;
+            for i in 0..SENDERS {
+                for z in 0..ZONES {
+                    let received = evacuations.map(Some);
+                    let is_failing = is_down[z] && evacuations[i][z].has_full_share();
+                    let evidence = (is_failing, self.probe_result(i, z, &evacuations, is_down[z]));
+                    if let Some((state, _)) = self.decide(i, z, &evacuations[i], &received, evidence) {
+                        evacuations[i][z] = state;
                     }
                 }
             }
-            if courses == before {
+            if evacuations == before {
                 break;
             }
         }
-        let right =
-            |c: &Courses| (0..Z).all(|z| if down[z] { c[z].is_evacuated() } else { c[z].has_full_share() });
-        courses.iter().all(right)
+        let is_right = |e: &Evacuations| {
+            (0..ZONES).all(|z| if is_down[z] { e[z].is_evacuated() } else { e[z].has_full_share() })
+        };
+        evacuations.iter().all(is_right)
     }
 }
 
-impl Model for Small {
-    type State = State;
-    type Action = Does;
+impl Model for SmallFleet {
+    type State = FleetState;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<State> {
-        vec![State {
-            courses: Default::default(),
-            heard: Default::default(),
-            down: [false; Z],
-            turns: self.turns,
+    fn init_states(&self) -> Vec<FleetState> {
+        vec![FleetState {
+            evacuations: Default::default(),
+            received: Default::default(),
+            is_down: [false; ZONES],
+            outage_changes: self.outage_changes,
             restarts: self.restarts,
-            back: false,
+            has_regressed: false,
         }]
     }
 
-    fn actions(&self, state: &State, all: &mut Vec<Does>) {
-        let honest = if self.liar { N - 1 } else { N };
-        let zones = if self.one { 1 } else { Z };
+    fn actions(&self, state: &FleetState, all: &mut Vec<Action>) {
+        let honest = if self.has_liar { SENDERS - 1 } else { SENDERS };
+        let zones = if self.only_one_zone { 1 } else { ZONES };
         for i in 0..honest {
-            all.extend((0..honest).filter(|&j| j != i).map(|j| Does::Hear(i, j)));
+            all.extend((0..honest).filter(|&j| j != i).map(|j| Action::Receive(i, j)));
             if state.restarts > 0 {
-                all.push(Does::Restart(i));
+                all.push(Action::Restart(i));
             }
             for z in 0..zones {
-                all.push(Does::Decide(i, z, false, ProbeResult::Inconclusive));
-                if state.down[z] {
-                    all.push(Does::Decide(i, z, true, ProbeResult::Inconclusive));
-                    all.push(Does::Decide(i, z, false, ProbeResult::Failed));
+                all.push(Action::Decide(i, z, false, ProbeResult::Inconclusive));
+                if state.is_down[z] {
+                    all.push(Action::Decide(i, z, true, ProbeResult::Inconclusive));
+                    all.push(Action::Decide(i, z, false, ProbeResult::Failed));
                 } else {
-                    all.push(Does::Decide(i, z, false, ProbeResult::Passed));
+                    all.push(Action::Decide(i, z, false, ProbeResult::Passed));
                 }
             }
-            if self.liar {
+            if self.has_liar {
                 let level = [0, 1, EvacuationState::FULL_SHARE];
                 let lies =
-                    (0..=self.terms).flat_map(|term| level.map(|level| EvacuationState { term, level }));
-                all.extend(lies.map(|c| Does::Lie(i, [c, EvacuationState::default()])));
+                    (0..=self.max_term).flat_map(|term| level.map(|level| EvacuationState { term, level }));
+                all.extend(lies.map(|s| Action::Lie(i, [s, EvacuationState::default()])));
             }
         }
-        // One at a time, as at least one zone always serves.
-        let some_down = state.down.contains(&true);
-        if state.turns > 0 && !self.liar {
-            all.extend((0..zones).filter(|&z| state.down[z] || !some_down).map(Does::Turn));
+        // One zone is down at a time, since at least one zone always serves.
+        let is_any_down = state.is_down.contains(&true);
+        if state.outage_changes > 0 && !self.has_liar {
+            all.extend((0..zones).filter(|&z| state.is_down[z] || !is_any_down).map(Action::ChangeOutage));
         }
     }
 
-    fn next_state(&self, last: &State, does: Does) -> Option<State> {
+    fn next_state(&self, last: &FleetState, action: Action) -> Option<FleetState> {
         let mut state = last.clone();
-        match does {
-            Does::Hear(i, j) => state.heard[i][j] = Some(state.courses[j]),
-            Does::Lie(i, courses) => state.heard[i][N - 1] = Some(courses),
-            Does::Turn(z) => {
-                state.down[z] = !state.down[z];
-                state.turns -= 1;
+        match action {
+            Action::Receive(i, j) => state.received[i][j] = Some(state.evacuations[j]),
+            Action::Lie(i, evacuations) => state.received[i][SENDERS - 1] = Some(evacuations),
+            Action::ChangeOutage(z) => {
+                state.is_down[z] = !state.is_down[z];
+                state.outage_changes -= 1;
             }
-            Does::Restart(i) => {
-                state.courses[i] = Courses::default();
-                state.heard[i] = Default::default();
+            Action::Restart(i) => {
+                state.evacuations[i] = Evacuations::default();
+                state.received[i] = Default::default();
                 state.restarts -= 1;
             }
-            Does::Decide(i, z, failing, trial) => {
-                let (course, _) = self.decide(i, z, &state.courses[i], &state.heard[i], (failing, trial))?;
-                state.back |= course <= state.courses[i][z];
-                state.courses[i][z] = course;
+            Action::Decide(i, z, is_failing, probe_result) => {
+                let (next, _) =
+                    self.decide(i, z, &state.evacuations[i], &state.received[i], (is_failing, probe_result))?;
+                state.has_regressed |= next <= state.evacuations[i][z];
+                state.evacuations[i][z] = next;
             }
         }
         (state != *last).then_some(state)
     }
 
-    fn within_boundary(&self, state: &State) -> bool {
-        state.courses.iter().flatten().all(|c| c.term <= self.terms)
+    fn within_boundary(&self, state: &FleetState) -> bool {
+        state.evacuations.iter().flatten().all(|e| e.term <= self.max_term)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("a course only grows", |_, s: &State| !s.back),
-            Property::always("no sender leaves all zones", |_, s: &State| {
-                s.courses.iter().all(|c| c.iter().any(|z| z.has_full_share()))
-            }),
-            Property::always("one that lies leaves nothing", |m: &Small, s: &State| {
-                !m.liar || s.courses.iter().flatten().all(|c| c.has_full_share())
+            Property::always("an evacuation state only increases", |_, s: &FleetState| !s.has_regressed),
+            Property::always("no sender evacuates all zones", |_, s: &FleetState| {
+                s.evacuations.iter().all(|e| e.iter().any(|z| z.has_full_share()))
             }),
-            Property::always("the fleet agrees once all hear all", |m: &Small, s: &State| {
-                let downs = [[false, false], [true, false], [false, true]];
-                m.liar || downs.into_iter().filter(|d| !(m.one && d[1])).all(|d| m.heals(s, d))
+            Property::always("a lying sender causes no evacuation", |m: &SmallFleet, s: &FleetState| {
+                !m.has_liar || s.evacuations.iter().flatten().all(|e| e.has_full_share())
             }),
-            Property::sometimes("a zone is left by all", |m: &Small, s: &State| {
-                m.liar || s.courses.iter().all(|c| c[0].is_evacuated())
+            Property::always(
+                "the fleet agrees once all reports are received",
+                |m: &SmallFleet, s: &FleetState| {
+                    let outages = [[false, false], [true, false], [false, true]];
+                    m.has_liar
+                        || outages
+                            .into_iter()
+                            .filter(|d| !(m.only_one_zone && d[1]))
+                            .all(|d| m.converges(s, d))
+                },
+            ),
+            Property::sometimes("all senders evacuate a zone", |m: &SmallFleet, s: &FleetState| {
+                m.has_liar || s.evacuations.iter().all(|e| e[0].is_evacuated())
             }),
-            Property::sometimes("and returned to by all", |m: &Small, s: &State| {
-                m.liar || s.courses.iter().all(|c| c[0].has_full_share() && c[0].term > 0)
+            Property::sometimes("all senders return to it", |m: &SmallFleet, s: &FleetState| {
+                m.has_liar || s.evacuations.iter().all(|e| e[0].has_full_share() && e[0].term > 0)
             }),
         ]
     }
 }
 
-/// Looks at all states, or at those within so many steps; gives how many there were, and what is broken with
-/// a way there.
-fn check(small: &Small, depth: Option<usize>) -> (usize, Vec<(&'static str, Vec<Does>)>) {
-    // One thread, so that states come in the same order each time.
-    let checker = small.clone().checker().finish_when(HasDiscoveries::AnyFailures).threads(1);
+/// Explores all states, or those within `depth` steps. Returns the number of states and the violated
+/// properties, each with the actions that lead to a violation.
+fn check(model: &SmallFleet, depth: Option<usize>) -> (usize, Vec<(&'static str, Vec<Action>)>) {
+    // One thread, so that the states are explored in the same order each time.
+    let checker = model.clone().checker().finish_when(HasDiscoveries::AnyFailures).threads(1);
     let checker = depth.into_iter().fold(checker, |c, depth| c.target_max_depth(depth));
     let checker = checker.spawn_bfs().join();
-    let mut broken = Vec::new();
-    for property in small.properties() {
+    let mut violations = Vec::new();
+    for property in model.properties() {
         match (checker.discovery(property.name), property.expectation) {
-            (Some(path), Expectation::Always) => broken.push((property.name, path.into_actions())),
-            (None, Expectation::Sometimes) if depth.is_none() => broken.push((property.name, Vec::new())),
+            (Some(path), Expectation::Always) => violations.push((property.name, path.into_actions())),
+            (None, Expectation::Sometimes) if depth.is_none() => violations.push((property.name, Vec::new())),
             _ => {}
         }
     }
-    (checker.unique_state_count(), broken)
+    (checker.unique_state_count(), violations)
 }
 
-fn one() -> Small {
-    let (without, known) = (Without::Nothing, Arc::default());
-    Small { without, liar: false, one: true, turns: 2, restarts: 1, terms: 2, known }
+/// Returns a fleet of which one zone fails and recovers, with one restart and two terms.
+fn one_zone() -> SmallFleet {
+    let (without, agreement_cache) = (Without::Nothing, Arc::default());
+    SmallFleet {
+        without,
+        has_liar: false,
+        only_one_zone: true,
+        outage_changes: 2,
+        restarts: 1,
+        max_term: 2,
+        agreement_cache,
+    }
 }
 
-fn holds(what: &str, small: &Small) {
-    let (states, broken) = check(small, None);
-    println!("{what}: {states} states");
-    assert!(broken.is_empty(), "{what}: {broken:?}");
+fn assert_holds(name: &str, model: &SmallFleet) {
+    let (states, violations) = check(model, None);
+    println!("{name}: {states} states");
+    assert!(violations.is_empty(), "{name}: {violations:?}");
 }
 
 #[test]
-fn one_zone_that_fails_and_comes_back_and_one_that_does_while_a_sender_restarts() {
-    holds("one zone, two terms", &Small { restarts: 0, ..one() });
-    holds("one zone, one restart", &Small { terms: 1, ..one() });
+fn properties_hold_while_one_zone_fails_and_recovers_and_while_a_sender_restarts() {
+    assert_holds("one zone, two terms", &SmallFleet { restarts: 0, ..one_zone() });
+    assert_holds("one zone, one restart", &SmallFleet { max_term: 1, ..one_zone() });
 }
 
 #[test]
-fn two_zones_that_fail_one_after_the_other() {
-    holds("two zones", &Small { one: false, restarts: 0, terms: 1, ..one() });
+fn properties_hold_while_two_zones_fail_one_after_the_other() {
+    assert_holds("two zones", &SmallFleet { only_one_zone: false, restarts: 0, max_term: 1, ..one_zone() });
 }
 
 #[test]
-fn a_sender_that_lies() {
-    holds("one that lies", &Small { liar: true, turns: 0, ..one() });
+fn properties_hold_while_a_sender_lies() {
+    assert_holds("a lying sender", &SmallFleet { has_liar: true, outage_changes: 0, ..one_zone() });
 }
 
-/// The shortest way to what is broken where a guard is taken out.
-fn missed(small: &Small, what: &str) {
-    let within = |depth| check(small, Some(depth)).1.into_iter().next();
-    let (name, way) = (1..20).find_map(within).expect("something is broken");
-    println!("without {:?}, {name}: {way:?}", small.without);
-    assert_eq!(name, what);
+/// Finds the shortest way to a violation where a safeguard is removed, and checks which property is violated.
+fn assert_violates(model: &SmallFleet, property: &str) {
+    let within = |depth| check(model, Some(depth)).1.into_iter().next();
+    let (name, actions) = (1..20).find_map(within).expect("a property is violated");
+    println!("without {:?}, {name}: {actions:?}", model.without);
+    assert_eq!(name, property);
 }
 
 #[test]
-fn without_a_quorum_one_that_lies_is_followed() {
-    let small = Small { without: Without::Quorum, liar: true, turns: 0, ..one() };
-    missed(&small, "one that lies leaves nothing");
+fn without_a_quorum_a_lying_sender_is_followed() {
+    let model = SmallFleet { without: Without::Quorum, has_liar: true, outage_changes: 0, ..one_zone() };
+    assert_violates(&model, "a lying sender causes no evacuation");
 }
 
 #[test]
-fn without_care_for_the_last_zone_all_are_left() {
-    let small = Small { without: Without::LastZone, one: false, restarts: 0, turns: 3, terms: 1, ..one() };
-    missed(&small, "no sender leaves all zones");
+fn without_the_rule_for_the_last_zone_all_zones_are_evacuated() {
+    let model = SmallFleet {
+        without: Without::LastZone,
+        only_one_zone: false,
+        restarts: 0,
+        outage_changes: 3,
+        max_term: 1,
+        ..one_zone()
+    };
+    assert_violates(&model, "no sender evacuates all zones");
 }
 
 #[test]
-fn where_only_the_very_same_term_counts_a_fleet_stays_split() {
-    missed(&Small { without: Without::LaterTerms, ..one() }, "the fleet agrees once all hear all");
+fn if_only_calls_of_the_same_term_count_a_fleet_does_not_reach_agreement() {
+    assert_violates(
+        &SmallFleet { without: Without::LaterTerms, ..one_zone() },
+        "the fleet agrees once all reports are received",
+    );
 }
--- a/crates/zones/src/note.rs
+++ b/crates/zones/src/note.rs
@@ -1,140 +1,145 @@
-//! What a sender writes to others: what it saw of late and how far it has left zones, in one datagram.
+//! The note that a sender sends to others: its recent observations and how far it has evacuated zones, in one
+//! datagram.
 //!
-//! It speaks for itself alone. Words of others are not passed on: nobody could tell who made them up, and
-//! each sender hears enough of the fleet at first hand.
+//! A note holds its sender's own report only. Reports of others are not forwarded, since their origin could
+//! not be verified, and each sender receives enough reports directly.
 
 use crate::evacuation::EvacuationState;
 use crate::ids::{DestinationHash, ZoneId};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of such a note; others on the same address begin with another.
+/// The first byte of a note of this format. Other notes on the same address begin with other bytes.
 pub const NOTE_FORMAT: u8 = 0xd3;
-/// A longer datagram is not allowed.
+/// The maximum length of a datagram between senders.
 pub const MAX_NOTE_BYTES: usize = 256;
-/// Pairs and courses in a note: more do not fit.
+/// The maximum numbers of observations and evacuations in a note; more do not fit.
 const MAX_OBSERVATIONS: usize = 32;
 const MAX_EVACUATIONS: usize = 6;
 
-/// What a sender saw of a destination's endpoints in one zone, within the window.
+/// What a sender observed of the endpoints of a destination in one zone, within the evidence window.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Observation {
-    /// Where.
+    /// The zone of the endpoints.
     pub zone: ZoneId,
-    /// Of which destination.
+    /// Their destination.
     pub destination: DestinationHash,
-    /// Calls that were answered, 255 at most.
+    /// The number of calls that were answered, 255 at most.
     pub answered: u8,
-    /// Calls that failed, 255 at most.
+    /// The number of calls that failed, 255 at most.
     pub failed: u8,
 }
 
-/// How far a sender has left a zone.
+/// How far a sender has evacuated a zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ZoneEvacuation {
-    /// Which.
+    /// The zone.
     pub zone: ZoneId,
-    /// How far.
+    /// How far it is evacuated.
     pub state: EvacuationState,
-    /// How often in a row it has failed.
+    /// The number of times in a row that it has failed.
     pub consecutive_failures: u8,
 }
 
-/// What one sender says.
+/// The report of one sender.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// Where it stands.
+    /// The zone in which the sender runs.
     pub sender_zone: ZoneId,
-    /// Its process: drawn at each start.
+    /// The process of the sender: a random number drawn at each start.
     pub incarnation: u32,
-    /// Later reports of one process have higher numbers.
+    /// Increases with each report of one incarnation.
     pub sequence: u32,
-    /// How far it has left zones; those that were never left are not named.
+    /// How far the sender has evacuated zones. Zones that it never evacuated are left out.
     pub evacuations: Vec<ZoneEvacuation>,
-    /// What it saw.
+    /// The sender's observations.
     pub observations: Vec<Observation>,
 }
 
-/// Writes a report, as much of it as fits: what stands first in it is what matters most.
+/// Encodes a report. What does not fit is cut off, so the most important entries come first in each list.
 pub fn encode(report: &Report) -> Vec<u8> {
     let mut report = report.clone();
     report.evacuations.truncate(MAX_EVACUATIONS);
     report.observations.truncate(MAX_OBSERVATIONS);
     loop {
-        let mut all = vec![NOTE_FORMAT];
-        all.extend(postcard::to_allocvec(&report).unwrap_or_default());
-        if all.len() <= MAX_NOTE_BYTES || report.observations.pop().is_none() {
-            return all;
+        let mut bytes = vec![NOTE_FORMAT];
+        bytes.extend(postcard::to_allocvec(&report).unwrap_or_default());
+        if bytes.len() <= MAX_NOTE_BYTES || report.observations.pop().is_none() {
+            return bytes;
         }
     }
 }
 
-/// Reads a note; nothing where it is none.
+/// Decodes a note. Returns `None` if the bytes are not a valid note of this format.
 pub fn decode(bytes: &[u8]) -> Option<Report> {
     let body = bytes.strip_prefix(&[NOTE_FORMAT])?;
     if bytes.len() > MAX_NOTE_BYTES {
         return None;
     }
     let (report, rest) = postcard::take_from_bytes::<Report>(body).ok()?;
-    let sound = rest.is_empty()
+    let is_valid = rest.is_empty()
         && report.observations.len() <= MAX_OBSERVATIONS
         && report.evacuations.len() <= MAX_EVACUATIONS
-        && report.observations.iter().all(|s| s.answered | s.failed > 0);
-    sound.then_some(report)
+        && report.observations.iter().all(|o| o.answered | o.failed > 0);
+    is_valid.then_some(report)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
 
-    fn report(pairs: u32, courses: u32) -> Report {
-        let seen = |n| Observation {
+    fn report(observations: u32, evacuations: u32) -> Report {
+        let observation = |n| Observation {
             zone: ZoneId(u32::MAX - n),
             destination: DestinationHash(u32::MAX - n),
             answered: 255,
             failed: 255,
         };
-        let course = EvacuationState { term: u32::MAX, level: 254 };
-        let taken =
-            |n| ZoneEvacuation { zone: ZoneId(u32::MAX - n), state: course, consecutive_failures: 255 };
+        let state = EvacuationState { term: u32::MAX, level: 254 };
+        let evacuation = |n| ZoneEvacuation { zone: ZoneId(u32::MAX - n), state, consecutive_failures: 255 };
         Report {
             sender_zone: ZoneId(u32::MAX),
             incarnation: u32::MAX,
             sequence: u32::MAX,
-            evacuations: (0..courses).map(taken).collect(),
-            observations: (0..pairs).map(seen).collect(),
+            evacuations: (0..evacuations).map(evacuation).collect(),
+            observations: (0..observations).map(observation).collect(),
         }
     }
 
     #[test]
-    fn what_is_written_is_read_and_never_too_long() {
-        for (pairs, courses) in [(0, 0), (1, 1), (100, 0), (100, 100), (0, 100)] {
-            let (all, bytes) = (report(pairs, courses), encode(&report(pairs, courses)));
-            assert!(bytes.len() <= MAX_NOTE_BYTES, "{pairs} and {courses}: {}", bytes.len());
-            let read = decode(&bytes).expect("it is one");
+    fn an_encoded_report_is_decoded_and_never_too_long() {
+        for (observations, evacuations) in [(0, 0), (1, 1), (100, 0), (100, 100), (0, 100)] {
+            let (all, bytes) =
+                (report(observations, evacuations), encode(&report(observations, evacuations)));
+            assert!(bytes.len() <= MAX_NOTE_BYTES, "{observations} and {evacuations}: {}", bytes.len());
+            let decoded = decode(&bytes).expect("a valid note");
             assert!(
-                all.observations.starts_with(&read.observations)
-                    && all.evacuations.starts_with(&read.evacuations)
+                all.observations.starts_with(&decoded.observations)
+                    && all.evacuations.starts_with(&decoded.evacuations)
+            );
+            assert!(decoded.evacuations.len() >= all.evacuations.len().min(MAX_EVACUATIONS));
+            assert!(
+                decoded.observations.len() >= all.observations.len().min(9),
+                "{}",
+                decoded.observations.len()
             );
-            assert!(read.evacuations.len() >= all.evacuations.len().min(MAX_EVACUATIONS));
-            assert!(read.observations.len() >= all.observations.len().min(9), "{}", read.observations.len());
         }
     }
 
     #[test]
-    fn what_is_cut_changed_or_another_note_is_passed_over_or_read_as_what_it_says() {
+    fn a_truncated_note_or_one_of_another_format_is_rejected_and_a_corrupt_one_does_not_panic() {
         let bytes = encode(&report(3, 2));
-        for cut in 0..bytes.len() {
-            assert_eq!(decode(&bytes[..cut]), None, "cut at {cut}");
+        for len in 0..bytes.len() {
+            assert_eq!(decode(&bytes[..len]), None, "truncated to {len} bytes");
         }
-        for at in 0..bytes.len() {
+        for index in 0..bytes.len() {
             for bit in 0..8 {
-                let mut wrong = bytes.clone();
-                wrong[at] ^= 1 << bit;
-                let _ = decode(&wrong);
+                let mut corrupt = bytes.clone();
+                corrupt[index] ^= 1 << bit;
+                let _ = decode(&corrupt);
             }
         }
         assert_eq!(decode(&[&bytes[..], &[0]].concat()), None);
         assert_eq!(decode(&[0xd1, 0, 1]), None);
-        assert_eq!(decode(&[0xd2, 0]), None, "the form of the build before");
+        assert_eq!(decode(&[0xd2, 0]), None, "the format of the previous build");
     }
 }
--- a/crates/zones/src/pool.rs
+++ b/crates/zones/src/pool.rs
@@ -1,4 +1,4 @@
-//! The newest word of each sender.
+//! The newest report of each sender.
 
 use crate::evacuation::EvacuationState;
 use crate::evidence::EVIDENCE_WINDOW;
@@ -6,34 +6,35 @@
 use crate::note::{Observation, Report, ZoneEvacuation};
 use std::collections::BTreeMap;
 
-/// Senders whose word is kept: a fleet of hundreds. Beyond, the one whose word is oldest gives way.
+/// The maximum number of senders whose report is kept; fleets have hundreds. A further sender replaces the
+/// one whose report is oldest.
 const MAX_SENDERS: usize = 1_024;
-/// Lives of a sender that are remembered as over.
+/// The maximum number of ended incarnations that are remembered for each sender.
 const MAX_ENDED_INCARNATIONS: usize = 4;
 
-/// What came of a report.
+/// The result of merging a report into the pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MergeResult {
-    /// It is the newest of its sender.
+    /// The report is the newest of its sender and was taken in.
     Accepted,
-    /// It was known, or one after it is.
+    /// The same report or a newer one was received before.
     Stale,
-    /// It is of a process that another one has taken the place of.
+    /// The report comes from an incarnation that another one has replaced.
     EndedIncarnation,
-    /// It contradicts what its sender wrote under the same number: the first one counts.
+    /// The report differs from an earlier one with the same sequence number. The first one counts.
     Contradictory,
 }
 
-/// The newest word of a sender.
+/// The newest report of a sender.
 #[derive(Clone, Debug)]
 pub(crate) struct PoolEntry {
     ended_incarnations: Vec<u32>,
-    /// When it came.
+    /// When the report was received.
     pub received_at: Micros,
     pub report: Report,
 }
 
-/// One writer's word, as it is weighed: its own senders' as well as others'.
+/// A report as it is assessed: this sender's own as well as those of others.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ReportView<'a> {
     pub from: SenderId,
@@ -43,35 +44,35 @@
 }
 
 impl ReportView<'_> {
-    /// How far its sender has left a zone.
+    /// Returns how far the sender has evacuated a zone.
     pub fn evacuation(&self, zone: ZoneId) -> ZoneEvacuation {
         let never = ZoneEvacuation { zone, state: EvacuationState::default(), consecutive_failures: 0 };
-        self.evacuations.iter().find(|t| t.zone == zone).copied().unwrap_or(never)
+        self.evacuations.iter().find(|e| e.zone == zone).copied().unwrap_or(never)
     }
 }
 
-/// The newest word of each sender.
+/// The newest report of each sender.
 #[derive(Clone, Debug, Default)]
 pub struct ReportPool {
     entries: BTreeMap<SenderId, PoolEntry>,
 }
 
 impl ReportPool {
-    /// Takes a sender's report in. The same reports in any order, any number of times, give the same pool,
-    /// but for when each seems to have come.
+    /// Merges a sender's report. The same reports in any order, any number of times, give the same pool,
+    /// except for the times at which they were received.
     pub fn merge(&mut self, now: Micros, from: SenderId, report: Report) -> MergeResult {
-        let Some(known) = self.entries.get_mut(&from) else {
+        let Some(entry) = self.entries.get_mut(&from) else {
             if self.entries.len() >= MAX_SENDERS {
-                let oldest = self.entries.iter().min_by_key(|(_, k)| k.received_at).map(|(&p, _)| p);
-                oldest.map(|p| self.entries.remove(&p));
+                let oldest = self.entries.iter().min_by_key(|(_, e)| e.received_at).map(|(&id, _)| id);
+                oldest.map(|id| self.entries.remove(&id));
             }
             self.entries.insert(from, PoolEntry { ended_incarnations: Vec::new(), received_at: now, report });
             return MergeResult::Accepted;
         };
-        if known.ended_incarnations.contains(&report.incarnation) {
+        if entry.ended_incarnations.contains(&report.incarnation) {
             return MergeResult::EndedIncarnation;
         }
-        let last = &known.report;
+        let last = &entry.report;
         if report.incarnation == last.incarnation {
             if report.sequence < last.sequence {
                 return MergeResult::Stale;
@@ -80,29 +81,29 @@
                 return if report == *last { MergeResult::Stale } else { MergeResult::Contradictory };
             }
         } else {
-            known.ended_incarnations.push(last.incarnation);
-            let more = known.ended_incarnations.len().saturating_sub(MAX_ENDED_INCARNATIONS);
-            known.ended_incarnations.drain(..more);
+            entry.ended_incarnations.push(last.incarnation);
+            let excess = entry.ended_incarnations.len().saturating_sub(MAX_ENDED_INCARNATIONS);
+            entry.ended_incarnations.drain(..excess);
         }
-        (known.received_at, known.report) = (now, report);
+        (entry.received_at, entry.report) = (now, report);
         MergeResult::Accepted
     }
 
-    /// What was heard within the window.
+    /// Returns the reports that were received within the evidence window.
     pub(crate) fn fresh(&self, now: Micros) -> impl Iterator<Item = ReportView<'_>> {
-        let fresh = move |k: &&PoolEntry| now.saturating_sub(k.received_at) <= EVIDENCE_WINDOW;
-        self.entries.iter().filter(move |(_, k)| fresh(k)).map(|(&from, k)| {
-            let Report { sender_zone: stands, evacuations: courses, observations: seen, .. } = &k.report;
-            ReportView { from, sender_zone: *stands, evacuations: courses, observations: seen }
+        let is_fresh = move |e: &&PoolEntry| now.saturating_sub(e.received_at) <= EVIDENCE_WINDOW;
+        self.entries.iter().filter(move |(_, e)| is_fresh(e)).map(|(&from, e)| {
+            let Report { sender_zone, evacuations, observations, .. } = &e.report;
+            ReportView { from, sender_zone: *sender_zone, evacuations, observations }
         })
     }
 
-    /// Senders that are known of.
+    /// Returns the number of senders with a report.
     pub fn len(&self) -> usize {
         self.entries.len()
     }
 
-    /// Whether none is.
+    /// Returns whether there is no report.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
@@ -115,56 +116,50 @@
     use rand::seq::SliceRandom;
     use rand::{Rng, SeedableRng};
 
-    fn report(life: u32, number: u32, failed: u8) -> Report {
-        let seen =
+    fn report(incarnation: u32, sequence: u32, failed: u8) -> Report {
+        let observations =
             vec![Observation { zone: ZoneId(1), destination: DestinationHash(1), answered: 1, failed }];
-        Report {
-            sender_zone: ZoneId(2),
-            incarnation: life,
-            sequence: number,
-            evacuations: Vec::new(),
-            observations: seen,
-        }
+        Report { sender_zone: ZoneId(2), incarnation, sequence, evacuations: Vec::new(), observations }
     }
 
-    fn failed(pool: &ReportPool, now: Micros) -> Vec<u8> {
-        pool.fresh(now).map(|w| w.observations[0].failed).collect()
+    fn failed_counts(pool: &ReportPool, now: Micros) -> Vec<u8> {
+        pool.fresh(now).map(|r| r.observations[0].failed).collect()
     }
 
     #[test]
-    fn in_any_order_and_doubled_the_same_words_give_the_same_pool() {
-        let words: Vec<(SenderId, Report)> =
+    fn the_same_reports_in_any_order_and_duplicated_give_the_same_pool() {
+        let reports: Vec<(SenderId, Report)> =
             (0..5).flat_map(|from| (1..6).map(move |n| (SenderId(from), report(7, n, n as u8)))).collect();
         let mut rng = rand_pcg::Pcg64::seed_from_u64(1);
-        let last = |order: &[(SenderId, Report)]| {
+        let merged = |order: &[(SenderId, Report)]| {
             let mut pool = ReportPool::default();
-            for (from, r) in order {
-                pool.merge(9, *from, r.clone());
+            for (from, report) in order {
+                pool.merge(9, *from, report.clone());
             }
-            failed(&pool, 9)
+            failed_counts(&pool, 9)
         };
-        let first = last(&words);
-        assert_eq!(first, [5; 5]);
+        let expected = merged(&reports);
+        assert_eq!(expected, [5; 5]);
         for _ in 0..100 {
-            let mut order = words.clone();
-            order.extend(words.iter().filter(|_| rng.random_bool(0.5)).cloned().collect::<Vec<_>>());
+            let mut order = reports.clone();
+            order.extend(reports.iter().filter(|_| rng.random_bool(0.5)).cloned().collect::<Vec<_>>());
             order.shuffle(&mut rng);
-            assert_eq!(last(&order), first);
+            assert_eq!(merged(&order), expected);
         }
     }
 
     #[test]
-    fn old_words_contradictions_and_lives_that_are_over_are_turned_down() {
+    fn stale_and_contradictory_reports_and_those_of_ended_incarnations_are_rejected() {
         let mut pool = ReportPool::default();
-        let one = SenderId(1);
-        assert_eq!(pool.merge(0, one, report(7, 5, 1)), MergeResult::Accepted);
-        assert_eq!(pool.merge(0, one, report(7, 4, 9)), MergeResult::Stale);
-        assert_eq!(pool.merge(0, one, report(7, 5, 1)), MergeResult::Stale);
-        assert_eq!(pool.merge(0, one, report(7, 5, 9)), MergeResult::Contradictory);
-        assert_eq!(pool.merge(0, one, report(8, 1, 2)), MergeResult::Accepted, "a restart");
-        assert_eq!(pool.merge(0, one, report(7, 99, 9)), MergeResult::EndedIncarnation);
-        assert_eq!(failed(&pool, 0), [2]);
-        assert!(failed(&pool, EVIDENCE_WINDOW + 1).is_empty(), "what is old does not count");
+        let sender = SenderId(1);
+        assert_eq!(pool.merge(0, sender, report(7, 5, 1)), MergeResult::Accepted);
+        assert_eq!(pool.merge(0, sender, report(7, 4, 9)), MergeResult::Stale);
+        assert_eq!(pool.merge(0, sender, report(7, 5, 1)), MergeResult::Stale);
+        assert_eq!(pool.merge(0, sender, report(7, 5, 9)), MergeResult::Contradictory);
+        assert_eq!(pool.merge(0, sender, report(8, 1, 2)), MergeResult::Accepted, "a restart");
+        assert_eq!(pool.merge(0, sender, report(7, 99, 9)), MergeResult::EndedIncarnation);
+        assert_eq!(failed_counts(&pool, 0), [2]);
+        assert!(failed_counts(&pool, EVIDENCE_WINDOW + 1).is_empty(), "old reports do not count");
         for from in 0..3_000 {
             pool.merge(Micros::from(from), SenderId(from), report(1, 1, 1));
         }
--- a/crates/zones/src/state_machine.rs
+++ b/crates/zones/src/state_machine.rs
@@ -1,4 +1,6 @@
-//! The machine as a whole: evidence in; notes, findings, and what each zone is sent, out.
+//! The state machine that one sender runs for all zones: it takes in call results and the notes of other
+//! senders, and returns the notes to send, the health of zones, and the share of its traffic that each zone
+//! is to receive.
 
 use crate::assess::{
     FailureThresholds, Finding, Health, assess_zones, is_unreliable, needs_probes, probe_result,
@@ -15,154 +17,160 @@
 use rand_pcg::Pcg64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// It is looked at, and written of, so often.
+/// The interval at which zones are assessed and notes are sent.
 pub const TICK_INTERVAL: Micros = 500_000;
-/// While anything fails, a beat's note goes to so many others, drawn anew each time: so each hears some
-/// eighteen senders within the window, in a fleet of twenty as of a thousand, and writes as much in both.
+/// The number of other senders that receive a note at each tick while anything fails. They are drawn anew
+/// each time, so each sender receives reports of some eighteen others within the evidence window, in a fleet
+/// of twenty as well as of a thousand, and sends as many notes in both.
 const FANOUT: usize = 3;
-/// Else to one, each fourth beat: that others are heard tells a sender that it is not alone.
+/// While nothing fails, one other sender receives a note at every fourth tick. Notes from others show a
+/// sender that it is not isolated.
 const QUIET_TICKS: u64 = 4;
-/// A standing is taken on once it was found at so many beats in a row; a better one at more of them.
+/// The number of ticks in a row at which a health must be found before it is adopted: fewer for a worse
+/// health than for a better one.
 const TICKS_TO_WORSEN: u32 = 2;
 const TICKS_TO_IMPROVE: u32 = 6;
-/// No note of others for so long, and a sender doubts itself.
+/// A sender that has received no note for this long considers itself isolated.
 const ISOLATION_TIMEOUT: Micros = 4 * QUIET_TICKS * TICK_INTERVAL + EVIDENCE_WINDOW;
-/// Zones whose standing is kept: the platform names few.
+/// The maximum number of zones whose status is kept; the platform names few.
 const MAX_ZONES: usize = 64;
-/// Waits are drawn out by up to this share, by each sender for itself.
+/// Each sender extends its waits by a random part of up to this share.
 const MAX_JITTER: f64 = 0.25;
 
-/// What is set.
+/// The configuration of a [`ZoneStateMachine`].
 #[derive(Clone, Debug)]
 pub struct ZonesConfig {
-    /// This sender's number, of so many in the fleet.
+    /// This sender's number in the fleet.
     pub sender: SenderId,
-    /// See `place`.
+    /// The number of senders in the fleet.
     pub fleet_size: u32,
-    /// Where it stands.
+    /// The zone in which this sender runs.
     pub own_zone: ZoneId,
-    /// Whether notes can be written at all.
+    /// Whether notes can be sent at all.
     pub can_send: bool,
-    /// When a zone counts as failing.
+    /// The thresholds at which a zone is found failing.
     pub thresholds: FailureThresholds,
-    /// How fast it is returned to; nothing where zones are watched and never left.
+    /// The schedule of a return to a zone. With `None`, zones are watched and never evacuated.
     pub return_schedule: Option<ReturnSchedule>,
-    /// Zones that operators keep out, and those that they keep in, whatever is found.
+    /// The zones that operators pinned, whatever is found: `false` for a zone that receives nothing, `true`
+    /// for one that is never evacuated.
     pub pinned: BTreeMap<ZoneId, bool>,
 }
 
-/// What is to be done.
+/// What the caller is to do.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    /// Write this to one of the others.
+    /// Send this note to another sender.
     Send(SenderId, Vec<u8>),
-    /// A zone is to be sent this share of what it would be sent from now on; and, if it is this sender's turn
-    /// to try, one call to each destination there.
+    /// Send a zone this share of its traffic from now on.
     SetShare {
-        /// Which.
+        /// The zone.
         zone: ZoneId,
-        /// From 0 to 1.
+        /// The share, from 0 to 1.
         share: f64,
-        /// One call to each of its destinations, whatever the share.
+        /// Whether to send one probe to each destination in the zone, regardless of the share.
         probe: bool,
-        /// Destinations that are seen to serve there: they are sent as if nothing had been said.
+        /// Destinations that serve in the zone. Their traffic is not reduced.
         exempt: BTreeSet<DestinationHash>,
     },
-    /// The zone in which this sender stands is left, and others that stand elsewhere are heard: clients had
-    /// better go there. Or no more.
+    /// Whether clients are to be redirected to senders in other zones: this sender's zone is evacuated, and
+    /// notes from senders in other zones arrive.
     RedirectClients(bool),
-    /// To be said in the log.
+    /// Write this event to the log.
     Log(Event),
 }
 
-/// What operators read.
+/// An event for the log.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
-    /// A zone is found to stand otherwise than before.
+    /// The health of a zone has changed.
     HealthChanged {
-        /// Which.
+        /// The zone.
         zone: ZoneId,
-        /// How it stood.
+        /// The health before.
         before: Health,
-        /// Why it stands as it does.
+        /// The health now, and the evidence for it.
         finding: Finding,
-        /// Which change of its standing it is here.
+        /// The number of health changes of this zone so far, at this sender.
         changes: u64,
     },
-    /// A zone is left further, or returned to.
+    /// The share of a zone has changed: it was evacuated, or a step of a return began.
     ShareChanged {
-        /// Which.
+        /// The zone.
         zone: ZoneId,
-        /// How far before.
+        /// The evacuation state before.
         before: EvacuationState,
-        /// How far now.
+        /// The evacuation state now.
         state: EvacuationState,
-        /// The share that it is sent from now on.
+        /// The share of its traffic that the zone receives from now on.
         share: f64,
         /// Why.
         reason: TransitionReason,
-        /// How often in a row it has failed by now.
+        /// The number of times in a row that the zone has failed.
         consecutive_failures: u8,
-        /// Senders whose words it rests on.
+        /// The senders whose reports led to the change.
         senders: Vec<SenderId>,
     },
-    /// A sender contradicts itself; said once for each.
+    /// A sender has contradicted one of its reports. Returned once for each sender.
     ContradictoryReport(SenderId),
-    /// Nothing was heard of any other sender for long, or everything fails from here: what is found is kept.
+    /// Whether this sender is isolated: no notes have arrived for a long time, or all its calls fail. While
+    /// it is, it keeps the health and shares that it had.
     Isolated(bool),
 }
 
-/// How a zone stands, as found here.
+/// The status of a zone, as this sender has found it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ZoneStatus {
-    /// How.
+    /// The health of the zone.
     pub health: Health,
-    /// How often that has changed.
+    /// The number of times the health has changed.
     pub health_changes: u64,
-    /// What was found last.
+    /// The last finding.
     pub finding: Finding,
-    /// How far it is left.
+    /// How far the zone is evacuated.
     pub evacuation: EvacuationState,
-    /// How often in a row it has failed.
+    /// The number of times in a row that it has failed.
     pub consecutive_failures: u8,
-    /// Senders heard within the window that have come as far, of all that were.
+    /// The number of senders whose evacuation state is at least as new, and of all whose reports were
+    /// received within the evidence window.
     pub in_sync: (usize, usize),
-    /// What it may be next, and at how many beats in a row that was found.
+    /// The health that may be adopted next, and the number of ticks in a row at which it was found.
     pending: Option<(Health, u32)>,
-    /// Since when the course is what it is, and how much its wait is drawn out here.
+    /// When the evacuation state last changed, and by which share this sender extends the wait for the next.
     since: Micros,
     jitter: f64,
-    /// Since when it is tried.
+    /// When probing began.
     probing_since: Option<Micros>,
-    /// The last turn in which this sender tried.
+    /// The last round in which this sender probed.
     probe_round: Option<u64>,
-    /// Destinations that serve there all the same.
+    /// Destinations that serve in the zone although it fails.
     pub exempt: BTreeSet<DestinationHash>,
-    /// What was said of it to the caller last.
+    /// The last share and exempt destinations that the caller received.
     last_output: Option<(f64, BTreeSet<DestinationHash>)>,
 }
 
-/// What a zone is at, by the name that operators know.
+/// The phase of a zone, under the names that operators see.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ZonePhase {
-    /// Its whole share, and nothing says otherwise.
+    /// It receives its full share, and there is no evidence of a failure.
     Serving,
-    /// Its whole share; something fails there.
+    /// It receives its full share, and some calls fail there.
     Doubted,
-    /// Its whole share, although it is found failing: zones are only watched, or it is the last one.
+    /// It receives its full share although it is found failing: zones are only watched, or it is the last
+    /// one.
     Failing,
-    /// Nothing is sent there any more; not all that were heard have followed.
+    /// This sender has evacuated it, and some of the senders whose reports arrive have not.
     Leaving,
-    /// Nothing is sent there.
+    /// It is evacuated.
     Left,
-    /// A few senders try.
+    /// It is evacuated, and a few senders probe it.
     Trying,
-    /// It is sent a part of its share.
+    /// It receives a part of its share.
     Returning,
 }
 
 impl ZoneStatus {
-    /// What it is at.
+    /// Returns the phase of the zone.
     pub fn phase(&self) -> ZonePhase {
         match (self.evacuation.level, self.health) {
             (EvacuationState::FULL_SHARE, Health::Serving) => ZonePhase::Serving,
@@ -176,18 +184,18 @@
     }
 }
 
-/// What is known of a zone that is left, or that others leave.
+/// What the reports show of a zone that this sender or others have evacuated.
 struct ZoneView {
     input: DecisionInput,
-    /// Whose course `told` is, and how often the zone has failed by their words.
+    /// The senders whose state is the quorum's, and the number of failures in a row that they report.
     quorum_senders: Vec<SenderId>,
     consecutive_failures: u8,
     in_sync: (usize, usize),
-    /// Destinations that serve there, and that fail there.
+    /// Destinations that serve in the zone, and those that fail there.
     split: (BTreeSet<DestinationHash>, BTreeSet<DestinationHash>),
 }
 
-/// See the crate's page.
+/// The state machine of one sender. See the crate's documentation.
 #[derive(Debug)]
 pub struct ZoneStateMachine {
     config: ZonesConfig,
@@ -196,10 +204,10 @@
     evidence: Evidence,
     pool: ReportPool,
     statuses: BTreeMap<ZoneId, ZoneStatus>,
-    /// Zones that the list names.
+    /// Zones in which the endpoint list names endpoints.
     listed_zones: BTreeSet<ZoneId>,
     started_at: Micros,
-    /// When a note of another sender last came.
+    /// When a note of another sender was last received.
     last_note_at: Micros,
     is_isolated: bool,
     tick_count: u64,
@@ -210,15 +218,15 @@
 }
 
 impl ZoneStateMachine {
-    /// A sender that has seen nothing yet.
-    pub fn new(set: ZonesConfig, seed: u64, now: Micros) -> Self {
+    /// Creates a state machine without any evidence.
+    pub fn new(config: ZonesConfig, seed: u64, now: Micros) -> Self {
         let mut rng = Pcg64::seed_from_u64(seed);
-        let life = rng.random();
-        // Not all at once.
-        let due = now + rng.random_range(0..TICK_INTERVAL);
+        let incarnation = rng.random();
+        // A random offset keeps the senders of a fleet from ticking all at once.
+        let next_tick = now + rng.random_range(0..TICK_INTERVAL);
         Self {
-            config: set,
-            incarnation: life,
+            config,
+            incarnation,
             sequence: 0,
             evidence: Evidence::default(),
             pool: ReportPool::default(),
@@ -228,49 +236,53 @@
             last_note_at: now,
             is_isolated: false,
             tick_count: 0,
-            next_tick: due,
+            next_tick,
             contradictory_senders: Vec::new(),
             redirects_clients: false,
             rng,
         }
     }
 
-    /// A call that began at some moment came to something.
+    /// Records how a call ended that began at `began`.
     pub fn record_call(
         &mut self,
         now: Micros,
         began: Micros,
         zone: ZoneId,
-        dest: DestinationHash,
-        came: CallResult,
+        destination: DestinationHash,
+        result: CallResult,
     ) {
-        self.evidence.observe(now, began, zone, dest, came);
+        self.evidence.record_call(now, began, zone, destination, result);
     }
 
-    /// The list names endpoints in these zones.
+    /// Sets the zones in which the endpoint list names endpoints.
     pub fn set_listed_zones(&mut self, zones: BTreeSet<ZoneId>) {
         self.listed_zones = zones;
     }
 
-    /// Other rules, pace and pins, from the next beat on; who and where this sender is stays.
+    /// Replaces thresholds, return schedule and pinned zones from the next tick on. The sender's number, its
+    /// zone and the size of the fleet do not change.
     pub fn reconfigure(
         &mut self,
-        rules: FailureThresholds,
-        pace: Option<ReturnSchedule>,
+        thresholds: FailureThresholds,
+        return_schedule: Option<ReturnSchedule>,
         pinned: BTreeMap<ZoneId, bool>,
     ) {
-        (self.config.thresholds, self.config.return_schedule, self.config.pinned) = (rules, pace, pinned);
+        (self.config.thresholds, self.config.return_schedule, self.config.pinned) =
+            (thresholds, return_schedule, pinned);
     }
 
-    /// Another sender wrote. Whether it was a note.
+    /// Takes in a datagram of another sender. Returns whether it was a note of this format.
     pub fn receive_note(&mut self, now: Micros, from: SenderId, bytes: &[u8], out: &mut Vec<Output>) -> bool {
         let Some(report) = decode(bytes) else { return false };
         if from == self.config.sender || from.0 >= self.config.fleet_size {
             return true;
         }
         self.last_note_at = self.last_note_at.max(now);
-        let odd = self.pool.merge(now, from, report) == MergeResult::Contradictory;
-        if odd && !self.contradictory_senders.contains(&from) && self.contradictory_senders.len() < MAX_ZONES
+        let is_contradictory = self.pool.merge(now, from, report) == MergeResult::Contradictory;
+        if is_contradictory
+            && !self.contradictory_senders.contains(&from)
+            && self.contradictory_senders.len() < MAX_ZONES
         {
             self.contradictory_senders.push(from);
             out.push(Output::Log(Event::ContradictoryReport(from)));
@@ -278,37 +290,37 @@
         true
     }
 
-    /// When it wants to be called next.
+    /// Returns when [`Self::tick`] is to be called next.
     pub fn next_wake(&self) -> Micros {
         self.next_tick
     }
 
-    /// How zones stand.
+    /// Returns the status of each zone.
     pub fn statuses(&self) -> &BTreeMap<ZoneId, ZoneStatus> {
         &self.statuses
     }
 
-    /// The share that a zone is sent.
+    /// Returns the share of its traffic that a zone receives.
     pub fn share(&self, zone: ZoneId) -> f64 {
-        let course = self.statuses.get(&zone).map_or(EvacuationState::default(), |s| s.evacuation);
+        let state = self.statuses.get(&zone).map_or(EvacuationState::default(), |s| s.evacuation);
         match (self.config.pinned.get(&zone), &self.config.return_schedule) {
             (Some(true), _) | (None, None) => 1.0,
             (Some(false), _) => 0.0,
-            (None, Some(pace)) => pace.share(course.level),
+            (None, Some(schedule)) => schedule.share(state.level),
         }
     }
 
-    /// Whether clients had better go to senders elsewhere.
+    /// Returns whether clients are to be redirected to senders in other zones.
     pub fn redirects_clients(&self) -> bool {
         self.redirects_clients
     }
 
-    /// Whether this sender doubts itself, and keeps what it had found.
+    /// Returns whether this sender is isolated, and keeps the health and shares that it had.
     pub fn is_isolated(&self) -> bool {
         self.is_isolated
     }
 
-    /// Time has passed.
+    /// Assesses all zones and sends notes, if the next tick is due.
     pub fn tick(&mut self, now: Micros, out: &mut Vec<Output>) {
         if now < self.next_tick {
             return;
@@ -316,75 +328,76 @@
         self.next_tick = now + TICK_INTERVAL;
         self.tick_count += 1;
         self.sequence += 1;
-        let seen = self.evidence.seen(now);
+        let observations = self.evidence.observations(now);
         let own = Report {
             sender_zone: self.config.own_zone,
             incarnation: self.incarnation,
             sequence: self.sequence,
             evacuations: self.evacuations(),
-            observations: seen,
+            observations,
         };
-        let cut_off = is_unreliable(&own.observations);
-        let word = ReportView {
+        let is_cut_off = is_unreliable(&own.observations);
+        let own_view = ReportView {
             from: self.config.sender,
             sender_zone: own.sender_zone,
             evacuations: &own.evacuations,
             observations: &own.observations,
         };
-        // To a sender to which everything fails nothing that it sees says much.
-        let words: Vec<ReportView<'_>> =
-            self.pool.fresh(now).chain([word]).filter(|w| !is_unreliable(w.observations)).collect();
-        let found = assess_zones(&words, &self.config.thresholds);
-        let unheard = self.config.fleet_size > 1 && now.saturating_sub(self.last_note_at) > ISOLATION_TIMEOUT;
-        let alone = cut_off || unheard;
-        let looks = if self.config.return_schedule.is_some() {
-            self.zone_views(now, &words)
+        // The observations of a sender whose calls all fail are no evidence about a zone.
+        let reports: Vec<ReportView<'_>> =
+            self.pool.fresh(now).chain([own_view]).filter(|r| !is_unreliable(r.observations)).collect();
+        let findings = assess_zones(&reports, &self.config.thresholds);
+        let receives_nothing =
+            self.config.fleet_size > 1 && now.saturating_sub(self.last_note_at) > ISOLATION_TIMEOUT;
+        let is_isolated = is_cut_off || receives_nothing;
+        let views = if self.config.return_schedule.is_some() {
+            self.zone_views(now, &reports)
         } else {
             BTreeMap::new()
         };
-        // A call that failed elsewhere, and no more, is no reason to write.
-        let doubted = found.values().any(|f| f.health != Health::Serving);
-        let trouble = doubted || own.observations.iter().any(|s| s.failed > 0);
-        if std::mem::replace(&mut self.is_isolated, alone) != alone {
-            out.push(Output::Log(Event::Isolated(alone)));
+        // Calls of other senders that failed only raise the note rate if they cast doubt on a zone.
+        let is_any_doubted = findings.values().any(|f| f.health != Health::Serving);
+        let has_trouble = is_any_doubted || own.observations.iter().any(|o| o.failed > 0);
+        if std::mem::replace(&mut self.is_isolated, is_isolated) != is_isolated {
+            out.push(Output::Log(Event::Isolated(is_isolated)));
         }
-        if !alone {
-            // What others have taken is followed at once, also by one that has only just begun.
+        if !is_isolated {
+            // The state of a quorum is adopted at once, even by a sender that has only just started.
             if now.saturating_sub(self.started_at) >= EVIDENCE_WINDOW {
-                self.update_health(found, out);
+                self.update_health(findings, out);
             }
-            self.advance_evacuations(now, looks, out);
+            self.advance_evacuations(now, views, out);
             self.update_probing(now, out);
         }
         self.output_shares(out);
         self.update_redirection(now, out);
-        // Last, so that a course that was just taken is heard of a beat earlier.
-        let courses = self.evacuations();
-        let apart = if self.config.return_schedule.is_some() {
-            self.senders_out_of_sync(now, &courses)
+        // Notes are sent last, so that a transition of this tick reaches others one tick earlier.
+        let evacuations = self.evacuations();
+        let out_of_sync = if self.config.return_schedule.is_some() {
+            self.senders_out_of_sync(now, &evacuations)
         } else {
             Vec::new()
         };
         self.send_notes(
             now,
-            &Report { evacuations: courses, ..own },
-            trouble || !apart.is_empty(),
-            apart,
+            &Report { evacuations, ..own },
+            has_trouble || !out_of_sync.is_empty(),
+            out_of_sync,
             out,
         );
     }
 
-    /// How far zones are left, those that are not at their whole share first.
+    /// Returns how far zones are evacuated, those without their full share first.
     fn evacuations(&self) -> Vec<ZoneEvacuation> {
-        let known = self.statuses.iter().filter(|(_, s)| s.evacuation != EvacuationState::default());
-        let mut all: Vec<ZoneEvacuation> = known
+        let evacuated = self.statuses.iter().filter(|(_, s)| s.evacuation != EvacuationState::default());
+        let mut all: Vec<ZoneEvacuation> = evacuated
             .map(|(&zone, s)| ZoneEvacuation {
                 zone,
                 state: s.evacuation,
                 consecutive_failures: s.consecutive_failures,
             })
             .collect();
-        all.sort_by_key(|t| (t.state.has_full_share(), std::cmp::Reverse(t.state.term)));
+        all.sort_by_key(|e| (e.state.has_full_share(), std::cmp::Reverse(e.state.term)));
         all
     }
 
@@ -392,298 +405,295 @@
         &mut self,
         now: Micros,
         own: &Report,
-        trouble: bool,
-        apart: Vec<SenderId>,
+        has_trouble: bool,
+        out_of_sync: Vec<SenderId>,
         out: &mut Vec<Output>,
     ) {
-        // While a zone that all have left is left alone there is nothing to be told of it.
-        let moves = |s: &ZoneStatus| {
-            let rests = s.evacuation.is_evacuated()
+        // While a zone that all senders have evacuated waits for its probes, there is no news about it.
+        let is_active = |s: &ZoneStatus| {
+            let is_waiting = s.evacuation.is_evacuated()
                 && s.probing_since.is_none()
                 && now.saturating_sub(s.since) > EVIDENCE_WINDOW;
-            s.health != Health::Serving || !s.evacuation.has_full_share() && !rests
+            s.health != Health::Serving || !s.evacuation.has_full_share() && !is_waiting
         };
-        let trouble = trouble || self.statuses.values().any(moves);
+        let has_trouble = has_trouble || self.statuses.values().any(is_active);
         let others = self.config.fleet_size.saturating_sub(1) as usize;
-        if others == 0 || !self.config.can_send || !trouble && !self.tick_count.is_multiple_of(QUIET_TICKS) {
+        if others == 0
+            || !self.config.can_send
+            || !has_trouble && !self.tick_count.is_multiple_of(QUIET_TICKS)
+        {
             return;
         }
         let body = encode(own);
-        let most = if trouble { FANOUT } else { 1 };
-        let to = apart.into_iter().choose_multiple(&mut self.rng, most);
-        let anybody = sample(&mut self.rng, others, most.saturating_sub(to.len()).min(others));
-        let anybody =
-            anybody.into_iter().map(|n| SenderId(n as u32 + u32::from(n as u32 >= self.config.sender.0)));
-        let to: BTreeSet<SenderId> = to.into_iter().chain(anybody).collect();
+        let max_notes = if has_trouble { FANOUT } else { 1 };
+        let to = out_of_sync.into_iter().choose_multiple(&mut self.rng, max_notes);
+        let random = sample(&mut self.rng, others, max_notes.saturating_sub(to.len()).min(others));
+        let random =
+            random.into_iter().map(|n| SenderId(n as u32 + u32::from(n as u32 >= self.config.sender.0)));
+        let to: BTreeSet<SenderId> = to.into_iter().chain(random).collect();
         out.extend(to.into_iter().map(|to| Output::Send(to, body.clone())));
     }
 
-    /// Others that were heard and have left some zone less far, or further: these are told first of all. One
-    /// that is behind in a fleet that is at rest would else hear too few to follow.
+    /// Returns the senders whose reports show a different evacuation state of some zone. Notes go to them
+    /// first: a sender that is behind in a fleet at rest would otherwise receive too few notes for a quorum.
     fn senders_out_of_sync(&self, now: Micros, own: &[ZoneEvacuation]) -> Vec<SenderId> {
-        let mine = |zone| own.iter().find(|t| t.zone == zone).map_or(EvacuationState::default(), |t| t.state);
-        let differs = |w: &ReportView<'_>| {
-            let zones = own.iter().chain(w.evacuations).map(|t| t.zone);
-            zones.into_iter().any(|z| w.evacuation(z).state != mine(z))
+        let own_state =
+            |zone| own.iter().find(|e| e.zone == zone).map_or(EvacuationState::default(), |e| e.state);
+        let differs = |r: &ReportView<'_>| {
+            let zones = own.iter().chain(r.evacuations).map(|e| e.zone);
+            zones.into_iter().any(|z| r.evacuation(z).state != own_state(z))
         };
-        self.pool.fresh(now).filter(differs).map(|w| w.from).collect()
+        self.pool.fresh(now).filter(differs).map(|r| r.from).collect()
     }
 
-    /// Takes a standing on that was found long enough.
-    fn update_health(&mut self, found: BTreeMap<ZoneId, Finding>, out: &mut Vec<Output>) {
+    /// Adopts the health of zones that was found at enough ticks in a row.
+    fn update_health(&mut self, findings: BTreeMap<ZoneId, Finding>, out: &mut Vec<Output>) {
         let known: Vec<ZoneId> = self.statuses.keys().copied().collect();
-        for zone in found.keys().copied().chain(known).collect::<BTreeSet<_>>() {
-            let full = self.statuses.len() >= MAX_ZONES && !self.statuses.contains_key(&zone);
-            if full {
+        for zone in findings.keys().copied().chain(known).collect::<BTreeSet<_>>() {
+            let is_full = self.statuses.len() >= MAX_ZONES && !self.statuses.contains_key(&zone);
+            if is_full {
                 continue;
             }
-            let finding = found.get(&zone).cloned().unwrap_or_default();
-            let stand = self.statuses.entry(zone).or_default();
-            let standing = finding.health;
-            stand.finding = finding;
-            if standing == stand.health {
-                stand.pending = None;
+            let finding = findings.get(&zone).cloned().unwrap_or_default();
+            let status = self.statuses.entry(zone).or_default();
+            let health = finding.health;
+            status.finding = finding;
+            if health == status.health {
+                status.pending = None;
                 continue;
             }
-            // Of what was found on one side of how it stands, what is nearest to that counts.
-            let worse = standing > stand.health;
-            let (next, times) = match stand.pending.filter(|n| (n.0 > stand.health) == worse) {
-                Some((before, times)) if worse => (before.min(standing), times),
-                Some((before, times)) => (before.max(standing), times),
-                None => (standing, 0),
+            // Of the findings in a row that were all worse (or all better) than the current health, the one
+            // nearest to it counts.
+            let is_worse = health > status.health;
+            let (next, ticks) = match status.pending.filter(|p| (p.0 > status.health) == is_worse) {
+                Some((before, ticks)) if is_worse => (before.min(health), ticks),
+                Some((before, ticks)) => (before.max(health), ticks),
+                None => (health, 0),
             };
-            let wanted = if next > stand.health { TICKS_TO_WORSEN } else { TICKS_TO_IMPROVE };
-            if times + 1 < wanted {
-                stand.pending = Some((next, times + 1));
+            let required = if next > status.health { TICKS_TO_WORSEN } else { TICKS_TO_IMPROVE };
+            if ticks + 1 < required {
+                status.pending = Some((next, ticks + 1));
                 continue;
             }
-            let before = std::mem::replace(&mut stand.health, next);
-            (stand.pending, stand.health_changes) = (None, stand.health_changes + 1);
-            let finding = Finding { health: next, ..stand.finding.clone() };
-            let changes = stand.health_changes;
+            let before = std::mem::replace(&mut status.health, next);
+            (status.pending, status.health_changes) = (None, status.health_changes + 1);
+            let finding = Finding { health: next, ..status.finding.clone() };
+            let changes = status.health_changes;
             out.push(Output::Log(Event::HealthChanged { zone, before, finding, changes }));
         }
-        // What nothing is known of any more stands as it did at first. A course is kept: its term may not
-        // begin anew while others remember it.
-        // And one that is sent less than its whole share, since operators had pinned it, has to be told of.
+        // A zone without any evidence is dropped, which returns it to its initial status. One that was ever
+        // evacuated is kept: its term must not start anew while others remember it. One whose last reported
+        // share is below 1, since operators had pinned it, is kept until the caller receives the new share.
         self.statuses.retain(|_, s| {
-            let less = s.last_output.as_ref().is_some_and(|l| l.0 < 1.0);
+            let has_reduced_share = s.last_output.as_ref().is_some_and(|o| o.0 < 1.0);
             s.health != Health::Serving
                 || s.finding.calls > 0.0
                 || s.evacuation != EvacuationState::default()
-                || less
+                || has_reduced_share
         });
     }
 
-    /// What is known of each zone that is left, or that others leave.
-    fn zone_views(&self, now: Micros, words: &[ReportView<'_>]) -> BTreeMap<ZoneId, ZoneView> {
-        let others = || words.iter().filter(|w| w.from != self.config.sender);
-        let told = others().flat_map(|w| w.evacuations.iter().map(|t| t.zone));
-        let zones: BTreeSet<ZoneId> = self.statuses.keys().copied().chain(told).collect();
-        let fleet = self.config.fleet_size as usize;
-        let look = |zone: ZoneId| {
-            let stand = self.statuses.get(&zone).cloned().unwrap_or_default();
-            let (told, failed, by) = self.quorum(zone, stand.evacuation, words);
-            let waited = match &self.config.return_schedule {
-                Some(pace) => {
-                    let wait = pace.min_duration(stand.evacuation.level, stand.consecutive_failures) as f64
-                        * (1.0 + stand.jitter);
-                    now.saturating_sub(stand.since) >= wait as Micros
+    /// Returns what the reports show of each zone that this sender or others have evacuated.
+    fn zone_views(&self, now: Micros, reports: &[ReportView<'_>]) -> BTreeMap<ZoneId, ZoneView> {
+        let others = || reports.iter().filter(|r| r.from != self.config.sender);
+        let reported = others().flat_map(|r| r.evacuations.iter().map(|e| e.zone));
+        let zones: BTreeSet<ZoneId> = self.statuses.keys().copied().chain(reported).collect();
+        let fleet_size = self.config.fleet_size as usize;
+        let view = |zone: ZoneId| {
+            let status = self.statuses.get(&zone).cloned().unwrap_or_default();
+            let (quorum_state, consecutive_failures, quorum_senders) =
+                self.quorum(zone, status.evacuation, reports);
+            let wait_elapsed = match &self.config.return_schedule {
+                Some(schedule) => {
+                    let wait = schedule.min_duration(status.evacuation.level, status.consecutive_failures)
+                        as f64
+                        * (1.0 + status.jitter);
+                    now.saturating_sub(status.since) >= wait as Micros
                 }
                 None => false,
             };
-            // Before it is tried, what comes in is of calls that began before it was left.
-            let tried = !stand.evacuation.is_evacuated() || stand.probing_since.is_some();
-            let trial = match tried && !stand.evacuation.has_full_share() {
+            // Before probing begins, the calls that end had begun before the evacuation.
+            let is_probed = !status.evacuation.is_evacuated() || status.probing_since.is_some();
+            let probe_result = match is_probed && !status.evacuation.has_full_share() {
                 true => probe_result(
                     zone,
-                    (stand.evacuation, &stand.exempt),
-                    words,
+                    (status.evacuation, &status.exempt),
+                    reports,
                     &self.config.thresholds,
-                    fleet,
+                    fleet_size,
                 ),
                 false => ProbeResult::Inconclusive,
             };
-            let look = DecisionInput {
-                quorum_state: told,
-                probe_result: trial,
-                wait_elapsed: waited,
-                ..DecisionInput::default()
-            };
-            let as_far = others().filter(|w| w.evacuation(zone).state >= stand.evacuation).count();
-            let parted = split_destinations(zone, words, &self.config.thresholds, fleet);
+            let input =
+                DecisionInput { quorum_state, probe_result, wait_elapsed, ..DecisionInput::default() };
+            let in_sync = others().filter(|r| r.evacuation(zone).state >= status.evacuation).count();
+            let split = split_destinations(zone, reports, &self.config.thresholds, fleet_size);
             (
                 zone,
                 ZoneView {
-                    input: look,
-                    quorum_senders: by,
-                    consecutive_failures: failed,
-                    in_sync: (as_far, others().count()),
-                    split: parted,
+                    input,
+                    quorum_senders,
+                    consecutive_failures,
+                    in_sync: (in_sync, others().count()),
+                    split,
                 },
             )
         };
-        zones.into_iter().take(MAX_ZONES).map(look).collect()
+        zones.into_iter().take(MAX_ZONES).map(view).collect()
     }
 
-    /// The newest course that enough others have taken, which stand in as many zones as a finding wants, and
-    /// who they are. One sender that is wrong or lies is not followed.
-    /// Last, how often in a row it has failed, as the most hopeful of them says.
+    /// Returns the newest state that a quorum of other senders has reached, if it is newer than this
+    /// sender's, the smallest number of failures in a row that those senders report, and the senders. The
+    /// quorum runs in as many zones as a finding requires, so no single faulty or lying sender is followed.
     fn quorum(
         &self,
         zone: ZoneId,
         own: EvacuationState,
-        words: &[ReportView<'_>],
+        reports: &[ReportView<'_>],
     ) -> (Option<EvacuationState>, u8, Vec<SenderId>) {
-        let others = words.iter().filter(|w| w.from != self.config.sender);
+        let others = reports.iter().filter(|r| r.from != self.config.sender);
         let mut ahead: Vec<(ZoneEvacuation, SenderId, ZoneId)> = others
-            .map(|w| (w.evacuation(zone), w.from, w.sender_zone))
-            .filter(|(taken, ..)| taken.state > own)
+            .map(|r| (r.evacuation(zone), r.from, r.sender_zone))
+            .filter(|(evacuation, ..)| evacuation.state > own)
             .collect();
         ahead.sort_by_key(|a| std::cmp::Reverse(a.0.state));
-        let words: Vec<(EvacuationState, ZoneId)> = ahead.iter().map(|a| (a.0.state, a.2)).collect();
+        let states: Vec<(EvacuationState, ZoneId)> = ahead.iter().map(|a| (a.0.state, a.2)).collect();
         let others = self.config.fleet_size.saturating_sub(1) as usize;
         let Some(n) =
-            quorum_len(&words, self.config.thresholds.senders.min(others), self.config.thresholds.zones)
+            quorum_len(&states, self.config.thresholds.senders.min(others), self.config.thresholds.zones)
         else {
             return (None, 0, Vec::new());
         };
-        let failed = ahead[..n].iter().map(|a| a.0.consecutive_failures).min().unwrap_or(0);
-        (Some(ahead[n - 1].0.state), failed, ahead[..n].iter().map(|a| a.1).collect())
+        let consecutive_failures = ahead[..n].iter().map(|a| a.0.consecutive_failures).min().unwrap_or(0);
+        (Some(ahead[n - 1].0.state), consecutive_failures, ahead[..n].iter().map(|a| a.1).collect())
     }
 
-    /// Takes courses further.
-    fn advance_evacuations(&mut self, now: Micros, looks: BTreeMap<ZoneId, ZoneView>, out: &mut Vec<Output>) {
-        let Some(pace) = self.config.return_schedule.clone() else { return };
+    /// Makes the transitions of evacuations and returns that are due.
+    fn advance_evacuations(&mut self, now: Micros, views: BTreeMap<ZoneId, ZoneView>, out: &mut Vec<Output>) {
+        let Some(schedule) = self.config.return_schedule.clone() else { return };
         for (
             zone,
-            ZoneView {
-                input: look,
-                quorum_senders: by,
-                consecutive_failures: failed,
-                in_sync: with,
-                split: (serve, fail),
-            },
-        ) in looks
+            ZoneView { input, quorum_senders, consecutive_failures, in_sync, split: (serving, failing) },
+        ) in views
         {
             if !self.statuses.contains_key(&zone)
-                && (look.quorum_state.is_none() || self.statuses.len() >= MAX_ZONES)
+                && (input.quorum_state.is_none() || self.statuses.len() >= MAX_ZONES)
             {
                 continue;
             }
-            let other = self.listed_zones.iter().any(|z| *z != zone && self.share(*z) >= 1.0);
-            let spread = self.rng.random_range(0.0..MAX_JITTER);
-            let stand = self.statuses.entry(zone).or_default();
-            stand.in_sync = with;
-            if stand.evacuation.has_full_share()
-                && stand.consecutive_failures > 0
-                && now.saturating_sub(stand.since) >= FORGET_FAILURES_AFTER
+            let has_other_zone = self.listed_zones.iter().any(|z| *z != zone && self.share(*z) >= 1.0);
+            let jitter = self.rng.random_range(0.0..MAX_JITTER);
+            let status = self.statuses.entry(zone).or_default();
+            status.in_sync = in_sync;
+            if status.evacuation.has_full_share()
+                && status.consecutive_failures > 0
+                && now.saturating_sub(status.since) >= FORGET_FAILURES_AFTER
             {
-                stand.consecutive_failures = 0;
+                status.consecutive_failures = 0;
             }
-            stand.exempt.retain(|d| !fail.contains(d));
-            let failing = stand.health == Health::Failing;
-            let look = DecisionInput {
-                is_failing: failing,
-                has_other_zone: other,
-                return_steps: pace.step_count(),
-                ..look
-            };
-            let Some((course, why)) = stand.evacuation.next(&look) else {
-                if stand.evacuation.is_evacuated() && look.wait_elapsed && stand.probing_since.is_none() {
-                    stand.probing_since = Some(now);
+            status.exempt.retain(|d| !failing.contains(d));
+            let is_failing = status.health == Health::Failing;
+            let input =
+                DecisionInput { is_failing, has_other_zone, return_steps: schedule.step_count(), ..input };
+            let Some((state, reason)) = status.evacuation.next(&input) else {
+                if status.evacuation.is_evacuated() && input.wait_elapsed && status.probing_since.is_none() {
+                    status.probing_since = Some(now);
                     self.evidence.forget(now, zone);
                 }
                 continue;
             };
-            let before = std::mem::replace(&mut stand.evacuation, course);
-            match (before.has_full_share(), course.has_full_share()) {
-                (true, false) => stand.exempt = serve,
-                (_, true) => stand.exempt.clear(),
+            let before = std::mem::replace(&mut status.evacuation, state);
+            match (before.has_full_share(), state.has_full_share()) {
+                (true, false) => status.exempt = serving,
+                (_, true) => status.exempt.clear(),
                 _ => {}
             }
-            stand.consecutive_failures = match why {
-                TransitionReason::Quorum => failed,
-                _ => stand.consecutive_failures.saturating_add(u8::from(course.term > before.term)),
+            status.consecutive_failures = match reason {
+                TransitionReason::Quorum => consecutive_failures,
+                _ => status.consecutive_failures.saturating_add(u8::from(state.term > before.term)),
             };
-            (stand.since, stand.jitter, stand.probing_since, stand.probe_round) = (now, spread, None, None);
-            // What was found of it before belongs to the step before.
-            (stand.health, stand.pending) = (Health::Serving, None);
+            (status.since, status.jitter, status.probing_since, status.probe_round) =
+                (now, jitter, None, None);
+            // Earlier findings and evidence belong to the previous step.
+            (status.health, status.pending) = (Health::Serving, None);
             self.evidence.forget(now, zone);
-            let on = match why {
-                TransitionReason::Quorum => by,
-                _ => stand.finding.senders.iter().copied().collect(),
+            let senders = match reason {
+                TransitionReason::Quorum => quorum_senders,
+                _ => status.finding.senders.iter().copied().collect(),
             };
-            let (share, failed) = (pace.share(course.level), stand.consecutive_failures);
+            let (share, consecutive_failures) = (schedule.share(state.level), status.consecutive_failures);
             out.push(Output::Log(Event::ShareChanged {
                 zone,
                 before,
-                state: course,
+                state,
                 share,
-                reason: why,
-                consecutive_failures: failed,
-                senders: on,
+                reason,
+                consecutive_failures,
+                senders,
             }));
         }
     }
 
-    /// Whether it is this sender's turn to call a zone that it would not call: one that is left and may be
-    /// back, or one that only its own senders see fail.
+    /// Starts and ends this sender's turns to probe a zone that it does not call otherwise: one that is
+    /// evacuated and may have recovered, or one that only senders in that zone see fail.
     fn update_probing(&mut self, now: Micros, out: &mut Vec<Output>) {
         if self.config.return_schedule.is_none() {
             return;
         }
-        let (place, fleet) = (self.config.sender, self.config.fleet_size);
-        for (&zone, stand) in &mut self.statuses {
-            let since = match stand.probing_since {
-                Some(since) if stand.evacuation.is_evacuated() => Some(since),
-                _ if stand.evacuation.has_full_share()
-                    && needs_probes(&stand.finding, &self.config.thresholds)
-                    && !stand.finding.sender_zones.contains(&self.config.own_zone) =>
+        let (sender, fleet_size) = (self.config.sender, self.config.fleet_size);
+        for (&zone, status) in &mut self.statuses {
+            let since = match status.probing_since {
+                Some(since) if status.evacuation.is_evacuated() => Some(since),
+                _ if status.evacuation.has_full_share()
+                    && needs_probes(&status.finding, &self.config.thresholds)
+                    && !status.finding.sender_zones.contains(&self.config.own_zone) =>
                 {
                     Some(self.started_at)
                 }
                 _ => None,
             };
-            let turn = since.and_then(|since| probe_round(place, fleet, now.saturating_sub(since)));
-            // What was not tried in a turn is not tried after it: else turns would add up.
-            if turn != stand.probe_round && !self.config.pinned.contains_key(&zone) {
+            let round = since.and_then(|since| probe_round(sender, fleet_size, now.saturating_sub(since)));
+            // Probes that were not sent during a turn are cancelled at its end, since the probes of several
+            // turns would add up otherwise.
+            if round != status.probe_round && !self.config.pinned.contains_key(&zone) {
                 let share =
-                    self.config.return_schedule.as_ref().map_or(1.0, |p| p.share(stand.evacuation.level));
+                    self.config.return_schedule.as_ref().map_or(1.0, |s| s.share(status.evacuation.level));
                 out.push(Output::SetShare {
                     zone,
                     share,
-                    probe: turn.is_some(),
-                    exempt: stand.exempt.clone(),
+                    probe: round.is_some(),
+                    exempt: status.exempt.clone(),
                 });
             }
-            stand.probe_round = turn;
+            status.probe_round = round;
         }
     }
 
-    /// Says whether clients had better go elsewhere. Who hears nobody keeps to what it had said.
+    /// Reports when clients are to be redirected, or no longer. An isolated sender keeps its last report.
     fn update_redirection(&mut self, now: Micros, out: &mut Vec<Output>) {
-        let own = self.config.own_zone;
-        let elsewhere = |w: ReportView<'_>| w.sender_zone != own && self.share(w.sender_zone) >= 1.0;
-        let gives_way =
-            self.share(own) < 1.0 && (self.redirects_clients || self.pool.fresh(now).any(elsewhere));
-        if !self.is_isolated && std::mem::replace(&mut self.redirects_clients, gives_way) != gives_way {
-            out.push(Output::RedirectClients(gives_way));
+        let own_zone = self.config.own_zone;
+        let is_elsewhere = |r: ReportView<'_>| r.sender_zone != own_zone && self.share(r.sender_zone) >= 1.0;
+        let redirects_clients =
+            self.share(own_zone) < 1.0 && (self.redirects_clients || self.pool.fresh(now).any(is_elsewhere));
+        if !self.is_isolated
+            && std::mem::replace(&mut self.redirects_clients, redirects_clients) != redirects_clients
+        {
+            out.push(Output::RedirectClients(redirects_clients));
         }
     }
 
-    /// Says what zones are to be sent, where that has changed.
+    /// Reports the share of each zone whose share or exempt destinations have changed.
     fn output_shares(&mut self, out: &mut Vec<Output>) {
         let pinned = self.config.pinned.keys().copied();
         for zone in self.statuses.keys().copied().chain(pinned).collect::<BTreeSet<_>>() {
             let share = self.share(zone);
-            let kept = self.statuses.len() < MAX_ZONES || self.statuses.contains_key(&zone);
-            let pinned = self.config.pinned.contains_key(&zone);
-            let spared =
-                self.statuses.get(&zone).filter(|_| share < 1.0 && !pinned).map(|s| s.exempt.clone());
-            let now = (share, spared.unwrap_or_default());
-            let said = self.statuses.get(&zone).and_then(|s| s.last_output.as_ref());
-            if kept && said.map_or(now.0 != 1.0, |said| *said != now) {
+            let has_room = self.statuses.len() < MAX_ZONES || self.statuses.contains_key(&zone);
+            let is_pinned = self.config.pinned.contains_key(&zone);
+            let exempt =
+                self.statuses.get(&zone).filter(|_| share < 1.0 && !is_pinned).map(|s| s.exempt.clone());
+            let now = (share, exempt.unwrap_or_default());
+            let last = self.statuses.get(&zone).and_then(|s| s.last_output.as_ref());
+            if has_room && last.map_or(now.0 != 1.0, |last| *last != now) {
                 self.statuses.entry(zone).or_default().last_output = Some(now.clone());
                 out.push(Output::SetShare { zone, share, probe: false, exempt: now.1 });
             }
--- a/crates/zones/tests/fleet.rs
+++ b/crates/zones/tests/fleet.rs
@@ -326,11 +326,11 @@
         return_schedule: Some(sim::return_schedule()),
         pinned: [(zone(1), false)].into(),
     };
-    let mut monitor = ZoneStateMachine::new(config, 1, 0);
-    monitor.set_listed_zones([zone(0), zone(1)].into());
+    let mut machine = ZoneStateMachine::new(config, 1, 0);
+    machine.set_listed_zones([zone(0), zone(1)].into());
     let mut out = Vec::new();
     for now in (0..10 * S).step_by(500 * MS as usize) {
-        monitor.tick(now, &mut out);
+        machine.tick(now, &mut out);
     }
     assert!(out.iter().any(|o| matches!(o, Output::SetShare { share: 0.0, .. })));
     assert!(!out.iter().any(|o| matches!(o, Output::RedirectClients(_))));
