--- a/crates/daemon/src/settings.rs
+++ b/crates/daemon/src/settings.rs
@@ -1,4 +1,4 @@
-//! What is set: the configuration, its classes, and the operator's own file.
+//! Settings: the configuration that the platform writes, its message classes, and the operator's own file.
 
 pub mod active;
 pub mod check;
--- a/crates/daemon/src/settings/active.rs
+++ b/crates/daemon/src/settings/active.rs
@@ -1,5 +1,5 @@
-//! The settings in force, as far as they may change while the process runs, and what a new configuration
-//! makes of them. Free of I/O.
+//! The settings that may change while the process runs, and how a new configuration changes them. This module
+//! has no I/O.
 
 use crate::settings::classes::{ClassChange, ClassTable};
 use crate::settings::config::{Config, Names};
@@ -7,46 +7,55 @@
 use serde_json::Value;
 use std::collections::{BTreeMap, BTreeSet};
 
+/// The settings in force.
 #[derive(Debug)]
 pub struct ActiveSettings {
-    /// With all classes that messages use, by place.
+    /// The settings of the decision module, with all classes that messages use, by index.
     pub settings: Settings,
     pub classes: ClassTable,
-    /// Those of classes are the configuration's; the rest does not change.
+    /// The names of tenants, kinds and zones, which do not change while the process runs. The names of
+    /// classes are those of the configuration at the start; [`Self::classes`] has the current ones.
     pub names: Names,
 }
 
-fn told(config: &Config) -> Vec<(String, Class)> {
+fn configured_classes(config: &Config) -> Vec<(String, Class)> {
     let classes = config.settings.classes.iter().cloned();
     config.names.classes.iter().cloned().zip(classes).collect()
 }
 
 impl ActiveSettings {
-    /// Whether messages of the class with this tag must not be repeated, as far as is known.
+    /// Returns whether repeating a message of the class with this tag may be unsafe. An unknown class counts
+    /// as unsafe.
     pub fn is_unsafe_to_repeat(&self, tag: &str) -> bool {
         let class = self.classes.index_of(tag).and_then(|n| self.settings.classes.get(n));
         class.is_none_or(|c| c.effect != Effect::Idempotent)
     }
 
-    /// Those of a process that starts; `stored` are the classes that the store knows by tag, `used` the tags
-    /// of its messages.
+    /// Creates the settings of a process that starts. `stored` has the class definitions in the store by tag,
+    /// `used` the tags that its messages use. Returns also the changes to make in the store.
     pub fn new(
         config: &Config,
         stored: &BTreeMap<String, Class>,
         used: &BTreeSet<&str>,
     ) -> (Self, Vec<ClassChange>) {
-        let (classes, changes) = ClassTable::new(&told(config), stored, used);
-        let set = Settings { classes: classes.definitions(), ..config.settings.clone() };
-        (Self { settings: set, classes, names: config.names.clone() }, changes)
+        let (classes, changes) = ClassTable::new(&configured_classes(config), stored, used);
+        let settings = Settings { classes: classes.definitions(), ..config.settings.clone() };
+        (Self { settings, classes, names: config.names.clone() }, changes)
     }
 
-    /// Those of another process that this one takes over from.
-    pub fn from_predecessor(config: &Config, set: &Settings, places: &[(String, Class, bool)]) -> Self {
-        Self { settings: set.clone(), classes: ClassTable::from_entries(places), names: config.names.clone() }
+    /// Creates the settings of a process that takes over from a predecessor, with the predecessor's settings
+    /// and class table.
+    pub fn from_predecessor(config: &Config, settings: &Settings, entries: &[(String, Class, bool)]) -> Self {
+        Self {
+            settings: settings.clone(),
+            classes: ClassTable::from_entries(entries),
+            names: config.names.clone(),
+        }
     }
 
-    /// What a new configuration makes of them, what the store is to hold, and which keys of it have to wait
-    /// for the next start. Nothing is changed: that is done once the store has it.
+    /// Returns the settings under a new configuration, the changes to make in the store, and the changed keys
+    /// that take effect only at the next start. Nothing is changed here: the caller adopts the new settings
+    /// once the store has the changes.
     pub fn reconfigured(
         &self,
         config: &Config,
@@ -54,15 +63,15 @@
     ) -> (Self, Vec<ClassChange>, Vec<&'static str>) {
         let (old, new) = (&self.settings, &config.settings);
         let mut classes = self.classes.clone();
-        let changes = classes.reconfigure(&told(config), in_use);
-        let tenants = config.names.tenants == self.names.tenants;
-        let set = Settings {
+        let changes = classes.reconfigure(&configured_classes(config), in_use);
+        let same_tenants = config.names.tenants == self.names.tenants;
+        let settings = Settings {
             classes: classes.definitions(),
             max_held: new.max_held,
             max_attempts: new.max_attempts,
             max_retry_after: new.max_retry_after,
             over_share_worth: new.over_share_worth,
-            tenant_allowances: if tenants {
+            tenant_allowances: if same_tenants {
                 new.tenant_allowances.clone()
             } else {
                 old.tenant_allowances.clone()
@@ -76,8 +85,8 @@
             key_rest: new.key_rest,
             ..old.clone()
         };
-        let waits = [
-            ("settings.parties", tenants),
+        let unchanged = [
+            ("settings.parties", same_tenants),
             ("settings.kinds", config.names.kinds == self.names.kinds && new.kinds == old.kinds),
             ("settings.zones", config.names.zones == self.names.zones && new.zone == old.zone),
             ("settings.familyInfo.slots", new.slots == old.slots),
@@ -91,43 +100,43 @@
             ("settings.bounds.parallelTries", new.parallel_attempts == old.parallel_attempts),
             ("settings.bounds.peerMessages", new.may_send_notes == old.may_send_notes),
         ];
-        let waits = waits.into_iter().filter(|w| !w.1).map(|w| w.0).collect();
-        (Self { settings: set, classes, names: self.names.clone() }, changes, waits)
+        let needs_restart = unchanged.into_iter().filter(|u| !u.1).map(|u| u.0).collect();
+        (Self { settings, classes, names: self.names.clone() }, changes, needs_restart)
     }
 }
 
-/// Reads a file that is to take the place of the configuration whose text is in force.
+/// Reads the text of a configuration that is to replace the one in force.
 ///
 /// # Errors
-/// All that is wrong with it, by key.
+/// Returns all errors of the text, by key.
 pub fn read_replacement(text: &str, in_force: &str) -> Result<Config, Vec<String>> {
-    let mut wrong = crate::settings::check::find_errors(text);
+    let mut errors = crate::settings::check::find_errors(text);
     if let (Ok(old), Ok(new)) = (serde_json::from_str(in_force), serde_json::from_str(text)) {
-        lacks(&old, &new, "", &mut wrong);
+        find_missing_keys(&old, &new, "", &mut errors);
     }
-    if !wrong.is_empty() {
-        return Err(wrong);
+    if !errors.is_empty() {
+        return Err(errors);
     }
     crate::settings::config::read(text).map_err(|e| vec![e.to_string()])
 }
 
-/// The keys of objects that the one has and the other lacks. Members of lists are no keys; of their own keys
-/// those count that all old members have.
-fn lacks(old: &Value, new: &Value, at: &str, wrong: &mut Vec<String>) {
+/// Finds the keys of objects that the old configuration has and the new one lacks. Members of lists may come
+/// and go; each of them must have the keys that all old members have.
+fn find_missing_keys(old: &Value, new: &Value, path: &str, errors: &mut Vec<String>) {
     match (old, new) {
         (Value::Object(old), Value::Object(new)) => {
-            for (key, was) in old {
-                let key_at = if at.is_empty() { key.clone() } else { format!("{at}.{key}") };
-                // The list comes and goes with discovery's own.
-                if key_at == "known" {
+            for (key, old_value) in old {
+                let key_path = if path.is_empty() { key.clone() } else { format!("{path}.{key}") };
+                // The list of endpoints is optional, since discovery sends it too.
+                if key_path == "known" {
                     continue;
                 }
                 match new.get(key) {
-                    Some(is) => lacks(was, is, &key_at, wrong),
+                    Some(new_value) => find_missing_keys(old_value, new_value, &key_path, errors),
                     None => {
-                        let line = format!("{key_at}: is missing");
-                        if !wrong.contains(&line) {
-                            wrong.push(line + ", and the settings in force have it");
+                        let line = format!("{key_path}: is missing");
+                        if !errors.contains(&line) {
+                            errors.push(line + ", and the settings in force have it");
                         }
                     }
                 }
@@ -136,12 +145,12 @@
         (Value::Array(old), Value::Array(new)) => {
             let Some((first, rest)) = old.split_first() else { return };
             let Value::Object(first) = first else { return };
-            let all = |key: &&String| rest.iter().all(|m| m.get(key.as_str()).is_some());
-            for key in first.keys().filter(all) {
+            let is_in_all = |key: &&String| rest.iter().all(|m| m.get(key.as_str()).is_some());
+            for key in first.keys().filter(is_in_all) {
                 for (n, _) in new.iter().enumerate().filter(|(_, m)| m.get(key.as_str()).is_none()) {
-                    let line = format!("{at}[{n}].{key}: is missing");
-                    if !wrong.contains(&line) {
-                        wrong.push(line + ", and the settings in force have it");
+                    let line = format!("{path}[{n}].{key}: is missing");
+                    if !errors.contains(&line) {
+                        errors.push(line + ", and the settings in force have it");
                     }
                 }
             }
@@ -156,9 +165,9 @@
     use crate::settings::config::tests::TEXT;
 
     #[test]
-    fn a_file_is_taken_whole_or_turned_down_whole_with_every_mistake_by_key() {
+    fn a_configuration_is_adopted_whole_or_rejected_whole_with_every_error_by_key() {
         assert!(read_replacement(TEXT, TEXT).is_ok());
-        for (from, to, said) in [
+        for (from, to, expected) in [
             ("\"maxAttempts\":8", "\"maxAttempts\":0", "settings.bounds.maxAttempts"),
             ("\"maxAttempts\":8", "\"maxAttempts\":-3", "settings.bounds.maxAttempts"),
             ("\"maxAttempts\":8", "\"maxAttempts\":\"8\"", "settings.bounds.maxAttempts"),
@@ -179,33 +188,33 @@
         ] {
             let text = TEXT.replace(from, to);
             assert_ne!(text, TEXT, "{from}");
-            let wrong = read_replacement(&text, TEXT).expect_err(to);
-            assert!(wrong.iter().any(|w| w.starts_with(said)), "{to}: {wrong:?}");
+            let errors = read_replacement(&text, TEXT).expect_err(to);
+            assert!(errors.iter().any(|e| e.starts_with(expected)), "{to}: {errors:?}");
         }
         let two =
             TEXT.replace("\"maxAttempts\":8", "\"maxAttempts\":0").replace("\"sloS\":2.0", "\"sloS\":0");
-        assert_eq!(read_replacement(&two, TEXT).expect_err("two mistakes").len(), 2);
+        assert_eq!(read_replacement(&two, TEXT).expect_err("two errors").len(), 2);
     }
 
     #[test]
-    fn a_file_that_is_cut_at_any_byte_is_turned_down() {
-        for cut in 0..TEXT.len() {
-            assert!(read_replacement(&TEXT[..cut], TEXT).is_err(), "cut at byte {cut}");
+    fn a_configuration_truncated_at_any_byte_is_rejected() {
+        for len in 0..TEXT.len() {
+            assert!(read_replacement(&TEXT[..len], TEXT).is_err(), "truncated to {len} bytes");
         }
     }
 
     #[test]
-    fn what_has_to_wait_for_the_next_start_is_named_and_left() {
-        let config = |text: &str| crate::settings::config::read(text).expect("sound");
-        let (terms, kept) = ActiveSettings::new(&config(TEXT), &BTreeMap::new(), &BTreeSet::new());
-        assert_eq!(kept.len(), 2);
+    fn changes_that_need_a_restart_are_named_and_not_adopted() {
+        let config = |text: &str| crate::settings::config::read(text).expect("a valid configuration");
+        let (active, changes) = ActiveSettings::new(&config(TEXT), &BTreeMap::new(), &BTreeSet::new());
+        assert_eq!(changes.len(), 2);
         let text = TEXT
             .replace("\"slots\":7", "\"slots\":9")
             .replace("\"maxAttempts\":8", "\"maxAttempts\":2")
             .replace("acme", "zenith")
             .replace("\"name\":\"update\"", "\"name\":\"refresh\"");
-        let (new, changes, waits) = terms.reconfigured(&config(&text), &BTreeSet::from([0]));
-        assert_eq!(waits, ["settings.parties", "settings.familyInfo.slots"]);
+        let (new, changes, needs_restart) = active.reconfigured(&config(&text), &BTreeSet::from([0]));
+        assert_eq!(needs_restart, ["settings.parties", "settings.familyInfo.slots"]);
         assert_eq!((new.settings.slots, new.settings.max_attempts), (7, 2));
         assert_eq!(
             (new.classes.current_index("refresh"), new.classes.current_index("update")),
--- a/crates/daemon/src/settings/classes.rs
+++ b/crates/daemon/src/settings/classes.rs
@@ -1,16 +1,17 @@
-//! Which classes there are, by name and for good: a message keeps the class it came with, whatever becomes of
-//! its name in the configuration. Free of I/O.
+//! The table of message classes. A message keeps the class definition with which it arrived, whatever the
+//! configuration makes of the class later. This module has no I/O.
 //!
-//! A definition has a tag, which records use, and a place, which the decision module uses. A class that is
-//! changed gets a new tag and a new place. Both are given up once no message uses them any more.
+//! A definition has a tag, by which the store's records refer to it, and an index, by which the decision
+//! module does. A class that is changed gets a new tag and a new index. The old ones are freed once no
+//! message uses them.
 
 use notchpoint_policy::Class;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Stands between a class's name and its version in a tag. No request's path brings it.
-const VERSION: char = '\0';
+/// Separates the name of a class from its version in a tag. It cannot occur in the path of a request.
+const VERSION_SEPARATOR: char = '\0';
 
-/// What the store is to hold of definitions from now on.
+/// A change of the definitions that the store holds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClassChange {
     Put { tag: String, text: String },
@@ -19,10 +20,10 @@
 
 #[derive(Clone, Debug)]
 struct Entry {
-    /// Empty where the place is free.
+    /// Empty if the entry is free.
     tag: String,
     class: Class,
-    /// The configuration has it.
+    /// Whether the configuration has this definition.
     is_current: bool,
 }
 
@@ -31,32 +32,33 @@
     entries: Vec<Entry>,
 }
 
-/// A definition as it is written. Definitions are the same if this is.
+/// Returns a definition as it is stored. Two definitions are equal if their texts are.
 pub fn definition_text(class: &Class) -> String {
     serde_json::to_string(class).unwrap_or_default()
 }
 
-/// The name in a tag.
+/// Returns the name of the class with this tag.
 pub fn tag_name(tag: &str) -> &str {
-    tag.split_once(VERSION).map_or(tag, |t| t.0)
+    tag.split_once(VERSION_SEPARATOR).map_or(tag, |t| t.0)
 }
 
 impl ClassTable {
-    /// Those that the configuration has, first and in its order, and those that messages in the store use.
-    /// `stored` are the definitions there, by tag.
+    /// Creates a table with the classes of the configuration, first and in its order, and those that stored
+    /// messages use. `stored` has the stored definitions by tag, `used` the tags that messages use. Returns
+    /// also the changes to make in the store.
     pub fn new(
-        told: &[(String, Class)],
+        configured: &[(String, Class)],
         stored: &BTreeMap<String, Class>,
         used: &BTreeSet<&str>,
     ) -> (Self, Vec<ClassChange>) {
         let mut classes = Self::default();
         let mut changes = Vec::new();
-        for (name, class) in told {
-            let wanted = definition_text(class);
-            let same = stored.iter().find(|(tag, c)| tag_name(tag) == name && definition_text(c) == wanted);
+        for (name, class) in configured {
+            let text = definition_text(class);
+            let same = stored.iter().find(|(tag, c)| tag_name(tag) == name && definition_text(c) == text);
             let tag = same.map(|(tag, _)| tag.clone()).unwrap_or_else(|| {
                 let tag = free_tag(name, |tag| stored.contains_key(tag));
-                changes.push(ClassChange::Put { tag: tag.clone(), text: wanted });
+                changes.push(ClassChange::Put { tag: tag.clone(), text });
                 tag
             });
             classes.entries.push(Entry { tag, class: class.clone(), is_current: true });
@@ -74,77 +76,82 @@
         (classes, changes)
     }
 
-    /// Takes the classes of a new configuration. `in_use` are the places that messages use.
-    pub fn reconfigure(&mut self, told: &[(String, Class)], in_use: &BTreeSet<usize>) -> Vec<ClassChange> {
+    /// Adopts the classes of a new configuration. `in_use` has the indexes that messages use. Returns the
+    /// changes to make in the store.
+    pub fn reconfigure(
+        &mut self,
+        configured: &[(String, Class)],
+        in_use: &BTreeSet<usize>,
+    ) -> Vec<ClassChange> {
         let mut changes = Vec::new();
         let mut current = BTreeSet::new();
         let mut new = Vec::new();
-        for (name, class) in told {
-            let wanted = definition_text(class);
-            let same = |p: &Entry| tag_name(&p.tag) == name && definition_text(&p.class) == wanted;
-            match self.entries.iter().position(same) {
+        for (name, class) in configured {
+            let text = definition_text(class);
+            let is_same = |e: &Entry| tag_name(&e.tag) == name && definition_text(&e.class) == text;
+            match self.entries.iter().position(is_same) {
                 Some(n) => drop(current.insert(n)),
-                None => new.push((name, class, wanted)),
+                None => new.push((name, class, text)),
             }
         }
-        for (n, p) in self.entries.iter_mut().enumerate() {
-            p.is_current = current.contains(&n);
-            if !p.is_current && !in_use.contains(&n) && !p.tag.is_empty() {
-                changes.push(ClassChange::Delete { tag: std::mem::take(&mut p.tag) });
+        for (n, entry) in self.entries.iter_mut().enumerate() {
+            entry.is_current = current.contains(&n);
+            if !entry.is_current && !in_use.contains(&n) && !entry.tag.is_empty() {
+                changes.push(ClassChange::Delete { tag: std::mem::take(&mut entry.tag) });
             }
         }
         for (name, class, text) in new {
             let tag = free_tag(name, |tag| self.index_of(tag).is_some());
-            let place = Entry { tag: tag.clone(), class: class.clone(), is_current: true };
-            match self.entries.iter_mut().find(|p| p.tag.is_empty()) {
-                Some(free) => *free = place,
-                None => self.entries.push(place),
+            let entry = Entry { tag: tag.clone(), class: class.clone(), is_current: true };
+            match self.entries.iter_mut().find(|e| e.tag.is_empty()) {
+                Some(free) => *free = entry,
+                None => self.entries.push(entry),
             }
-            // A tag that is dropped and given again in one step is kept.
-            changes.retain(|c| !matches!(c, ClassChange::Delete { tag: dropped } if *dropped == tag));
+            // A tag that is deleted and assigned again by the same configuration is only put.
+            changes.retain(|c| !matches!(c, ClassChange::Delete { tag: deleted } if *deleted == tag));
             changes.push(ClassChange::Put { tag, text });
         }
         changes
     }
 
-    /// The place of a class that clients may use now.
+    /// Returns the index of the class that clients may use under this name.
     pub fn current_index(&self, name: &str) -> Option<usize> {
-        self.entries.iter().position(|p| p.is_current && tag_name(&p.tag) == name)
+        self.entries.iter().position(|e| e.is_current && tag_name(&e.tag) == name)
     }
 
-    /// The place of a tag that a record has.
+    /// Returns the index of the definition with the tag of a stored record.
     pub fn index_of(&self, tag: &str) -> Option<usize> {
-        self.entries.iter().position(|p| p.tag == tag && !tag.is_empty())
+        self.entries.iter().position(|e| e.tag == tag && !tag.is_empty())
     }
 
-    pub fn tag_at(&self, place: usize) -> &str {
-        self.entries.get(place).map_or("", |p| &p.tag)
+    pub fn tag_at(&self, index: usize) -> &str {
+        self.entries.get(index).map_or("", |e| &e.tag)
     }
 
-    /// All places, for another process that takes over: tag, definition, and whether clients may use it.
+    /// Returns all entries, for a successor process: tag, definition, and whether clients may use it.
     pub fn entries(&self) -> Vec<(String, Class, bool)> {
-        self.entries.iter().map(|p| (p.tag.clone(), p.class.clone(), p.is_current)).collect()
+        self.entries.iter().map(|e| (e.tag.clone(), e.class.clone(), e.is_current)).collect()
     }
 
-    /// The same places as another process had.
-    pub fn from_entries(places: &[(String, Class, bool)]) -> Self {
-        let place = |(tag, class, current): &(String, Class, bool)| Entry {
+    /// Creates the table from the entries of a predecessor process.
+    pub fn from_entries(entries: &[(String, Class, bool)]) -> Self {
+        let entry = |(tag, class, is_current): &(String, Class, bool)| Entry {
             tag: tag.clone(),
             class: class.clone(),
-            is_current: *current,
+            is_current: *is_current,
         };
-        Self { entries: places.iter().map(place).collect() }
+        Self { entries: entries.iter().map(entry).collect() }
     }
 
-    /// The definitions by place, for the decision module.
+    /// Returns the definitions by index, for the decision module.
     pub fn definitions(&self) -> Vec<Class> {
-        self.entries.iter().map(|p| p.class.clone()).collect()
+        self.entries.iter().map(|e| e.class.clone()).collect()
     }
 }
 
-fn free_tag(name: &str, taken: impl Fn(&str) -> bool) -> String {
-    let tags = (1..).map(|n: u32| format!("{name}{VERSION}{n}"));
-    std::iter::once(name.to_owned()).chain(tags).find(|tag| !taken(tag)).unwrap_or_default()
+fn free_tag(name: &str, is_taken: impl Fn(&str) -> bool) -> String {
+    let tags = (1..).map(|n: u32| format!("{name}{VERSION_SEPARATOR}{n}"));
+    std::iter::once(name.to_owned()).chain(tags).find(|tag| !is_taken(tag)).unwrap_or_default()
 }
 
 #[cfg(test)]
@@ -153,44 +160,36 @@
     use notchpoint_policy::{DedupScope, Effect};
 
     fn class(effect: Effect, deadline: u64) -> Class {
-        let (group, memory, wanted, worth, late_share) = (DedupScope::All, 0, 1, 0.1, 0.3);
-        Class {
-            effect,
-            dedup_scope: group,
-            dedup_window: memory,
-            target_time: wanted,
-            deadline,
-            worth,
-            late_share,
-            in_order: false,
-        }
+        let (dedup_scope, dedup_window, target_time, worth, late_share) = (DedupScope::All, 0, 1, 0.1, 0.3);
+        Class { effect, dedup_scope, dedup_window, target_time, deadline, worth, late_share, in_order: false }
     }
 
-    fn told(classes: &[(&str, Effect, u64)]) -> Vec<(String, Class)> {
+    fn configured(classes: &[(&str, Effect, u64)]) -> Vec<(String, Class)> {
         classes.iter().map(|&(name, effect, deadline)| (name.to_owned(), class(effect, deadline))).collect()
     }
 
     use Effect::{AtMostOnce, Idempotent};
 
     #[test]
-    fn a_class_that_is_reordered_stays_and_one_that_is_changed_is_another() {
-        let (mut classes, kept) = ClassTable::new(
-            &told(&[("a", Idempotent, 5), ("b", AtMostOnce, 9)]),
+    fn a_reordered_class_keeps_its_index_and_a_changed_class_gets_a_new_one() {
+        let (mut classes, changes) = ClassTable::new(
+            &configured(&[("a", Idempotent, 5), ("b", AtMostOnce, 9)]),
             &BTreeMap::new(),
             &BTreeSet::new(),
         );
         assert_eq!(
-            (classes.current_index("a"), classes.current_index("b"), kept.len()),
+            (classes.current_index("a"), classes.current_index("b"), changes.len()),
             (Some(0), Some(1), 2)
         );
-        // Reordered, with one more: nothing that is known moves.
+        // Reordered, with a further class: the known classes keep their indexes.
         classes.reconfigure(
-            &told(&[("c", Idempotent, 1), ("b", AtMostOnce, 9), ("a", Idempotent, 5)]),
+            &configured(&[("c", Idempotent, 1), ("b", AtMostOnce, 9), ("a", Idempotent, 5)]),
             &BTreeSet::new(),
         );
         assert_eq!(["a", "b", "c"].map(|n| classes.current_index(n)), [Some(0), Some(1), Some(2)]);
-        // A stricter effect under the same name: messages under way keep the old one.
-        classes.reconfigure(&told(&[("a", AtMostOnce, 5), ("b", AtMostOnce, 9)]), &BTreeSet::from([0, 2]));
+        // A stricter effect under the same name: messages in progress keep the old definition.
+        classes
+            .reconfigure(&configured(&[("a", AtMostOnce, 5), ("b", AtMostOnce, 9)]), &BTreeSet::from([0, 2]));
         assert_eq!((classes.current_index("a"), classes.current_index("c")), (Some(3), None));
         assert_eq!(
             (classes.index_of("a"), classes.tag_at(3), tag_name(classes.tag_at(3))),
@@ -200,20 +199,20 @@
             (classes.definitions()[0].effect, classes.definitions()[3].effect),
             (Idempotent, AtMostOnce)
         );
-        // Once nothing uses them their places are free for others.
+        // Once no message uses them, their entries are free for others.
         let changes =
-            classes.reconfigure(&told(&[("a", AtMostOnce, 5), ("d", Idempotent, 1)]), &BTreeSet::new());
+            classes.reconfigure(&configured(&[("a", AtMostOnce, 5), ("d", Idempotent, 1)]), &BTreeSet::new());
         assert_eq!(changes.iter().filter(|c| matches!(c, ClassChange::Delete { .. })).count(), 3);
         assert!(classes.current_index("d").is_some_and(|n| n < 3) && classes.definitions().len() == 4);
     }
 
     #[test]
-    fn places_are_bounded_by_what_is_in_use_however_often_settings_change() {
+    fn the_table_is_bounded_by_the_classes_in_use_however_often_settings_change() {
         let (mut classes, _) =
-            ClassTable::new(&told(&[("a", Idempotent, 5)]), &BTreeMap::new(), &BTreeSet::new());
+            ClassTable::new(&configured(&[("a", Idempotent, 5)]), &BTreeMap::new(), &BTreeSet::new());
         let mut stored = BTreeSet::from(["a".to_owned()]);
         for n in 0..1_000 {
-            for change in classes.reconfigure(&told(&[("a", Idempotent, 6 + n)]), &BTreeSet::new()) {
+            for change in classes.reconfigure(&configured(&[("a", Idempotent, 6 + n)]), &BTreeSet::new()) {
                 match change {
                     ClassChange::Put { tag, .. } => drop(stored.insert(tag)),
                     ClassChange::Delete { tag } => assert!(stored.remove(&tag)),
@@ -224,19 +223,19 @@
     }
 
     #[test]
-    fn what_the_store_holds_is_found_again_by_name_and_definition() {
-        let old = told(&[("a", Idempotent, 5), ("gone", Idempotent, 7), ("unused", Idempotent, 8)]);
+    fn stored_definitions_are_found_by_name_and_definition() {
+        let old = configured(&[("a", Idempotent, 5), ("gone", Idempotent, 7), ("unused", Idempotent, 8)]);
         let mut stored: BTreeMap<String, Class> = old.into_iter().collect();
         stored.insert("a\u{0}1".into(), class(AtMostOnce, 5));
         let used = BTreeSet::from(["a", "gone"]);
-        let now = told(&[("new", Idempotent, 1), ("a", AtMostOnce, 5)]);
+        let now = configured(&[("new", Idempotent, 1), ("a", AtMostOnce, 5)]);
         let (classes, changes) = ClassTable::new(&now, &stored, &used);
         assert_eq!(
             (classes.current_index("new"), classes.current_index("a"), classes.tag_at(1)),
             (Some(0), Some(1), "a\u{0}1")
         );
-        let place = classes.index_of("gone").expect("a message has it");
-        assert_eq!((classes.current_index("gone"), classes.definitions()[place].deadline), (None, 7));
+        let index = classes.index_of("gone").expect("a message uses it");
+        assert_eq!((classes.current_index("gone"), classes.definitions()[index].deadline), (None, 7));
         assert_eq!(classes.definitions()[classes.index_of("a").expect("in use")].effect, Idempotent);
         assert!(changes.contains(&ClassChange::Delete { tag: "unused".into() }));
         assert_eq!(changes.len(), 2, "{changes:?}");
--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -1,5 +1,5 @@
-//! Reads `config.json` into what the program and the module need. Unknown keys are passed over, since
-//! settings may gain some; waits are rounded up, deadlines down.
+//! Reads `config.json` into the values that the program and the decision module need. Unknown keys are
+//! ignored, since later versions of the platform may add some. Waits are rounded up, deadlines down.
 
 use crate::endpoint_list::EndpointList;
 use notchpoint_policy::*;
@@ -7,7 +7,7 @@
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Why the program cannot start.
+/// Why a configuration was rejected.
 #[derive(Debug)]
 pub enum ConfigError {
     Json(serde_json::Error),
@@ -19,7 +19,7 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Json(e) => write!(f, "configuration cannot be read: {e}"),
-            Self::Value(what) => write!(f, "configuration: {what}"),
+            Self::Value(error) => write!(f, "configuration: {error}"),
             Self::Settings(e) => e.fmt(f),
         }
     }
@@ -27,34 +27,40 @@
 
 impl std::error::Error for ConfigError {}
 
-/// What the platform tells a sender.
+/// The configuration of a sender, which the platform writes.
 #[derive(Debug)]
 pub struct Config {
     /// The sender's name.
     pub name: String,
+    /// Where clients connect.
     pub listen_addr: SocketAddr,
-    /// Where operators call, if they do.
+    /// Where operators connect, if they do.
     pub admin_addr: Option<SocketAddr>,
+    /// Where the sender watches the endpoint list and posts notices.
     pub discovery_addr: SocketAddr,
+    /// Where notes of other senders arrive.
     pub peer_listen_addr: Option<SocketAddr>,
-    /// Senders of the tier, by their numbers.
+    /// The addresses of the senders of the tier, by their numbers.
     pub peers: Vec<SocketAddr>,
-    /// This one's number.
+    /// This sender's number.
     pub own_number: u32,
+    /// The address that reaches all senders of the tier at once.
     pub broadcast_addr: Option<SocketAddr>,
+    /// The seed of all random numbers.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// The maximum number of file descriptors of the process.
     pub max_descriptors: usize,
-    /// Bytes of memory that the process may take.
+    /// The maximum memory of the process, in bytes.
     pub memory_bytes: u64,
-    /// Bytes that the lasting folder may hold.
+    /// The maximum size of the state folder, in bytes.
     pub disk_bytes: u64,
+    /// The endpoint list as it was when the configuration was written.
     pub initial_list: EndpointList,
     pub settings: Settings,
     pub names: Names,
 }
 
-/// The names that requests and lists use and the module does not.
+/// The names that requests and endpoint lists use. The decision module uses indexes instead.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
@@ -63,8 +69,9 @@
     pub zones: Vec<String>,
 }
 
+/// The layout of `config.json`.
 #[derive(Deserialize)]
-struct File {
+struct ConfigFile {
     #[serde(default)]
     name: String,
     listen: SocketAddr,
@@ -75,14 +82,14 @@
     peers: Vec<SocketAddr>,
     peers_all: Option<SocketAddr>,
     seed: serde_json::Value,
-    limits: Limits,
+    limits: LimitsSection,
     #[serde(default)]
     known: EndpointList,
-    settings: Told,
+    settings: SettingsSection,
 }
 
 #[derive(Deserialize)]
-struct Limits {
+struct LimitsSection {
     sockets: usize,
     memory_mb: f64,
     disk_mb: f64,
@@ -90,26 +97,26 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Told {
-    bounds: Bounds,
-    classes: Vec<ClassTold>,
+struct SettingsSection {
+    bounds: BoundsSection,
+    classes: Vec<ClassSection>,
     #[serde(default)]
-    clients: Clients,
+    clients: ClientsSection,
     discovery: String,
-    family_info: FamilyInfo,
+    family_info: FamilyInfoSection,
     #[serde(default)]
     kinds: Vec<String>,
     #[serde(default)]
     locality: String,
     #[serde(default)]
     me: u32,
-    #[serde(default = "one")]
+    #[serde(default = "one_f64")]
     over_share_worth: f64,
     #[serde(default)]
-    parties: Vec<Party>,
+    parties: Vec<PartySection>,
     #[serde(default)]
-    safety: Safety,
-    #[serde(default = "single")]
+    safety: SafetySection,
+    #[serde(default = "one_u32")]
     siblings: u32,
     #[serde(default)]
     tick_s: f64,
@@ -117,17 +124,17 @@
     zones: Vec<String>,
 }
 
-fn one() -> f64 {
+fn one_f64() -> f64 {
     1.0
 }
 
-fn single() -> u32 {
+fn one_u32() -> u32 {
     1
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Bounds {
+struct BoundsSection {
     #[serde(default)]
     cancelling: bool,
     conn_idle_s: f64,
@@ -136,7 +143,7 @@
     #[serde(default)]
     max_retry_after_s: f64,
     most_held: u32,
-    #[serde(default = "single")]
+    #[serde(default = "one_u32")]
     multiplex: u32,
     #[serde(default)]
     parallel_tries: bool,
@@ -148,7 +155,7 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct ClassTold {
+struct ClassSection {
     name: String,
     effect: String,
     #[serde(default)]
@@ -157,7 +164,7 @@
     memory_span_s: f64,
     slo_s: f64,
     deadline_s: f64,
-    #[serde(default = "one")]
+    #[serde(default = "one_f64")]
     worth: f64,
     #[serde(default)]
     late_share: f64,
@@ -165,14 +172,14 @@
 
 #[derive(Default, Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Clients {
+struct ClientsSection {
     #[serde(default)]
     marks_retry: bool,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct FamilyInfo {
+struct FamilyInfoSection {
     slots: u32,
     #[serde(default)]
     bundle_max: Vec<u32>,
@@ -184,14 +191,14 @@
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase")]
-struct Party {
+struct PartySection {
     name: String,
     allowance_per_s: Option<f64>,
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "camelCase", default)]
-struct Safety {
+struct SafetySection {
     start_capacity: f64,
     cold_s: f64,
     overload_factor: f64,
@@ -199,79 +206,79 @@
     key_rest_s: f64,
 }
 
-impl Default for Safety {
+impl Default for SafetySection {
     fn default() -> Self {
         Self { start_capacity: 1.0, cold_s: 0.0, overload_factor: 1.0, tip_after_s: 0.0, key_rest_s: 0.0 }
     }
 }
 
-/// Seconds to microseconds, rounded by `round`. What differs from a whole number by less than a float can
-/// tell is that number.
-fn span(seconds: f64, round: fn(f64) -> f64) -> Result<Micros, ConfigError> {
+/// Converts seconds to microseconds, rounded by `round`. A value that differs from a whole number by no more
+/// than the precision of a float is taken as that number.
+fn to_micros(seconds: f64, round: fn(f64) -> f64) -> Result<Micros, ConfigError> {
     if !(0.0..=3.2e9).contains(&seconds) {
         return Err(ConfigError::Value(format!("time out of range: {seconds}")));
     }
-    let x = seconds * 1e6;
-    Ok(if (x - x.round()).abs() < 1e-3 { x.round() } else { round(x) } as Micros)
+    let micros = seconds * 1e6;
+    Ok(if (micros - micros.round()).abs() < 1e-3 { micros.round() } else { round(micros) } as Micros)
 }
 
-fn up(seconds: f64) -> Result<Micros, ConfigError> {
-    span(seconds, f64::ceil)
+fn round_up(seconds: f64) -> Result<Micros, ConfigError> {
+    to_micros(seconds, f64::ceil)
 }
 
-fn down(seconds: f64) -> Result<Micros, ConfigError> {
-    span(seconds, f64::floor)
+fn round_down(seconds: f64) -> Result<Micros, ConfigError> {
+    to_micros(seconds, f64::floor)
 }
 
-fn class(c: &ClassTold) -> Result<Class, ConfigError> {
+fn class(section: &ClassSection) -> Result<Class, ConfigError> {
     Ok(Class {
-        effect: match c.effect.as_str() {
+        effect: match section.effect.as_str() {
             "idempotent" => Effect::Idempotent,
             "deduplicated" => Effect::Deduplicated,
             "at_most_once" => Effect::AtMostOnce,
             other => return Err(ConfigError::Value(format!("unknown effect {other}"))),
         },
-        dedup_scope: match c.group.as_str() {
+        dedup_scope: match section.group.as_str() {
             "" | "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Endpoint,
         },
-        dedup_window: down(c.memory_span_s)?,
-        target_time: down(c.slo_s)?,
-        deadline: down(c.deadline_s)?,
-        worth: c.worth,
-        late_share: c.late_share,
-        // The protocol gives clients no place to name a message's key, so no class can be kept in order.
+        dedup_window: round_down(section.memory_span_s)?,
+        target_time: round_down(section.slo_s)?,
+        deadline: round_down(section.deadline_s)?,
+        worth: section.worth,
+        late_share: section.late_share,
+        // The protocol has no field for the key of a message, so no class can be delivered in order.
         in_order: false,
     })
 }
 
 /// Reads the text of `config.json`.
 pub fn read(text: &str) -> Result<Config, ConfigError> {
-    let file: File = serde_json::from_str(text).map_err(ConfigError::Json)?;
-    let told = file.settings;
-    let (b, info, safety) = (&told.bounds, &told.family_info, &told.safety);
-    let kinds = if told.kinds.is_empty() { vec![String::new()] } else { told.kinds };
-    let zone = told.zones.iter().position(|z| *z == told.locality);
+    let file: ConfigFile = serde_json::from_str(text).map_err(ConfigError::Json)?;
+    let section = file.settings;
+    let (bounds, info, safety) = (&section.bounds, &section.family_info, &section.safety);
+    let kinds = if section.kinds.is_empty() { vec![String::new()] } else { section.kinds };
+    let zone = section.zones.iter().position(|z| *z == section.locality);
     let settings = Settings {
         slots: info.slots,
-        max_held: b.most_held,
-        max_attempts: b.max_attempts,
-        senders: told.siblings,
+        max_held: bounds.most_held,
+        max_attempts: bounds.max_attempts,
+        senders: section.siblings,
         zone: zone.map_or(u32::MAX, |z| z as u32),
-        parallel_attempts: b.parallel_tries,
-        may_cancel: b.cancelling,
-        // The protocol has no probe.
+        parallel_attempts: bounds.parallel_tries,
+        may_cancel: bounds.cancelling,
+        // The protocol has no probe request.
         may_probe: false,
-        may_send_notes: b.peer_messages && file.peer_listen.is_some() && file.peers_all.is_some(),
-        list: match told.discovery.as_str() {
+        may_send_notes: bounds.peer_messages && file.peer_listen.is_some() && file.peers_all.is_some(),
+        list: match section.discovery.as_str() {
             "push" => ListMode::Push,
             "ask" => ListMode::Ask,
             other => return Err(ConfigError::Value(format!("unknown discovery mode {other}"))),
         },
-        classes: told.classes.iter().map(class).collect::<Result<_, _>>()?,
-        tenant_allowances: told.parties.iter().map(|p| p.allowance_per_s.unwrap_or(f64::MAX)).collect(),
-        over_share_worth: told.over_share_worth,
+        classes: section.classes.iter().map(class).collect::<Result<_, _>>()?,
+        tenant_allowances: section.parties.iter().map(|p| p.allowance_per_s.unwrap_or(f64::MAX)).collect(),
+        over_share_worth: section.over_share_worth,
         kinds: (0..kinds.len())
             .map(|i| Kind {
                 per_endpoint: info.kind_apart.get(i).copied().unwrap_or(false),
@@ -283,18 +290,18 @@
             Some("by_half") => WorthDecay::Halving,
             Some(other) => return Err(ConfigError::Value(format!("unknown fade {other}"))),
         },
-        clients_mark_retries: told.clients.marks_retry,
+        clients_mark_retries: section.clients.marks_retry,
         start_capacity: safety.start_capacity,
-        warm_up: up(safety.cold_s)?,
+        warm_up: round_up(safety.cold_s)?,
         overload_factor: safety.overload_factor,
-        overload_after: down(safety.tip_after_s)?,
-        key_rest: up(safety.key_rest_s)?,
-        connect_timeout: up(b.connect_timeout_s)?,
-        conn_idle: down(b.conn_idle_s)?,
-        multiplex: b.multiplex,
+        overload_after: round_down(safety.tip_after_s)?,
+        key_rest: round_up(safety.key_rest_s)?,
+        connect_timeout: round_up(bounds.connect_timeout_s)?,
+        conn_idle: round_down(bounds.conn_idle_s)?,
+        multiplex: bounds.multiplex,
         connections_reported: true,
-        tick: up(told.tick_s)?,
-        max_retry_after: if b.retry_after { down(b.max_retry_after_s)? } else { 0 },
+        tick: round_up(section.tick_s)?,
+        max_retry_after: if bounds.retry_after { round_down(bounds.max_retry_after_s)? } else { 0 },
     };
     settings.check().map_err(ConfigError::Settings)?;
     let seed = match &file.seed {
@@ -302,10 +309,10 @@
         other => other.as_u64(),
     };
     let names = Names {
-        classes: told.classes.into_iter().map(|c| c.name).collect(),
-        tenants: told.parties.into_iter().map(|p| p.name).collect(),
+        classes: section.classes.into_iter().map(|c| c.name).collect(),
+        tenants: section.parties.into_iter().map(|p| p.name).collect(),
         kinds,
-        zones: told.zones,
+        zones: section.zones,
     };
     Ok(Config {
         name: file.name,
@@ -314,12 +321,12 @@
         discovery_addr: file.discovery,
         peer_listen_addr: file.peer_listen,
         peers: file.peers,
-        own_number: told.me,
+        own_number: section.me,
         broadcast_addr: file.peers_all,
         seed: seed.ok_or_else(|| ConfigError::Value("the seed is neither hex nor a number".into()))?,
         max_descriptors: file.limits.sockets,
         memory_bytes: (file.limits.memory_mb.clamp(0.0, 1e9) * 1e6) as u64,
-        // Of the readings of 'megabyte' the smaller one is safe under both.
+        // A megabyte is taken as 10^6 bytes: the smaller of the two readings is safe under both.
         disk_bytes: (file.limits.disk_mb.clamp(0.0, 1e6) * 1e6) as u64,
         initial_list: file.known,
         settings,
@@ -352,21 +359,27 @@
           "siblings":3,"tickS":0.005,"zones":["a","b"]}}"#;
 
     #[test]
-    fn settings_are_read_with_their_units() {
-        let c = read(TEXT).expect("sound");
-        assert_eq!((c.settings.slots, c.settings.tick, c.settings.conn_idle), (7, 5_000, 5_000_000));
-        assert_eq!((c.settings.zone, c.settings.senders, c.seed), (1, 3, 0x8c1f_30d2_7a5b_e964));
-        assert_eq!(c.settings.kinds[0], Kind { per_endpoint: true, max_bundle: 20 });
+    fn settings_are_converted_to_the_units_of_the_module() {
+        let config = read(TEXT).expect("a valid configuration");
         assert_eq!(
-            (c.settings.classes[1].effect, c.settings.classes[1].deadline),
+            (config.settings.slots, config.settings.tick, config.settings.conn_idle),
+            (7, 5_000, 5_000_000)
+        );
+        assert_eq!(
+            (config.settings.zone, config.settings.senders, config.seed),
+            (1, 3, 0x8c1f_30d2_7a5b_e964)
+        );
+        assert_eq!(config.settings.kinds[0], Kind { per_endpoint: true, max_bundle: 20 });
+        assert_eq!(
+            (config.settings.classes[1].effect, config.settings.classes[1].deadline),
             (Effect::AtMostOnce, 24_000_000)
         );
-        assert_eq!((c.disk_bytes, c.memory_bytes), (3_000_000, 192_000_000));
-        assert_eq!((c.max_descriptors, c.initial_list.revision), (1024, 41));
+        assert_eq!((config.disk_bytes, config.memory_bytes), (3_000_000, 192_000_000));
+        assert_eq!((config.max_descriptors, config.initial_list.revision), (1024, 41));
     }
 
     #[test]
-    fn what_makes_no_sense_is_said_and_never_panics() {
+    fn invalid_values_are_rejected_without_a_panic() {
         for (from, to) in [
             ("\"slots\":7", "\"slots\":0"),
             ("\"tickS\":0.005", "\"tickS\":-1"),
--- a/crates/daemon/src/settings/descriptors.rs
+++ b/crates/daemon/src/settings/descriptors.rs
@@ -1,32 +1,33 @@
-//! Who may hold how many of the process's descriptors: one sum, so that no part can take another's.
+//! Divides the file descriptors of the process among its parts, so that no part can exhaust those of another.
 
 use crate::settings::config::Config;
 
-/// The process's own: standard streams, the event loop, signals, listening sockets, datagrams, the store's
-/// files and lock, a recording that is written.
+/// Descriptors of the process itself: standard streams, the event loop, signals, listening sockets, datagram
+/// sockets, the files and the lock of the store, and a recording that is being written.
 const OWN: usize = 24;
-/// A watch, and the one that takes its place.
+/// A watch of the endpoint list, and the one that replaces it.
 const WATCHES: usize = 2;
-/// Posts of notices under way, and the connection that is kept.
-const POSTS: usize = 7;
+/// Connections that post notices, and the one that is kept alive.
+const NOTICE_CONNECTIONS: usize = 7;
 /// The socket for hand-overs, and the connection of one.
 const HAND_OVER: usize = 2;
-/// Operators' connections: a few of them and their tools. They are one of the second at most.
+/// The maximum number of connections of operators and their tools. It is further limited to one in
+/// [`OPERATOR_DIVISOR`] of all descriptors.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 24;
-const OPERATORS_PART: usize = 16;
-/// With less than this part of all, clients' connections give way to one another all the time.
-const CLIENTS_PART: usize = 8;
+const OPERATOR_DIVISOR: usize = 16;
+/// With less than one in this many of all descriptors, clients' connections displace one another constantly.
+const MIN_CLIENT_DIVISOR: usize = 8;
 
-/// What connections that others open, or that may wait, are held to.
+/// The maximum numbers of connections that others open, or that stay open while idle.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct DescriptorBudget {
-    /// Clients' connections at once.
+    /// Simultaneous connections of clients.
     pub client_connections: usize,
-    /// Connections to endpoints that stand idle.
+    /// Idle connections to endpoints.
     pub idle_connections: usize,
-    /// Operators' connections at once.
+    /// Simultaneous connections of operators.
     pub operator_connections: usize,
-    /// All of it fits, with room for a client.
+    /// Whether all parts fit, with room for at least one client.
     pub is_sufficient: bool,
 }
 
@@ -35,10 +36,11 @@
         Self::split(config.max_descriptors, config.settings.slots as usize)
     }
 
-    /// Clients may fill their part: the watch, notices, calls, the store and operators have theirs beside it.
+    /// Splits the descriptors so that clients may use all of their part: the watch, notices, calls and the
+    /// store have descriptors of their own.
     fn split(all: usize, slots: usize) -> Self {
-        let operators = MAX_OPERATOR_CONNECTIONS.min(all / OPERATORS_PART).max(1);
-        let left = all.saturating_sub(OWN + WATCHES + POSTS + HAND_OVER + operators + slots);
+        let operators = MAX_OPERATOR_CONNECTIONS.min(all / OPERATOR_DIVISOR).max(1);
+        let left = all.saturating_sub(OWN + WATCHES + NOTICE_CONNECTIONS + HAND_OVER + operators + slots);
         let clients = (all / 2).min(left * 2 / 3).max(1);
         let idle = (all / 4).min(left.saturating_sub(clients));
         Self {
@@ -49,12 +51,12 @@
         }
     }
 
-    /// Who may hold how many, in words.
+    /// Describes how the descriptors are divided, for operators.
     pub fn describe(&self, config: &Config) -> String {
         let Self {
             client_connections: clients, idle_connections: idle, operator_connections: operators, ..
         } = self;
-        let own = OWN + WATCHES + POSTS + HAND_OVER;
+        let own = OWN + WATCHES + NOTICE_CONNECTIONS + HAND_OVER;
         format!(
             "limits.sockets {}: {clients} for clients' connections, {} for calls, {idle} for idle \
              connections to endpoints, {operators} for operators, {own} for the process itself",
@@ -62,13 +64,13 @@
         )
     }
 
-    /// What is too few, where anything is.
+    /// Returns a warning if a part has too few descriptors.
     pub fn warning(&self, config: &Config) -> Option<String> {
         if !self.is_sufficient {
             return Some("too few for all parts to work".into());
         }
-        let few = self.client_connections * CLIENTS_PART < config.max_descriptors;
-        few.then(|| "calls (familyInfo.slots) leave clients few places".into())
+        let has_few = self.client_connections * MIN_CLIENT_DIVISOR < config.max_descriptors;
+        has_few.then(|| "calls (familyInfo.slots) leave clients few places".into())
     }
 }
 
--- a/crates/daemon/src/settings/descriptors/tests.rs
+++ b/crates/daemon/src/settings/descriptors/tests.rs
@@ -1,23 +1,23 @@
 use super::*;
 
 #[test]
-fn what_all_may_hold_together_fits_under_any_limit() {
+fn the_parts_fit_together_under_any_limit() {
     for all in 40..5_000 {
         for slots in [1, 3, 7, 24] {
-            let d = DescriptorBudget::split(all, slots);
+            let budget = DescriptorBudget::split(all, slots);
             let sum = OWN
                 + WATCHES
-                + POSTS
+                + NOTICE_CONNECTIONS
                 + HAND_OVER
                 + slots
-                + d.operator_connections
-                + d.idle_connections
-                + d.client_connections;
-            assert!(sum <= all || !d.is_sufficient, "{all} descriptors, {slots} slots: {d:?}");
-            assert!(d.client_connections > 0 && d.operator_connections > 0, "{d:?}");
+                + budget.operator_connections
+                + budget.idle_connections
+                + budget.client_connections;
+            assert!(sum <= all || !budget.is_sufficient, "{all} descriptors, {slots} slots: {budget:?}");
+            assert!(budget.client_connections > 0 && budget.operator_connections > 0, "{budget:?}");
         }
     }
-    // Where there are many, clients have half of them.
+    // With many descriptors, clients have half of them.
     assert_eq!(
         DescriptorBudget::split(512, 7),
         DescriptorBudget {
@@ -31,15 +31,15 @@
 }
 
 #[test]
-fn a_configuration_that_leaves_clients_few_places_is_doubted_with_the_figures() {
+fn a_configuration_that_leaves_clients_few_connections_gives_a_warning_with_the_numbers() {
     let text = crate::settings::config::tests::TEXT;
-    let mut config = crate::settings::config::read(text).expect("sound");
+    let mut config = crate::settings::config::read(text).expect("a valid configuration");
     (config.max_descriptors, config.settings.slots) = (256, 200);
-    let descriptors = DescriptorBudget::new(&config);
-    assert!(descriptors.warning(&config).is_some_and(|doubt| doubt.contains("few places")));
-    let shares = descriptors.describe(&config);
+    let budget = DescriptorBudget::new(&config);
+    assert!(budget.warning(&config).is_some_and(|warning| warning.contains("few places")));
+    let description = budget.describe(&config);
     for part in ["256: 3 for clients", "200 for calls", "16 for operators", "35 for the process"] {
-        assert!(shares.contains(part), "{part}: {shares}");
+        assert!(description.contains(part), "{part}: {description}");
     }
     config.settings.slots = 40;
     assert_eq!(DescriptorBudget::new(&config).warning(&config), None);
--- a/crates/daemon/src/settings/operator.rs
+++ b/crates/daemon/src/settings/operator.rs
@@ -1,4 +1,5 @@
-//! The operator's own file: what is off unless somebody wants it. `deploy/notchpoint.toml` is an example.
+//! The operator's own settings file, for features that are off by default. `deploy/notchpoint.toml` is an
+//! example.
 
 use notchpoint_zones::{FailureThresholds, ZoneId};
 use serde::Deserialize;
@@ -7,7 +8,7 @@
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 
-/// All that the file may set.
+/// The content of the file.
 #[derive(Clone, Debug, Default, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct OperatorSettings {
@@ -20,54 +21,54 @@
     pub copies: Option<CopiesSettings>,
     #[serde(default)]
     pub zones: ZoneSettings,
-    /// Where it stands, if it was read from a file: some of it is read anew at SIGHUP.
+    /// The path of the file, if the settings were read from one. Some sections are read again at SIGHUP.
     #[serde(skip)]
     pub file: Option<PathBuf>,
 }
 
 impl OperatorSettings {
-    /// Sections that another text of the file says otherwise and that only a new process takes up.
+    /// Returns the sections that differ in `new` and that only a new process adopts.
     pub fn changes_needing_restart(&self, new: &Self) -> Vec<&'static str> {
-        let same = [
+        let unchanged = [
             ("recorder", self.recorder == new.recorder),
             ("log", self.log == new.log),
             ("store", self.store == new.store),
             ("copies", self.copies == new.copies),
             ("zones (they were off)", self.zones.is_enabled() || !new.zones.is_enabled()),
         ];
-        same.into_iter().filter(|s| !s.1).map(|s| s.0).collect()
+        unchanged.into_iter().filter(|u| !u.1).map(|u| u.0).collect()
     }
 }
 
-/// Copies of what this sender holds, at further senders.
+/// Replication of the messages that this sender holds to other senders.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CopiesSettings {
-    /// Senders that keep a copy of each message before its client hears 202; 0 for none.
+    /// The number of senders that keep a replica of each message before its client receives 202; 0 for none.
     #[serde(default)]
     pub count: usize,
-    /// Where the others call.
+    /// The address on which other senders connect.
     pub listen: SocketAddr,
-    /// What a message comes to that lacks keepers.
+    /// What happens to a message with too few replicas.
     #[serde(default)]
     pub when_short: WhenShort,
-    /// Megabytes (10^6 bytes) for copies of others' messages.
-    #[serde(default = "keep_mb")]
+    /// The space for replicas of other senders' messages, in megabytes (10^6 bytes).
+    #[serde(default = "default_keep_mb")]
     pub keep_mb: f64,
-    /// Where this sender stands; without it, the configuration's locality.
+    /// The zone of this sender; by default the locality in the configuration.
     pub zone: Option<String>,
-    /// Senders of another installation are turned down.
+    /// The name of this installation. Connections from senders of another one are rejected.
     #[serde(default)]
     pub installation: String,
-    /// The shortest silence, in milliseconds, after which another sender may be taken for gone.
-    #[serde(default = "silence_ms")]
+    /// The shortest time without a heartbeat, in milliseconds, after which another sender may count as dead.
+    #[serde(default = "default_silence_ms")]
     pub silence_ms: u64,
-    /// The others.
+    /// The other senders.
     #[serde(default)]
     pub senders: Vec<PeerSettings>,
 }
 
-/// Another sender, as this one reaches it.
+/// Another sender, and the address at which this one reaches it.
 #[derive(Clone, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields)]
 pub struct PeerSettings {
@@ -76,85 +77,90 @@
     pub zone: Option<String>,
 }
 
-/// What a message comes to that lacks keepers.
+/// What happens to a message with too few replicas.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum WhenShort {
-    /// Its client is told when to come back.
+    /// It is refused, and its client is told when to retry.
     #[default]
     Refuse,
-    /// It is taken on, and the log says how many were.
+    /// It is accepted, and the log counts such messages.
     Accept,
 }
 
-fn keep_mb() -> f64 {
+fn default_keep_mb() -> f64 {
     64.0
 }
 
-fn silence_ms() -> u64 {
+fn default_silence_ms() -> u64 {
     1_500
 }
 
-/// More copies cost each message as many waits; more than this nobody has asked for.
-const MOST_COPIES: usize = 3;
-/// A sender holds links to each of the others at most.
-const MOST_SENDERS: usize = 1_024;
-/// Less is within one beat and a lost packet; more is longer than messages live.
-const SILENCE: std::ops::RangeInclusive<u64> = 300..=60_000;
-const KEEP: std::ops::RangeInclusive<f64> = 0.1..=1e5;
+/// Each further replica is a further wait for every message, and no operator has asked for more than this.
+const MAX_COPIES: usize = 3;
+/// A sender may hold a connection to each of the others.
+const MAX_SENDERS: usize = 1_024;
+/// In milliseconds. Less can pass with one heartbeat and one lost packet; more is longer than messages live.
+const SILENCE_RANGE: std::ops::RangeInclusive<u64> = 300..=60_000;
+const KEEP_MB_RANGE: std::ops::RangeInclusive<f64> = 0.1..=1e5;
 
 impl CopiesSettings {
-    /// All that is wrong, by key. `name` is this sender's, where it is known.
-    pub fn find_errors(&self, name: Option<&str>) -> Vec<String> {
-        let mut wrong = Vec::new();
-        if self.count > MOST_COPIES {
-            wrong.push(format!("copies.count: {} is not within 0 to {MOST_COPIES}", self.count));
+    /// Returns all errors, by key. `own_name` is this sender's name, if it is known.
+    pub fn find_errors(&self, own_name: Option<&str>) -> Vec<String> {
+        let mut errors = Vec::new();
+        if self.count > MAX_COPIES {
+            errors.push(format!("copies.count: {} is not within 0 to {MAX_COPIES}", self.count));
         }
-        if self.senders.len() > MOST_SENDERS {
-            wrong.push(format!("copies.senders: {} are over {MOST_SENDERS}", self.senders.len()));
+        if self.senders.len() > MAX_SENDERS {
+            errors.push(format!("copies.senders: {} are over {MAX_SENDERS}", self.senders.len()));
         }
-        if !SILENCE.contains(&self.silence_ms) {
-            wrong.push(format!("copies.silence_ms: {} is not within 300 to 60000", self.silence_ms));
+        if !SILENCE_RANGE.contains(&self.silence_ms) {
+            errors.push(format!("copies.silence_ms: {} is not within 300 to 60000", self.silence_ms));
         }
-        if !KEEP.contains(&self.keep_mb) {
-            wrong.push(format!("copies.keep_mb: {} is not within 0.1 to 100000", self.keep_mb));
+        if !KEEP_MB_RANGE.contains(&self.keep_mb) {
+            errors.push(format!("copies.keep_mb: {} is not within 0.1 to 100000", self.keep_mb));
         }
-        let place = |n: usize| format!("copies.senders, entry {}", n + 1);
-        for (n, s) in self.senders.iter().enumerate() {
-            if name == Some(s.name.as_str()) {
-                wrong.push(format!("{}: {} is this sender itself", place(n), s.name));
+        let entry = |n: usize| format!("copies.senders, entry {}", n + 1);
+        for (n, sender) in self.senders.iter().enumerate() {
+            if own_name == Some(sender.name.as_str()) {
+                errors.push(format!("{}: {} is this sender itself", entry(n), sender.name));
             }
-            if let Some(first) = self.senders[..n].iter().position(|o| o.name == s.name) {
-                wrong.push(format!("{}: {} stands in entry {} already", place(n), s.name, first + 1));
+            if let Some(first) = self.senders[..n].iter().position(|o| o.name == sender.name) {
+                errors.push(format!("{}: {} is entry {} already", entry(n), sender.name, first + 1));
             }
-            if s.address == self.listen {
-                wrong.push(format!("{}: {} is where this sender listens", place(n), s.address));
-            } else if let Some(first) = self.senders[..n].iter().position(|o| o.address == s.address) {
-                wrong.push(format!("{}: {} is the address of entry {}", place(n), s.address, first + 1));
+            if sender.address == self.listen {
+                errors.push(format!("{}: {} is where this sender listens", entry(n), sender.address));
+            } else if let Some(first) = self.senders[..n].iter().position(|o| o.address == sender.address) {
+                errors.push(format!(
+                    "{}: {} is the address of entry {}",
+                    entry(n),
+                    sender.address,
+                    first + 1
+                ));
             }
         }
-        let needed = 2 * self.count;
-        if self.count > 0 && self.senders.len() + 1 < needed.max(2) {
-            wrong.push(format!(
+        let required = 2 * self.count;
+        if self.count > 0 && self.senders.len() + 1 < required.max(2) {
+            errors.push(format!(
                 "copies.count: {} copies take {} senders, this one included; {} are named",
                 self.count,
-                needed.max(2),
+                required.max(2),
                 self.senders.len() + 1
             ));
         }
-        wrong
+        errors
     }
 
-    /// What is sound, and may not be meant.
+    /// Returns warnings about settings that are valid and may not be intended.
     pub fn find_warnings(&self) -> Vec<String> {
         let zones: BTreeSet<_> = self.senders.iter().filter_map(|s| s.zone.as_ref()).collect();
         let own = self.zone.as_ref();
-        let apart = zones.iter().any(|z| Some(*z) != own) && (own.is_some() || zones.len() > 1);
-        let mut doubts = Vec::new();
-        if self.count > 0 && !apart {
-            doubts.push("copies.senders: none is known to stand in another zone".to_owned());
+        let has_other_zone = zones.iter().any(|z| Some(*z) != own) && (own.is_some() || zones.len() > 1);
+        let mut warnings = Vec::new();
+        if self.count > 0 && !has_other_zone {
+            warnings.push("copies.senders: none is known to be in another zone".to_owned());
         }
-        doubts
+        warnings
     }
 }
 
@@ -163,13 +169,14 @@
         if self.count == 0 {
             return f.write_str("copies off");
         }
-        let short = match self.when_short {
+        let when_short = match self.when_short {
             WhenShort::Refuse => "refused",
-            WhenShort::Accept => "taken on all the same",
+            WhenShort::Accept => "accepted",
         };
         write!(
             f,
-            "{} {} of each message among {} other senders; short of keepers it is {short}; {} MB for others",
+            "{} {} of each message among {} other senders; with too few replicas it is {when_short}; \
+             {} MB for others",
             self.count,
             if self.count == 1 { "copy" } else { "copies" },
             self.senders.len(),
@@ -178,36 +185,37 @@
     }
 }
 
-/// Zones that fail, as the senders of the fleet find together.
+/// Detection of failing zones by the senders of the fleet, and evacuation of such zones.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneSettings {
-    /// Calls' ends are pooled with other senders', and what is found of zones is said.
+    /// Whether call results are shared with other senders, and the health of zones is logged.
     pub watch: bool,
-    /// A zone that is found failing is left, and returned to step by step.
+    /// Whether a zone that is found failing is evacuated, with a step-by-step return.
     pub leave: bool,
-    /// A sender that stands in a zone that is left sends its clients elsewhere.
+    /// Whether a sender in an evacuated zone redirects its clients to other zones.
     pub give_way: bool,
-    /// Zones that get nothing, whatever is found, and those that are never left.
+    /// Zones that receive nothing, whatever is found.
     pub out: Vec<String>,
-    /// See `out`.
+    /// Zones that are never evacuated.
     pub stay: Vec<String>,
-    /// A destination fails in a zone where this share of its calls does, at least.
+    /// A destination counts as failing in a zone if at least this share of its calls there fails.
     pub share: f64,
-    /// A zone fails where so many destinations do,
+    /// The number of destinations that must fail in a zone.
     pub destinations: usize,
-    /// as so many senders see (all, where there are fewer),
+    /// The number of senders that must see the zone fail; all of them in a smaller fleet.
     pub senders: usize,
-    /// that stand in so many zones.
+    /// The number of zones in which those senders must run.
     pub from_zones: usize,
 }
 
-/// Less is what any zone has on a bad day; all calls fail only where nobody tries any more.
-const SHARE_FAILING: std::ops::RangeInclusive<f64> = 0.2..=0.95;
-/// The platform names few zones.
-const MOST_PINNED: usize = 16;
-/// One destination, sender or zone is never enough.
-const ENOUGH: std::ops::RangeInclusive<usize> = 2..=100;
+/// Any zone may have a lower share of failures for a while; a higher one occurs only once no sender tries any
+/// more.
+const FAILED_SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.2..=0.95;
+/// The maximum length of each list of pinned zones; the platform names few zones.
+const MAX_PINNED: usize = 16;
+/// A single destination, sender or zone never suffices.
+const THRESHOLD_RANGE: std::ops::RangeInclusive<usize> = 2..=100;
 
 impl Default for ZoneSettings {
     fn default() -> Self {
@@ -228,9 +236,9 @@
 }
 
 impl ZoneSettings {
-    /// What a fleet of so many senders goes by.
-    pub fn failure_thresholds(&self, fleet: usize) -> FailureThresholds {
-        let senders = self.senders.min(fleet.max(*ENOUGH.start()));
+    /// Returns the thresholds for a fleet of this size.
+    pub fn failure_thresholds(&self, fleet_size: usize) -> FailureThresholds {
+        let senders = self.senders.min(fleet_size.max(*THRESHOLD_RANGE.start()));
         FailureThresholds {
             failed_share: self.share,
             destinations: self.destinations,
@@ -239,26 +247,27 @@
         }
     }
 
-    /// Whether anything of it is wanted.
+    /// Returns whether any setting of the section is on.
     pub fn is_enabled(&self) -> bool {
         self.watch || self.leave || !self.out.is_empty() || !self.stay.is_empty()
     }
 
-    /// Zones that are pinned, and whether they stay.
+    /// Returns the pinned zones: `true` for those that are never evacuated, `false` for those that receive
+    /// nothing.
     pub fn pinned_zones(&self) -> BTreeMap<ZoneId, bool> {
         let out = self.out.iter().map(|name| (ZoneId::from_name(name), false));
         out.chain(self.stay.iter().map(|name| (ZoneId::from_name(name), true))).collect()
     }
 
-    /// Zones that are pinned and that the configuration does not name.
+    /// Returns the pinned zones that the configuration does not name.
     pub fn unknown_zones<'a>(&'a self, zones: &'a [String]) -> impl Iterator<Item = &'a String> {
         self.out.iter().chain(&self.stay).filter(|name| !zones.contains(name))
     }
 
     fn check(&self) -> Result<(), String> {
         for (key, names) in [("out", &self.out), ("stay", &self.stay)] {
-            if names.len() > MOST_PINNED {
-                return Err(format!("zones.{key}: {} are over {MOST_PINNED}", names.len()));
+            if names.len() > MAX_PINNED {
+                return Err(format!("zones.{key}: {} are over {MAX_PINNED}", names.len()));
             }
             if names.iter().any(String::is_empty) {
                 return Err(format!("zones.{key}: a zone without a name"));
@@ -268,15 +277,15 @@
             return Err("zones.give_way: goes with zones.leave".into());
         }
         if let Some(both) = self.out.iter().find(|name| self.stay.contains(name)) {
-            return Err(format!("zones.stay: {both} stands in zones.out as well"));
+            return Err(format!("zones.stay: {both} is in zones.out as well"));
         }
-        if !SHARE_FAILING.contains(&self.share) {
+        if !FAILED_SHARE_RANGE.contains(&self.share) {
             return Err(format!("zones.share: {} is not within 0.2 to 0.95", self.share));
         }
         for (key, n) in
             [("destinations", self.destinations), ("senders", self.senders), ("from_zones", self.from_zones)]
         {
-            if !ENOUGH.contains(&n) {
+            if !THRESHOLD_RANGE.contains(&n) {
                 return Err(format!("zones.{key}: {n} is not within 2 to 100"));
             }
         }
@@ -291,48 +300,48 @@
         }
         write!(
             f,
-            "zones are watched: one fails where {} destinations lose {} of their calls, as {} senders in \
-             {} zones see; {}",
+            "zones are watched: a zone fails if {} destinations lose {} of their calls there, as seen by \
+             {} senders in {} zones; {}",
             self.destinations,
             self.share,
             self.senders,
             self.from_zones,
-            if self.leave { "it is left, and returned to step by step" } else { "nothing is done about it" }
+            if self.leave { "it is evacuated, with a step-by-step return" } else { "it is only logged" }
         )?;
         if self.give_way {
-            f.write_str("; a sender that stands there sends its clients elsewhere")?;
+            f.write_str("; senders in that zone redirect their clients to other zones")?;
         }
-        for (names, what) in [(&self.out, "nothing goes to"), (&self.stay, "never left")] {
+        for (names, description) in [(&self.out, "nothing is sent to"), (&self.stay, "never evacuated")] {
             if !names.is_empty() {
-                write!(f, "; {what}: {}", names.join(", "))?;
+                write!(f, "; {description}: {}", names.join(", "))?;
             }
         }
         Ok(())
     }
 }
 
-/// The store of what was taken on, in the folder that outlasts the process.
+/// The store of accepted messages, in the state folder.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreSettings {
     pub durability: Durability,
-    /// Kilobytes (1024 bytes) that one step of compaction looks through.
+    /// The kilobytes (1024 bytes) that one step of compaction reads.
     pub step_kb: u32,
 }
 
-/// What an answer of 202, and an attempt's record, outlast.
+/// What an accepted message (answered with 202) and the record of an attempt survive.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum Durability {
-    /// The process, however it ends.
+    /// The end of the process, also by a crash.
     #[default]
     Process,
-    /// A loss of power as well: each is synced first.
+    /// A loss of power as well: each record is synced first.
     Power,
 }
 
-/// Less makes compaction fall behind; more is read and copied in more than two milliseconds.
-const STEP: std::ops::RangeInclusive<u32> = 4..=512;
+/// Smaller steps let compaction fall behind; larger ones take more than two milliseconds to read and copy.
+const STEP_KB_RANGE: std::ops::RangeInclusive<u32> = 4..=512;
 
 impl Default for StoreSettings {
     fn default() -> Self {
@@ -342,18 +351,20 @@
 
 impl fmt::Display for StoreSettings {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let outlasts = match self.durability {
-            Durability::Process => "the process",
+        let survived = match self.durability {
+            Durability::Process => "the end of the process",
             Durability::Power => "a loss of power (synced before each answer)",
         };
-        write!(f, "what is taken on outlasts {outlasts}; compaction by {} KiB", self.step_kb)
+        write!(f, "accepted messages survive {survived}; compaction in steps of {} KiB", self.step_kb)
     }
 }
 
 impl StoreSettings {
     fn check(&self) -> Result<(), String> {
-        let fits = STEP.contains(&self.step_kb);
-        fits.then_some(()).ok_or_else(|| format!("store.step_kb: {} is not within 4 to 512", self.step_kb))
+        let is_valid = STEP_KB_RANGE.contains(&self.step_kb);
+        is_valid
+            .then_some(())
+            .ok_or_else(|| format!("store.step_kb: {} is not within 4 to 512", self.step_kb))
     }
 }
 
@@ -362,11 +373,11 @@
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
     pub format: LogFormat,
-    /// Each attempt, connection and message that ends has a line too.
+    /// Whether each attempt, connection and message that ends is logged, too.
     pub detail: bool,
 }
 
-/// How a line of the log looks.
+/// The format of a log line.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum LogFormat {
@@ -380,9 +391,9 @@
 #[serde(deny_unknown_fields, default)]
 pub struct RecorderSettings {
     pub store: RecorderStore,
-    /// Where segments (`store = "folder"`) and dumps lie.
+    /// The folder for segments (`store = "folder"`) and dumps.
     pub folder: Option<PathBuf>,
-    /// What a recording takes at most, in megabytes (10^6 bytes). Each dump takes as much again.
+    /// The maximum size of a recording, in megabytes (10^6 bytes). Each dump may take as much again.
     pub limit_mb: f64,
 }
 
@@ -394,8 +405,9 @@
     Folder,
 }
 
-/// Less holds no state of a sender with some hundred messages; more than this is no ring.
-const LIMIT: std::ops::RangeInclusive<f64> = 0.25..=1e6;
+/// Less cannot hold the state of a sender with some hundred messages; with more the recording would hardly
+/// ever wrap around.
+const LIMIT_MB_RANGE: std::ops::RangeInclusive<f64> = 0.25..=1e6;
 
 impl Default for RecorderSettings {
     fn default() -> Self {
@@ -409,7 +421,7 @@
         match self.store {
             RecorderStore::Off => write!(f, "recorder off"),
             RecorderStore::Memory => {
-                write!(f, "recorder in memory, {} MB at most, dumps to {folder}", self.limit_mb)
+                write!(f, "recorder in memory, {} MB at most, dumps in {folder}", self.limit_mb)
             }
             RecorderStore::Folder => write!(f, "recorder in {folder}, {} MB at most", self.limit_mb),
         }
@@ -418,31 +430,31 @@
 
 impl RecorderSettings {
     fn check(&self) -> Result<(), String> {
-        if !LIMIT.contains(&self.limit_mb) {
+        if !LIMIT_MB_RANGE.contains(&self.limit_mb) {
             return Err(format!("recorder.limit_mb: {} is not within 0.25 to 1000000", self.limit_mb));
         }
         if self.store != RecorderStore::Off && self.folder.is_none() {
-            return Err("recorder.folder: is missing; segments and dumps need a place".into());
+            return Err("recorder.folder: is missing; segments and dumps are written there".into());
         }
         Ok(())
     }
 
-    /// The limit in bytes.
+    /// Returns the limit in bytes.
     pub fn limit_bytes(&self) -> u64 {
         (self.limit_mb * 1e6) as u64
     }
 }
 
-/// Reads the file. Errors name it, and the line.
+/// Reads the file. An error names the file, and the line or the key.
 pub fn read(path: &Path) -> Result<OperatorSettings, String> {
     let name = path.display();
     let text = std::fs::read_to_string(path).map_err(|e| format!("{name}: {e}"))?;
     let operator: OperatorSettings = toml::from_str(&text).map_err(|e| format!("{name}: {e}"))?;
     operator.recorder.check().and_then(|()| operator.store.check()).map_err(|e| format!("{name}: {e}"))?;
     operator.zones.check().map_err(|e| format!("{name}: {e}"))?;
-    let wrong = operator.copies.as_ref().map_or_else(Vec::new, |c| c.find_errors(None));
-    if !wrong.is_empty() {
-        return Err(wrong.iter().map(|w| format!("{name}: {w}")).collect::<Vec<_>>().join("\n"));
+    let errors = operator.copies.as_ref().map_or_else(Vec::new, |c| c.find_errors(None));
+    if !errors.is_empty() {
+        return Err(errors.iter().map(|e| format!("{name}: {e}")).collect::<Vec<_>>().join("\n"));
     }
     Ok(OperatorSettings { file: Some(path.to_owned()), ..operator })
 }
@@ -461,36 +473,36 @@
     }
 
     #[test]
-    fn the_example_is_sound_and_switches_nothing_on() {
+    fn the_example_is_valid_and_enables_nothing() {
         let example = include_str!("../../../../deploy/notchpoint.toml");
         assert_eq!(read_text(example), Ok(OperatorSettings::default()));
         assert_eq!(read_text(""), Ok(OperatorSettings::default()));
     }
 
     #[test]
-    fn mistakes_among_the_senders_are_all_said_by_their_place() {
+    fn all_errors_in_the_list_of_senders_are_reported_by_entry() {
         let text = "[copies]\ncount = 2\nlisten = \"127.0.0.1:1\"\n\
             [[copies.senders]]\nname = \"n1\"\naddress = \"127.0.0.1:2\"\n\
             [[copies.senders]]\nname = \"n1\"\naddress = \"127.0.0.1:1\"\n\
             [[copies.senders]]\nname = \"n0\"\naddress = \"127.0.0.1:2\"\n";
-        let error = read_text(text).expect_err("mistakes");
-        for said in [
-            "entry 2: n1 stands in entry 1 already",
+        let error = read_text(text).expect_err("errors");
+        for expected in [
+            "entry 2: n1 is entry 1 already",
             "entry 2: 127.0.0.1:1 is where this sender listens",
             "entry 3: 127.0.0.1:2 is the address of entry 1",
         ] {
-            assert!(error.contains(said), "{said}: {error}");
+            assert!(error.contains(expected), "{expected}: {error}");
         }
-        let copies: OperatorSettings = toml::from_str(text).expect("a form");
-        let copies = copies.copies.expect("a part");
-        let wrong = copies.find_errors(Some("n0"));
-        assert!(wrong.iter().any(|w| w.contains("entry 3: n0 is this sender itself")), "{wrong:?}");
-        assert_eq!(copies.find_warnings(), ["copies.senders: none is known to stand in another zone"]);
+        let operator: OperatorSettings = toml::from_str(text).expect("valid TOML");
+        let copies = operator.copies.expect("a copies section");
+        let errors = copies.find_errors(Some("n0"));
+        assert!(errors.iter().any(|e| e.contains("entry 3: n0 is this sender itself")), "{errors:?}");
+        assert_eq!(copies.find_warnings(), ["copies.senders: none is known to be in another zone"]);
     }
 
     #[test]
-    fn what_is_wrong_is_said_with_its_place() {
-        for (text, said) in [
+    fn errors_name_the_file_and_the_line_or_key() {
+        for (text, expected) in [
             ("[recorder]\nstore = \"disk\"", "line 2"),
             ("[recorder]\nstroe = \"memory\"", "line 2"),
             ("[recorders]", "line 1"),
@@ -518,7 +530,7 @@
             ),
         ] {
             let error = read_text(text).expect_err(text);
-            assert!(error.contains(said) && error.contains("notchpoint.toml"), "{text}: {error}");
+            assert!(error.contains(expected) && error.contains("notchpoint.toml"), "{text}: {error}");
         }
     }
 }
--- a/crates/seam/src/disk.rs
+++ b/crates/seam/src/disk.rs
@@ -1,85 +1,86 @@
-//! The folder that outlasts the process: flat, with few files, each written at its end only.
+//! The state folder, which survives the process: a flat folder with few files, which are only appended to.
 
 use std::any::Any;
 use std::future::{Future, ready};
 use std::io;
 use std::pin::Pin;
 
-/// A sync that is under way, off the thread that decides where the world has another.
+/// A sync in progress, on another thread if the environment has one.
 pub type SyncFuture = Pin<Box<dyn Future<Output = io::Result<()>>>>;
 
-/// The lasting folder.
+/// The state folder.
 pub trait Disk {
-    /// All of a file; nothing where there is none.
+    /// Reads a whole file. Returns `None` if it does not exist.
     ///
     /// # Errors
-    /// It is there and cannot be read.
+    /// The file exists and cannot be read.
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>>;
 
-    /// So many bytes of a file from this offset on; fewer where it ends.
+    /// Reads up to `len` bytes of a file from this offset on; fewer if the file ends before.
     ///
     /// # Errors
-    /// It is not there, or cannot be read.
+    /// The file does not exist or cannot be read.
     fn read_at(&self, name: &str, offset: u64, len: usize) -> io::Result<Vec<u8>>;
 
-    /// The names of all files, in no order, and how long each is.
+    /// Returns the names and lengths of all files, in no particular order.
     ///
     /// # Errors
     /// The folder cannot be read.
     fn list_files(&self) -> io::Result<Vec<(String, u64)>>;
 
-    /// A file to be written at its end, made if there is none.
+    /// Opens a file for appending, and creates it if it does not exist.
     ///
     /// # Errors
-    /// It cannot be made or opened.
+    /// The file cannot be created or opened.
     fn append(&self, name: &str) -> io::Result<Box<dyn File>>;
 
-    /// Puts a file in the place of another, whole or not at all. Open files keep what they are.
+    /// Renames a file atomically and replaces the target if it exists. Open files are not affected.
     ///
     /// # Errors
-    /// It is not there, or cannot be moved; then nothing has changed.
+    /// The file does not exist or cannot be renamed. Nothing has changed then.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Removes a file; one that is not there is no error.
+    /// Removes a file. It is no error if the file does not exist.
     ///
     /// # Errors
-    /// It is there and cannot be removed.
+    /// The file exists and cannot be removed.
     fn remove(&self, name: &str) -> io::Result<()>;
 
-    /// Makes what was made, renamed and removed outlast a loss of power.
+    /// Syncs the directory: files created, renamed and removed so far survive a loss of power.
     ///
     /// # Errors
-    /// Nothing is promised.
+    /// Any of these changes may be lost.
     fn sync_directory(&self) -> io::Result<()>;
 
-    /// Keeps other processes out for as long as what it gives lives.
+    /// Locks the folder against other processes until the returned value is dropped.
     ///
     /// # Errors
-    /// `WouldBlock` where another process has it.
+    /// `WouldBlock` if another process holds the lock.
     fn lock(&self) -> io::Result<Box<dyn Any>>;
 }
 
 /// An open file.
 pub trait File {
-    /// Writes all of this at the end. What is written outlasts the process.
+    /// Appends all these bytes. They survive the process.
     ///
     /// # Errors
-    /// A part of it may have been written.
+    /// A part of the bytes may have been written.
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
 
-    /// Cuts the file to this length.
+    /// Truncates the file to this length.
     ///
     /// # Errors
-    /// The length is in doubt.
+    /// The length is unknown.
     fn set_len(&mut self, len: u64) -> io::Result<()>;
 
-    /// Makes what was written so far outlast a loss of power.
+    /// Syncs the file: what was written so far survives a loss of power.
     ///
     /// # Errors
-    /// Nothing is promised, now and of a later sync of the same file: what failed may have been dropped.
+    /// What was written so far may be lost, even if a later sync of the same file succeeds: the system may
+    /// have dropped the data that it failed to write.
     fn sync(&self) -> io::Result<()>;
 
-    /// The same, beside other work.
+    /// Does the same as [`Self::sync`], without blocking the caller.
     fn sync_in_background(&self) -> SyncFuture {
         Box::pin(ready(self.sync()))
     }
--- a/crates/seam/src/lib.rs
+++ b/crates/seam/src/lib.rs
@@ -1,9 +1,9 @@
-//! What a sender needs of the world around it, as narrow as it can be: sockets, the wall clock, the folder
-//! that outlasts it, its configuration and its signals. [`system`] is the system's own, by tokio; a rehearsal
-//! brings another. The daemon is the same code in both.
+//! The interface between a sender and its environment, kept as narrow as possible: sockets, clocks, the state
+//! folder, the configuration and signals. [`system`] implements it on the operating system with tokio;
+//! rehearsals implement it in memory. The daemon runs the same code on both.
 //!
-//! The monotonic clock and timers are tokio's in every world: a rehearsal runs on a runtime whose time is
-//! paused. Random numbers come from the seed in the configuration.
+//! Timers are tokio's in every environment: a rehearsal runs on a runtime whose time is paused. Random
+//! numbers come from the seed in the configuration.
 #![warn(missing_docs)]
 
 pub mod disk;
@@ -19,53 +19,53 @@
 use std::rc::Rc;
 use tokio::sync::mpsc::Receiver;
 
-/// The system's clocks, beside tokio's timers.
+/// The clocks of the system, besides tokio's timers.
 pub trait Clock {
-    /// Unix time in microseconds, by the wall clock. It may be stepped at any moment.
+    /// Returns the Unix time in microseconds, by the wall clock, which may be stepped at any time.
     fn unix_now(&self) -> u64;
-    /// Microseconds since the system was booted. All processes of one boot read the same clock, and nothing
-    /// steps it.
+    /// Returns the time since the system was booted, in microseconds. All processes of one boot read the same
+    /// clock, and it is never stepped.
     fn monotonic_now(&self) -> u64;
-    /// Which boot that is; nothing where the system does not tell.
+    /// Returns the identifier of the current boot, or `None` if the system does not provide one.
     ///
     /// # Errors
-    /// The system tells, and cannot be asked just now.
+    /// The system provides one, but it cannot be read at present.
     fn boot_id(&self) -> io::Result<Option<BootId>>;
 }
 
-/// Names one boot of one machine.
+/// Identifies one boot of one machine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BootId(pub [u8; 16]);
 
-/// What a process may be told from outside.
+/// A signal to the process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Signal {
-    /// Read the configuration anew (SIGHUP).
+    /// Read the configuration again (SIGHUP).
     Reload,
-    /// End in an orderly way (SIGTERM, or an interrupt).
+    /// Shut down in an orderly way (SIGTERM, or an interrupt).
     Terminate,
-    /// Write what the flight recorder holds to a file (SIGUSR1).
+    /// Write the content of the flight recorder to a file (SIGUSR1).
     Dump,
 }
 
-/// The configuration's text, read anew each time.
+/// Reads the text of the configuration, again at each call.
 pub type ConfigSource = Box<dyn Fn() -> io::Result<String>>;
 
-/// All that surrounds one sender.
+/// The environment of one sender.
 pub struct Environment {
-    /// Where connections come from and go to.
+    /// The network.
     pub net: Rc<dyn Network>,
-    /// The wall clock.
+    /// The clocks.
     pub clock: Rc<dyn Clock>,
-    /// The folder that outlasts the process.
+    /// The state folder.
     pub disk: Rc<dyn Disk>,
-    /// What it is told from outside.
+    /// Signals to the process.
     pub signals: Receiver<Signal>,
-    /// Its configuration.
+    /// The configuration.
     pub config: ConfigSource,
-    /// Where operators call, if it was told beside the configuration.
+    /// The address for operators, if it is given outside the configuration.
     pub admin_addr: Option<SocketAddr>,
-    /// The clients' listening socket, where the platform holds it: processes then take turns at it, and may
-    /// hand over to one another.
+    /// The listening socket for clients, if the platform holds it open. Successive processes then use the
+    /// same socket, and one may hand over to the next.
     pub client_listener: Option<Rc<dyn Listener>>,
 }
--- a/crates/seam/src/net.rs
+++ b/crates/seam/src/net.rs
@@ -1,7 +1,8 @@
-//! Sockets, as a non-blocking one behaves: readiness is polled, then an operation is tried.
+//! Non-blocking sockets: the caller polls for readiness, then tries an operation.
 //!
-//! Bytes that were handed over by [`Stream::try_write`] may have reached the peer: what has run is judged by
-//! them, so no world may buffer before it counts.
+//! Bytes that [`Stream::try_write`] has accepted may have reached the peer. The daemon decides by their
+//! number whether a call may have been executed, so an implementation must not buffer bytes before it counts
+//! them.
 
 use std::future::{Future, poll_fn};
 use std::io;
@@ -10,94 +11,94 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// A connection that is being made.
+/// A connection attempt in progress.
 pub type ConnectFuture = Pin<Box<dyn Future<Output = io::Result<Rc<dyn Stream>>>>>;
 
-/// Where connections come from and go to.
+/// The network.
 pub trait Network {
-    /// Connects. It waits for as long as the system does; callers set their own limit.
+    /// Connects to an address. It has no time-out but the system's; callers set their own.
     fn connect(&self, to: SocketAddr) -> ConnectFuture;
 
-    /// Listens for connections.
+    /// Listens for connections on an address.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// The address is not available.
     fn listen(&self, at: SocketAddr) -> io::Result<Rc<dyn Listener>>;
 
-    /// Listens for connections of this machine's own processes, at a private place of that name; who listened
-    /// there before no longer hears of new ones.
+    /// Listens for connections of processes on the same machine, on a private socket of this name. An earlier
+    /// listener of the same name receives no further connections.
     ///
     /// # Errors
-    /// The place cannot be had.
+    /// The socket cannot be created.
     fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>>;
 
-    /// Connects to who listens at that private place.
+    /// Connects to the private socket of this name.
     fn connect_local(&self, name: &str) -> ConnectFuture;
 
-    /// Opens a socket for datagrams.
+    /// Opens a datagram socket on an address.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// The address is not available.
     fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>>;
 }
 
-/// A connection. It ends when the last handle is dropped.
+/// A connection. It is closed when the last handle is dropped.
 pub trait Stream {
-    /// Ready once [`Self::try_read`] may find something, its end included.
+    /// Polls until [`Self::try_read`] may find data or the end of the stream.
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Reads what is there; 0 at the end.
+    /// Reads the available bytes. Returns 0 at the end of the stream.
     ///
     /// # Errors
-    /// `WouldBlock` where nothing is there, `OutOfMemory` where the system lacks memory just now.
+    /// `WouldBlock` if no bytes are available, `OutOfMemory` if the system lacks memory at present.
     fn try_read(&self, buf: &mut [u8]) -> io::Result<usize>;
-    /// Ready once [`Self::try_write`] may find room.
+    /// Polls until [`Self::try_write`] may find room.
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>>;
-    /// Hands over what there is room for.
+    /// Writes as many bytes as there is room for, and returns their number.
     ///
     /// # Errors
-    /// `WouldBlock` where there is none, `OutOfMemory` where the system lacks memory just now.
+    /// `WouldBlock` if there is no room, `OutOfMemory` if the system lacks memory at present.
     fn try_write(&self, buf: &[u8]) -> io::Result<usize>;
-    /// Whether the peer has said nothing that was not read yet, its end included. It asks the system itself:
-    /// what the runtime knows of a socket is as old as its last look.
+    /// Returns whether no unread data has arrived from the peer, nor the end of the stream. It queries the
+    /// system itself, since the runtime's view of a socket is only as recent as its last poll.
     fn has_no_unread_data(&self) -> bool;
-    /// Ends one direction, or both.
+    /// Shuts down one direction, or both.
     ///
     /// # Errors
-    /// It had ended before.
+    /// The connection had ended before.
     fn shutdown(&self, how: Shutdown) -> io::Result<()>;
-    /// Small writes go out at once.
+    /// Disables Nagle's algorithm, so that small writes are sent at once.
     ///
     /// # Errors
     /// The connection has ended.
     fn set_nodelay(&self) -> io::Result<()>;
 }
 
-/// Takes connections.
+/// A listening socket.
 pub trait Listener {
-    /// The next connection, and who made it.
+    /// Polls for the next connection.
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>>;
-    /// Where it listens.
+    /// Returns the address of the socket.
     ///
     /// # Errors
-    /// The socket is of no use.
+    /// The socket has no address, or it cannot be read.
     fn local_addr(&self) -> io::Result<SocketAddr>;
 }
 
-/// Takes the next connection.
+/// Accepts the next connection.
 ///
 /// # Errors
-/// As the listener's.
+/// As [`Listener::poll_accept`].
 pub async fn accept(listener: &dyn Listener) -> io::Result<Rc<dyn Stream>> {
     poll_fn(|cx| listener.poll_accept(cx)).await
 }
 
-/// A socket for datagrams.
+/// A datagram socket.
 pub trait DatagramSocket {
-    /// The next one, cut to the buffer's length, and who sent it.
+    /// Polls for the next datagram, truncated to the length of the buffer. Returns its length and its sender.
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>>;
-    /// Sends one; it may be lost.
+    /// Sends a datagram, which may be lost.
     ///
     /// # Errors
-    /// It was not sent.
+    /// The datagram was not sent.
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize>;
 }
--- a/crates/seam/src/system.rs
+++ b/crates/seam/src/system.rs
@@ -1,4 +1,4 @@
-//! The system's own sockets, clock, files and signals.
+//! The environment on the operating system: its sockets, clocks, files and signals.
 
 use crate::net::ConnectFuture;
 use crate::{
@@ -22,13 +22,13 @@
 use tokio::io::ReadBuf;
 use tokio::net::{TcpListener, TcpStream, UdpSocket, UnixListener, UnixStream};
 
-/// The system as it is, for a sender with this folder, this configuration and this private place for sockets
-/// between processes. It belongs inside a `LocalSet`.
+/// Creates the environment for a sender with this state folder, this configuration file, and this folder for
+/// private sockets between processes. Must be called inside a `LocalSet`.
 ///
 /// # Errors
-/// Signals cannot be watched.
+/// The signal handlers cannot be installed.
 pub fn environment(state: &Path, config: PathBuf, local_dir: Option<PathBuf>) -> io::Result<Environment> {
-    // First of all: without a handler a signal would end the process.
+    // Signals come first: without a handler a signal would end the process.
     let signals = signals::watch()?;
     let config: ConfigSource = Box::new(move || {
         fs::read_to_string(&config)
@@ -46,10 +46,10 @@
     })
 }
 
-/// The system's clocks.
+/// The clocks of the system.
 pub struct SystemClock;
 
-/// Where the system tells which boot this is: a UUID in text.
+/// The file with the identifier of the current boot: a UUID as text.
 const BOOT_ID: &str = "/proc/sys/kernel/random/boot_id";
 const MICROS_PER_SECOND: u64 = 1_000_000;
 const NANOS_PER_MICRO: u64 = 1_000;
@@ -60,7 +60,7 @@
     }
 
     fn monotonic_now(&self) -> u64 {
-        // The clock of tokio's timers. It stands still while the machine sleeps, as they do.
+        // The clock of tokio's timers. Like them it does not advance while the machine is suspended.
         let now = rustix::time::clock_gettime(ClockId::Monotonic);
         let (seconds, nanos) = (now.tv_sec.unsigned_abs(), now.tv_nsec.unsigned_abs());
         seconds * MICROS_PER_SECOND + nanos / NANOS_PER_MICRO
@@ -69,10 +69,10 @@
     fn boot_id(&self) -> io::Result<Option<BootId>> {
         let text = match fs::read_to_string(BOOT_ID) {
             Ok(text) => text,
-            Err(why) if matches!(why.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => {
+            Err(e) if matches!(e.kind(), ErrorKind::NotFound | ErrorKind::PermissionDenied) => {
                 return Ok(None);
             }
-            Err(why) => return Err(why),
+            Err(e) => return Err(e),
         };
         let digits: String = text.trim().chars().filter(|c| *c != '-').collect();
         Ok(u128::from_str_radix(&digits, 16).ok().map(|id| BootId(id.to_be_bytes())))
@@ -95,7 +95,7 @@
         let mut file = fs::File::open(self.0.join(name))?;
         file.seek(SeekFrom::Start(offset))?;
         let mut bytes = Vec::new();
-        // What is asked for may be more than is there: only what is read takes memory.
+        // The buffer is not allocated in advance, since `len` may exceed the length of the file.
         file.take(len as u64).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
@@ -104,7 +104,7 @@
         let mut found = Vec::new();
         for entry in fs::read_dir(&self.0)? {
             let (name, data) = entry.and_then(|e| Ok((e.file_name(), e.metadata()?)))?;
-            // A name that is no text is none of ours.
+            // A name that is not valid UTF-8 is not one of a sender's files.
             if let Some(name) = name.to_str().filter(|_| data.is_file()) {
                 found.push((name.to_owned(), data.len()));
             }
@@ -132,14 +132,14 @@
     }
 
     fn lock(&self) -> io::Result<Box<dyn Any>> {
-        // It ends with the process, however that ends.
+        // The lock ends with the process, also after a crash.
         let file = OpenOptions::new().create(true).append(true).open(self.0.join(LOCK))?;
         rustix::fs::flock(&file, FlockOperation::NonBlockingLockExclusive)?;
         Ok(Box::new(file))
     }
 }
 
-/// The file whose lock stands for the folder's. It is empty.
+/// The empty file whose lock represents the lock of the folder.
 const LOCK: &str = "lock";
 
 impl File for fs::File {
@@ -158,46 +158,48 @@
     fn sync_in_background(&self) -> SyncFuture {
         let file = match self.try_clone() {
             Ok(file) => file,
-            Err(why) => return Box::pin(std::future::ready(Err(why))),
+            Err(e) => return Box::pin(std::future::ready(Err(e))),
         };
-        // A thread of its own: the runtime's pool would panic where the system has none left.
+        // A thread of its own, since the runtime's pool would panic if the system has no threads left.
         let (done, synced) = tokio::sync::oneshot::channel();
-        let beside = std::thread::Builder::new().spawn(move || done.send(file.sync_data()));
-        match beside {
+        let thread = std::thread::Builder::new().spawn(move || done.send(file.sync_data()));
+        match thread {
             Ok(_) => Box::pin(async move { synced.await.map_err(io::Error::other)? }),
             Err(_) => Box::pin(std::future::ready(self.sync())),
         }
     }
 }
 
-/// A listening socket that was inherited under this descriptor. It is duplicated, so that the number stays
-/// what it is for who looks at it later, and made non-blocking for all who share it.
+/// Returns the listening socket that was inherited under this descriptor. The descriptor is duplicated, so
+/// that the number stays valid for later use. The socket becomes non-blocking for all processes that share
+/// it.
 ///
 /// # Errors
-/// There is no such descriptor, it is no socket, or it does not listen.
+/// There is no such descriptor, it is not a socket, or it does not listen.
 pub fn inherited_listener(descriptor: i32) -> io::Result<Rc<dyn Listener>> {
-    // The safe way to one's own descriptor by its number: as any process gets at another's.
+    // Safe Rust has no other way to take a descriptor by its number than the one for other processes.
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     let socket = pidfd_getfd(&own, descriptor, PidfdGetfdFlags::empty())?;
     if !rustix::net::sockopt::socket_acceptconn(&socket)? {
-        return Err(io::Error::new(ErrorKind::InvalidInput, "it is a socket that does not listen"));
+        return Err(io::Error::new(ErrorKind::InvalidInput, "the socket does not listen"));
     }
     let listener = std::net::TcpListener::from(socket);
     listener.set_nonblocking(true)?;
     Ok(Rc::new(TcpListener::from_std(listener)?))
 }
 
-/// The system's sockets.
+/// The sockets of the system.
 #[derive(Default)]
 pub struct SystemSockets {
-    /// Where sockets between processes of this machine lie, if anywhere.
+    /// The folder for private sockets between processes of this machine, if there is one.
     pub local_dir: Option<PathBuf>,
 }
 
 impl SystemSockets {
-    fn place(&self, name: &str) -> io::Result<PathBuf> {
-        let none = || io::Error::new(ErrorKind::NotFound, "there is no private folder for sockets (TMPDIR)");
-        self.local_dir.as_ref().map(|folder| folder.join(name)).ok_or_else(none)
+    fn local_path(&self, name: &str) -> io::Result<PathBuf> {
+        let missing =
+            || io::Error::new(ErrorKind::NotFound, "there is no private folder for sockets (TMPDIR)");
+        self.local_dir.as_ref().map(|folder| folder.join(name)).ok_or_else(missing)
     }
 }
 
@@ -207,23 +209,23 @@
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Rc<dyn Listener>> {
-        Ok(Rc::new(TcpListener::from_std(bound(at)?)?))
+        Ok(Rc::new(TcpListener::from_std(bind_reusable(at)?)?))
     }
 
     fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
-        let place = self.place(name)?;
-        match fs::remove_file(&place) {
+        let path = self.local_path(name)?;
+        match fs::remove_file(&path) {
             Err(e) if e.kind() != ErrorKind::NotFound => return Err(e),
             _ => {}
         }
-        let listener = UnixListener::bind(&place)?;
-        fs::set_permissions(&place, Permissions::from_mode(0o600))?;
+        let listener = UnixListener::bind(&path)?;
+        fs::set_permissions(&path, Permissions::from_mode(0o600))?;
         Ok(Rc::new(listener))
     }
 
     fn connect_local(&self, name: &str) -> ConnectFuture {
-        let place = self.place(name);
-        Box::pin(async move { Ok(Rc::new(UnixStream::connect(place?).await?) as Rc<dyn Stream>) })
+        let path = self.local_path(name);
+        Box::pin(async move { Ok(Rc::new(UnixStream::connect(path?).await?) as Rc<dyn Stream>) })
     }
 
     fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>> {
@@ -233,11 +235,11 @@
     }
 }
 
-/// Connections that wait to be accepted; tokio's own listeners have as many.
+/// The number of connections that may wait to be accepted; the same as in tokio's own listeners.
 const BACKLOG: i32 = 1024;
 
-/// As tokio binds: at once again at an address whose old connections have not all gone.
-fn bound(at: SocketAddr) -> io::Result<std::net::TcpListener> {
+/// Binds a listener as tokio does, also if connections of an earlier listener on the address still exist.
+fn bind_reusable(at: SocketAddr) -> io::Result<std::net::TcpListener> {
     let socket = socket2::Socket::new(socket2::Domain::for_address(at), socket2::Type::STREAM, None)?;
     socket.set_reuse_address(true)?;
     socket.set_nonblocking(true)?;
@@ -246,16 +248,16 @@
     Ok(socket.into())
 }
 
-/// The system says in two ways that it has no memory for a socket's data just now: here they are one.
-fn lack_of_memory(why: io::Error) -> io::Error {
+/// Maps both errors by which the system reports a lack of memory for socket data to `OutOfMemory`.
+fn map_lack_of_memory(error: io::Error) -> io::Error {
     let no_buffers = Some(rustix::io::Errno::NOBUFS.raw_os_error());
-    if why.raw_os_error() == no_buffers { ErrorKind::OutOfMemory.into() } else { why }
+    if error.raw_os_error() == no_buffers { ErrorKind::OutOfMemory.into() } else { error }
 }
 
-/// So often it is looked at once whether something can be read, where a signal interrupts that.
-const PEEKS: usize = 8;
+/// How often a peek for unread data is tried, if signals interrupt it.
+const MAX_PEEKS: usize = 8;
 
-/// Connections by TCP and within the machine are alike but for one option.
+/// Implements [`Stream`] for TCP and Unix sockets, which differ in one option only.
 macro_rules! stream {
     ($socket:ty, $set_nodelay:expr) => {
         impl Stream for $socket {
@@ -264,7 +266,7 @@
             }
 
             fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
-                <$socket>::try_read(self, buf).map_err(lack_of_memory)
+                <$socket>::try_read(self, buf).map_err(map_lack_of_memory)
             }
 
             fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -272,17 +274,17 @@
             }
 
             fn try_write(&self, buf: &[u8]) -> io::Result<usize> {
-                <$socket>::try_write(self, buf).map_err(lack_of_memory)
+                <$socket>::try_write(self, buf).map_err(map_lack_of_memory)
             }
 
             fn has_no_unread_data(&self) -> bool {
                 let peek = || SockRef::from(self).peek(&mut [MaybeUninit::uninit()]);
-                let interrupted = |peeked: &io::Result<usize>| {
-                    peeked.as_ref().is_err_and(|why| why.kind() == ErrorKind::Interrupted)
+                let is_interrupted = |peeked: &io::Result<usize>| {
+                    peeked.as_ref().is_err_and(|e| e.kind() == ErrorKind::Interrupted)
                 };
-                let peeked = (0..PEEKS).map(|_| peek()).find(|peeked| !interrupted(peeked));
-                // Where nothing can be told it may have spoken.
-                peeked.is_some_and(|peeked| peeked.is_err_and(|why| why.kind() == ErrorKind::WouldBlock))
+                let peeked = (0..MAX_PEEKS).map(|_| peek()).find(|peeked| !is_interrupted(peeked));
+                // If the state is unknown, data may have arrived.
+                peeked.is_some_and(|peeked| peeked.is_err_and(|e| e.kind() == ErrorKind::WouldBlock))
             }
 
             fn shutdown(&self, how: Shutdown) -> io::Result<()> {
@@ -316,7 +318,7 @@
     }
 
     fn local_addr(&self) -> io::Result<SocketAddr> {
-        Err(io::Error::new(ErrorKind::Unsupported, "a socket within a machine has no address"))
+        Err(io::Error::new(ErrorKind::Unsupported, "a Unix socket has no network address"))
     }
 }
 
