--- a/crates/copies/src/copy_store.rs
+++ b/crates/copies/src/copy_store.rs
@@ -83,8 +83,8 @@
     }
 
     pub fn restore_acknowledged(&mut self, key: &Key) {
-        if let Some(h) = self.copies.get_mut(key) {
-            h.record.acknowledged = true;
+        if let Some(copy) = self.copies.get_mut(key) {
+            copy.record.acknowledged = true;
         }
     }
 
@@ -103,7 +103,7 @@
 
     /// Returns the instances whose failure matters for the copies here.
     pub fn owners(&self) -> BTreeSet<Instance> {
-        self.copies.values().map(|h| h.owner).chain(self.claimants.values().map(|c| c.0)).collect()
+        self.copies.values().map(|copy| copy.owner).chain(self.claimants.values().map(|c| c.0)).collect()
     }
 
     /// Returns the latest known owner of a message, and its term.
@@ -113,7 +113,10 @@
 
     /// Returns the copies of messages whose latest owner fulfils a condition.
     pub fn copies_owned_by(&self, is_match: impl Fn(Instance) -> bool) -> impl Iterator<Item = &StoredCopy> {
-        self.copies.iter().filter(move |(k, h)| is_match(self.latest_owner(k, h).0)).map(|(_, h)| h)
+        self.copies
+            .iter()
+            .filter(move |(k, copy)| is_match(self.latest_owner(k, copy).0))
+            .map(|(_, copy)| copy)
     }
 
     pub fn groups(&self) -> BTreeSet<WitnessGroup> {
@@ -130,10 +133,10 @@
         ledger: &mut dyn Ledger,
     ) -> Result<(), Rejection> {
         let old = match self.copies.get(&key) {
-            Some(h) if (h.term, h.owner) != (term, owner) && h.term >= term => {
-                return Err(Rejection::OwnedByOther { owner: h.owner, term: h.term });
+            Some(copy) if (copy.term, copy.owner) != (term, owner) && copy.term >= term => {
+                return Err(Rejection::OwnedByOther { owner: copy.owner, term: copy.term });
             }
-            Some(h) => h.record.stored_size(),
+            Some(copy) => copy.record.stored_size(),
             None => 0,
         };
         let bytes = self.bytes - old + record.stored_size();
@@ -150,10 +153,11 @@
 
     /// Records that the owner may have acknowledged the message to its client.
     pub fn mark_acknowledged(&mut self, key: Key, term: Term, owner: Instance, ledger: &mut dyn Ledger) {
-        let same = |h: &&mut StoredCopy| (h.term, h.owner) == (term, owner) && !h.record.acknowledged;
-        if let Some(h) = self.copies.get_mut(&key).filter(same) {
+        let same =
+            |copy: &&mut StoredCopy| (copy.term, copy.owner) == (term, owner) && !copy.record.acknowledged;
+        if let Some(copy) = self.copies.get_mut(&key).filter(same) {
             // It has a row of its own, since the row of the copy includes the body.
-            h.record.acknowledged = ledger.write(&[put_row(Row::CopyAcknowledged(key), &())]);
+            copy.record.acknowledged = ledger.write(&[put_row(Row::CopyAcknowledged(key), &())]);
         }
     }
 
@@ -166,10 +170,11 @@
         deadline: Micros,
         ledger: &mut dyn Ledger,
     ) {
-        let Some(h) = self.copies.get_mut(&key).filter(|h| (h.term, h.owner) == (term, owner)) else {
+        let Some(copy) = self.copies.get_mut(&key).filter(|copy| (copy.term, copy.owner) == (term, owner))
+        else {
             return;
         };
-        let mut updated = h.clone();
+        let mut updated = copy.clone();
         attempts.iter().for_each(|t| updated.record.add_attempt(*t));
         updated.record.verdict = verdict.or(updated.record.verdict);
         // The time left is reported without the time on the network, so the earliest deadline is the most
@@ -178,8 +183,8 @@
             updated.record.deadline = deadline;
         }
         // If this cannot be written, a new owner makes one attempt more, or sends a notice again.
-        if updated != *h && ledger.write(&[put_row(Row::Copy(key), &updated)]) {
-            *h = updated;
+        if updated != *copy && ledger.write(&[put_row(Row::Copy(key), &updated)]) {
+            *copy = updated;
         }
     }
 
@@ -188,7 +193,7 @@
     pub fn record_end(&mut self, key: Key, term: Term, ledger: &mut dyn Ledger) -> bool {
         match self.copies.get(&key) {
             // The report comes from an earlier owner than the one known here, whose own report decides.
-            Some(h) if h.term > term => true,
+            Some(copy) if copy.term > term => true,
             Some(_) => self.delete(key, ledger),
             None => true,
         }
@@ -224,9 +229,9 @@
         limit: usize,
     ) -> Vec<(Key, Term, u64)> {
         let mut due: Vec<(Micros, Key)> = Vec::new();
-        for (key, h) in self.copies.iter().filter(|(k, h)| has_failed(self.latest_owner(k, h).0)) {
+        for (key, copy) in self.copies.iter().filter(|(k, copy)| has_failed(self.latest_owner(k, copy).0)) {
             if self.claims.get(key).is_none_or(|c| c.retry_at <= now) {
-                due.push((h.record.deadline, *key));
+                due.push((copy.record.deadline, *key));
             }
         }
         due.sort_unstable();
@@ -305,14 +310,14 @@
             return ClaimProgress::Pending;
         }
         let mut all = Attempts::new();
-        for t in claim.grants.values().flat_map(|g| &g.0) {
-            match all.iter_mut().find(|k| k.number == t.number) {
-                Some(known) => known.never_ran |= t.never_ran,
-                None => all.push(*t),
+        for attempt in claim.grants.values().flat_map(|g| &g.0) {
+            match all.iter_mut().find(|known| known.number == attempt.number) {
+                Some(known) => known.never_ran |= attempt.never_ran,
+                None => all.push(*attempt),
             }
         }
-        // At least one of the grants reports a completed move. A move that was only begun may have been
-        // completed. The move of the latest term counts.
+        // If a move was completed, at least one of the granting witnesses has recorded it. A move that was
+        // only begun may have been completed. The move of the latest term counts.
         match claim.grants.values().filter_map(|g| g.1).max_by_key(|m| m.0) {
             Some((_, to)) => ClaimProgress::Moved { term: claim.term, to, attempts: all },
             None => ClaimProgress::Won {
@@ -395,7 +400,7 @@
                     return ClaimProgress::Blocked(owner);
                 }
                 // From now on the failure of that claimant is watched.
-                if self.copies.get(&key).is_some_and(|h| self.latest_owner(&key, h).1 < their_term) {
+                if self.copies.get(&key).is_some_and(|copy| self.latest_owner(&key, copy).1 < their_term) {
                     self.claimants.insert(key, (owner, their_term));
                 }
                 self.claims.remove(&key);
@@ -416,7 +421,8 @@
     /// Returns the copies with a deadline before `unix` whose owner has failed and on which no claim was
     /// granted.
     pub fn expired_orphans(&self, unix: Micros, has_failed: impl Fn(Instance) -> bool) -> Vec<Key> {
-        let expired = self.copies.iter().filter(|(_, h)| h.record.deadline < unix && has_failed(h.owner));
+        let expired =
+            self.copies.iter().filter(|(_, copy)| copy.record.deadline < unix && has_failed(copy.owner));
         expired.map(|(&k, _)| k).collect()
     }
 
@@ -437,7 +443,7 @@
     /// Returns copies with a deadline before `unix`, at most `limit`. Owners that are alive are asked whether
     /// they still own them.
     pub fn overdue(&self, unix: Micros, limit: usize) -> Vec<(Instance, Key)> {
-        let expired = self.copies.iter().filter(|(_, h)| h.record.deadline < unix);
-        expired.map(|(&k, h)| (h.owner, k)).take(limit).collect()
+        let expired = self.copies.iter().filter(|(_, copy)| copy.record.deadline < unix);
+        expired.map(|(&k, copy)| (copy.owner, k)).take(limit).collect()
     }
 }
--- a/crates/copies/src/model.rs
+++ b/crates/copies/src/model.rs
@@ -53,10 +53,10 @@
     /// Returns the witness that sends or receives the packet, and the claimant.
     fn endpoints(self) -> (usize, Option<usize>) {
         match self {
-            Self::Register(w, _) | Self::Registered(w, _) => (w, None),
-            Self::RequestConsent(w, _, by) | Self::Consent(w, _, by) => (w, by),
-            Self::Move(w, _, _, _, by) | Self::Moved(w, _, _, by) => (w, by),
-            Self::Claim(w, _, by) | Self::Grant(w, _, by, ..) => (w, Some(by)),
+            Self::Register(index, _) | Self::Registered(index, _) => (index, None),
+            Self::RequestConsent(index, _, claimant) | Self::Consent(index, _, claimant) => (index, claimant),
+            Self::Move(index, _, _, _, claimant) | Self::Moved(index, _, _, claimant) => (index, claimant),
+            Self::Claim(index, _, claimant) | Self::Grant(index, _, claimant, ..) => (index, Some(claimant)),
         }
     }
 }
@@ -173,13 +173,16 @@
         if self.without == Without::Grants { 1 } else { self.membership().claim_quorum(group) }
     }
 
-    fn claimant(&self, state: &State, by: usize) -> Instance {
-        Instance { peer: self.others[by], incarnation: Incarnation(u64::from(state.others[by].incarnation)) }
+    fn claimant(&self, state: &State, claimant: usize) -> Instance {
+        Instance {
+            peer: self.others[claimant],
+            incarnation: Incarnation(u64::from(state.others[claimant].incarnation)),
+        }
     }
 
     /// Returns the instance that sends a packet, and its term.
-    fn sender_and_term(&self, state: &State, by: Option<usize>) -> (Instance, Term) {
-        by.map_or((self.owner, FIRST_TERM), |by| (self.claimant(state, by), CLAIM))
+    fn sender_and_term(&self, state: &State, claimant: Option<usize>) -> (Instance, Term) {
+        claimant.map_or((self.owner, FIRST_TERM), |claimant| (self.claimant(state, claimant), CLAIM))
     }
 
     fn is_running(&self, state: &State, peer: Peer) -> bool {
@@ -189,22 +192,22 @@
     fn can_commit(&self, state: &State) -> bool {
         let group = self.group(state.owner.epoch);
         let witnesses = self.witnesses(group);
-        let is_confirmed = |w: &usize| state.owner.confirmed_by.contains(w);
-        witnesses.iter().filter(|w| is_confirmed(w)).count() >= self.membership().claim_quorum(group)
-            && witnesses.iter().all(|w| is_confirmed(w) || !state.others[*w].running)
+        let is_confirmed = |index: &usize| state.owner.confirmed_by.contains(index);
+        witnesses.iter().filter(|index| is_confirmed(index)).count() >= self.membership().claim_quorum(group)
+            && witnesses.iter().all(|index| is_confirmed(index) || !state.others[*index].running)
     }
 
     /// As in `Replicator::replace_witnesses`.
     fn replacement(&self, state: &State) -> Option<Epoch> {
         let group = self.group(state.owner.epoch);
         let witnesses = self.witnesses(group);
-        let is_confirmed = |w: &usize| state.owner.confirmed_by.contains(w);
-        let is_unconfirmed =
-            witnesses.iter().filter(|w| is_confirmed(w)).count() < self.membership().claim_quorum(group);
-        let is_away = witnesses.iter().any(|w| !is_confirmed(w) && !state.others[*w].running);
+        let is_confirmed = |index: &usize| state.owner.confirmed_by.contains(index);
+        let is_unconfirmed = witnesses.iter().filter(|index| is_confirmed(index)).count()
+            < self.membership().claim_quorum(group);
+        let is_away = witnesses.iter().any(|index| !is_confirmed(index) && !state.others[*index].running);
         let next = self.membership().next_epoch(group, |peer| self.is_running(state, peer))?;
         let others = self.witnesses(self.group(next));
-        let reachable = others.iter().filter(|w| state.others[**w].running).count();
+        let reachable = others.iter().filter(|index| state.others[**index].running).count();
         let is_better = others != witnesses && reachable >= self.membership().claim_quorum(self.group(next));
         (is_unconfirmed && is_away && is_better && next.number() <= MAX_EPOCH).then_some(next)
     }
@@ -218,11 +221,11 @@
         (owner.epoch, owner.registered, owner.confirmed_by) = (next, BTreeMap::new(), BTreeSet::new());
     }
 
-    fn register(&self, state: &mut State, w: usize) {
-        let incarnation = state.others[w].incarnation;
-        match state.owner.registered.get(&w) {
+    fn register(&self, state: &mut State, index: usize) {
+        let incarnation = state.others[index].incarnation;
+        match state.owner.registered.get(&index) {
             Some(registered) if *registered != incarnation => {
-                state.owner.confirmed_by.remove(&w);
+                state.owner.confirmed_by.remove(&index);
                 let group = self.group(state.owner.epoch);
                 let next = self.membership().next_epoch(group, |peer| self.is_running(state, peer));
                 if let Some(next) = next.filter(|next| next.number() <= MAX_EPOCH) {
@@ -230,14 +233,14 @@
                 }
                 return;
             }
-            _ => drop(state.owner.registered.insert(w, incarnation)),
+            _ => drop(state.owner.registered.insert(index, incarnation)),
         }
-        state.packets.insert(Packet::Register(w, self.group(state.owner.epoch)));
+        state.packets.insert(Packet::Register(index, self.group(state.owner.epoch)));
     }
 
     /// Sends what follows from the grants of a claim.
-    fn advance_claim(&self, state: &mut State, by: usize, group: WitnessGroup) {
-        let Some(copy) = state.others[by].copies.get(&group).cloned() else { return };
+    fn advance_claim(&self, state: &mut State, claimant: usize, group: WitnessGroup) {
+        let Some(copy) = state.others[claimant].copies.get(&group).cloned() else { return };
         let Some(claim) = copy.claim else { return };
         if claim.grants.len() < self.claim_quorum(group) {
             return;
@@ -246,43 +249,45 @@
         let attempted =
             claim.grants.values().any(|grant| grant.0) && self.without != Without::GrantedAttempts;
         let attempted = attempted || copy.attempted;
-        for w in self.witnesses(group) {
+        for index in self.witnesses(group) {
             match moved {
-                Some(to) => _ = state.packets.insert(Packet::Move(w, group, to, attempted, Some(by))),
+                Some(to) => {
+                    _ = state.packets.insert(Packet::Move(index, group, to, attempted, Some(claimant)))
+                }
                 // A message that may have been attempted is ended.
                 None if attempted => {}
-                None => _ = state.packets.insert(Packet::RequestConsent(w, group, Some(by))),
+                None => _ = state.packets.insert(Packet::RequestConsent(index, group, Some(claimant))),
             }
         }
     }
 
     fn deliver(&self, state: &mut State, packet: Packet) {
-        let (w, by) = packet.endpoints();
-        let (owner, term) = self.sender_and_term(state, by);
+        let (index, claimant) = packet.endpoints();
+        let (owner, term) = self.sender_and_term(state, claimant);
         let mut ledger = TestLedger;
         match packet {
             Packet::Register(_, group) => {
-                if state.others[w].witness.register(group, &mut ledger).is_ok() {
-                    state.packets.insert(Packet::Registered(w, group));
+                if state.others[index].witness.register(group, &mut ledger).is_ok() {
+                    state.packets.insert(Packet::Registered(index, group));
                 }
             }
             Packet::Registered(_, group) => {
                 if state.owner.running && group == self.group(state.owner.epoch) {
-                    state.owner.confirmed_by.insert(w);
+                    state.owner.confirmed_by.insert(index);
                 }
             }
             Packet::RequestConsent(_, group, _) => {
-                let witness = &mut state.others[w].witness;
+                let witness = &mut state.others[index].witness;
                 if witness.record_attempt(Self::key(group), term, owner, ATTEMPT, &mut ledger).is_ok() {
-                    state.packets.insert(Packet::Consent(w, group, by));
+                    state.packets.insert(Packet::Consent(index, group, claimant));
                 }
             }
-            Packet::Consent(_, group, None) => self.owner_consented(state, w, group),
-            Packet::Consent(_, group, Some(by)) => {
+            Packet::Consent(_, group, None) => self.owner_consented(state, index, group),
+            Packet::Consent(_, group, Some(claimant)) => {
                 let needed = self.claim_quorum(group);
-                let Some(copy) = state.others[by].copies.get_mut(&group) else { return };
+                let Some(copy) = state.others[claimant].copies.get_mut(&group) else { return };
                 let Some(claim) = &mut copy.claim else { return };
-                claim.consents.insert(w);
+                claim.consents.insert(index);
                 if claim.consents.len() == needed {
                     claim.consents.insert(usize::MAX);
                     state.attempts += 1;
@@ -290,43 +295,43 @@
             }
             Packet::Move(_, group, to, attempted, _) => {
                 let attempts: &[AttemptRecord] = if attempted { &[ATTEMPT] } else { &[] };
-                let witness = &mut state.others[w].witness;
+                let witness = &mut state.others[index].witness;
                 if witness.record_move(Self::key(group), (term, owner), to, attempts, &mut ledger).is_ok() {
-                    state.packets.insert(Packet::Moved(w, group, to, by));
+                    state.packets.insert(Packet::Moved(index, group, to, claimant));
                 }
             }
-            Packet::Moved(_, group, to, None) => self.owner_moved(state, w, group, to),
-            Packet::Moved(_, group, to, Some(by)) => {
+            Packet::Moved(_, group, to, None) => self.owner_moved(state, index, group, to),
+            Packet::Moved(_, group, to, Some(claimant)) => {
                 let needed = self.claim_quorum(group);
-                let other = &mut state.others[by];
+                let other = &mut state.others[claimant];
                 let Some(copy) = other.copies.get_mut(&group) else { return };
                 let Some(claim) = &mut copy.claim else { return };
-                claim.moved.insert(w);
+                claim.moved.insert(index);
                 if claim.moved.len() >= needed {
                     let attempted = copy.attempted || claim.grants.values().any(|grant| grant.0);
                     other.copies.remove(&group);
                     other.copies.entry(to).or_insert(CopyState { attempted, claim: None });
                 }
             }
-            Packet::Claim(_, group, by) => {
+            Packet::Claim(_, group, claimant) => {
                 let claim = (Self::key(group), CLAIM, ROUND);
-                let granted = state.others[w].witness.grant_claim(claim, owner, |_| false, &mut ledger);
+                let granted = state.others[index].witness.grant_claim(claim, owner, |_| false, &mut ledger);
                 if let Ok((attempts, moved)) = granted {
                     let moved = moved.map(|moved| moved.1);
-                    state.packets.insert(Packet::Grant(w, group, by, !attempts.is_empty(), moved));
+                    state.packets.insert(Packet::Grant(index, group, claimant, !attempts.is_empty(), moved));
                 }
             }
-            Packet::Grant(_, group, by, attempted, moved) => {
-                let copy = state.others[by].copies.get_mut(&group);
+            Packet::Grant(_, group, claimant, attempted, moved) => {
+                let copy = state.others[claimant].copies.get_mut(&group);
                 if let Some(claim) = copy.and_then(|copy| copy.claim.as_mut()) {
-                    claim.grants.insert(w, (attempted, moved));
+                    claim.grants.insert(index, (attempted, moved));
                 }
-                self.advance_claim(state, by, group);
+                self.advance_claim(state, claimant, group);
             }
         }
     }
 
-    fn owner_consented(&self, state: &mut State, w: usize, group: WitnessGroup) {
+    fn owner_consented(&self, state: &mut State, index: usize, group: WitnessGroup) {
         let any_group = self.without == Without::GroupOfConsent;
         let owner = &mut state.owner;
         if !owner.running
@@ -336,24 +341,24 @@
         {
             return;
         }
-        owner.consents.insert(w);
+        owner.consents.insert(index);
         if owner.consents.len() == self.membership().attempt_quorum() {
             owner.consents.insert(usize::MAX);
             state.attempts += 1;
         }
     }
 
-    fn owner_moved(&self, state: &mut State, w: usize, group: WitnessGroup, to: WitnessGroup) {
+    fn owner_moved(&self, state: &mut State, index: usize, group: WitnessGroup, to: WitnessGroup) {
         let owner = &mut state.owner;
         let Some(pending_move) = owner.pending_move.as_mut().filter(|m| m.0 == to) else { return };
         if !owner.running || owner.group != Some(group) {
             return;
         }
-        pending_move.1.insert(w);
+        pending_move.1.insert(index);
         if pending_move.1.len() >= self.membership().attempt_quorum() {
             (owner.group, owner.pending_move) = (Some(to), None);
             // An attempt that was made stays known after the move; consents do not.
-            owner.consents.retain(|w| *w == usize::MAX);
+            owner.consents.retain(|index| *index == usize::MAX);
             // The copies in the new group have the attempt.
             let attempted = owner.consents.contains(&usize::MAX);
             for other in state.others.iter_mut().filter(|other| other.running) {
@@ -385,7 +390,7 @@
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         let group = self.group(state.owner.epoch);
-        let running = |w: usize| state.others[w].running;
+        let running = |index: usize| state.others[index].running;
         actions.extend(
             state
                 .packets
@@ -395,28 +400,28 @@
                 .map(Action::Delivers),
         );
         let owner = &state.owner;
-        for w in 0..state.others.len() {
-            if running(w)
+        for index in 0..state.others.len() {
+            if running(index)
                 && owner.running
-                && !owner.confirmed_by.contains(&w)
-                && self.witnesses(group).contains(&w)
+                && !owner.confirmed_by.contains(&index)
+                && self.witnesses(group).contains(&index)
             {
-                actions.push(Action::Registers(w));
+                actions.push(Action::Registers(index));
             }
-            if running(w) && owner.running && owner.group.is_none() && self.can_commit(state) {
-                actions.push(Action::StoresCopy(w));
+            if running(index) && owner.running && owner.group.is_none() && self.can_commit(state) {
+                actions.push(Action::StoresCopy(index));
             }
-            if running(w) && state.stops_left > 0 {
-                actions.push(Action::Stops(w));
+            if running(index) && state.stops_left > 0 {
+                actions.push(Action::Stops(index));
             }
-            if !running(w) {
-                actions.push(Action::Restarts(w));
+            if !running(index) {
+                actions.push(Action::Restarts(index));
                 if state.losses_left > 0 {
-                    actions.push(Action::LosesFolder(w));
+                    actions.push(Action::LosesFolder(index));
                 }
             }
-            let copies = state.others[w].copies.iter().filter(|(_, copy)| copy.claim.is_none());
-            actions.extend(copies.filter(|_| running(w)).map(|(group, _)| Action::Claims(w, *group)));
+            let copies = state.others[index].copies.iter().filter(|(_, copy)| copy.claim.is_none());
+            actions.extend(copies.filter(|_| running(index)).map(|(group, _)| Action::Claims(index, *group)));
         }
         if owner.running {
             actions.extend(self.replacement(state).map(|_| Action::Replaces));
@@ -437,20 +442,20 @@
         let group = self.group(state.owner.epoch);
         match action {
             Action::Delivers(packet) => self.deliver(&mut state, packet),
-            Action::Registers(w) => self.register(&mut state, w),
+            Action::Registers(index) => self.register(&mut state, index),
             Action::Replaces => {
                 let next = self.replacement(&state)?;
                 self.begin_epoch(&mut state, next);
             }
-            Action::StoresCopy(w) => {
+            Action::StoresCopy(index) => {
                 state.owner.group = Some(group);
-                state.others[w].copies.entry(group).or_default();
+                state.others[index].copies.entry(group).or_default();
             }
             Action::RequestsConsent => {
                 let current = state.owner.group?;
-                for w in self.witnesses(current) {
-                    if current != group || state.owner.confirmed_by.contains(&w) {
-                        state.packets.insert(Packet::RequestConsent(w, current, None));
+                for index in self.witnesses(current) {
+                    if current != group || state.owner.confirmed_by.contains(&index) {
+                        state.packets.insert(Packet::RequestConsent(index, current, None));
                     }
                 }
             }
@@ -461,33 +466,35 @@
                 if !attempted {
                     state.owner.consents.clear();
                 }
-                for w in self.witnesses(current) {
-                    state.packets.insert(Packet::Move(w, current, to, attempted, None));
+                for index in self.witnesses(current) {
+                    state.packets.insert(Packet::Move(index, current, to, attempted, None));
                 }
             }
             Action::OwnerIsLost => {
                 state.losses_left -= 1;
                 state.owner.running = false;
             }
-            Action::Stops(w) => {
+            Action::Stops(index) => {
                 state.stops_left -= 1;
-                state.others[w].running = false;
+                state.others[index].running = false;
                 // Its links end, and packets on them are lost.
-                state.packets.retain(|packet| packet.endpoints().0 != w && packet.endpoints().1 != Some(w));
-                state.others[w].copies.values_mut().for_each(|copy| copy.claim = None);
+                state
+                    .packets
+                    .retain(|packet| packet.endpoints().0 != index && packet.endpoints().1 != Some(index));
+                state.others[index].copies.values_mut().for_each(|copy| copy.claim = None);
             }
-            Action::Restarts(w) => state.others[w].running = true,
-            Action::LosesFolder(w) => {
+            Action::Restarts(index) => state.others[index].running = true,
+            Action::LosesFolder(index) => {
                 state.losses_left -= 1;
-                let other = &mut state.others[w];
+                let other = &mut state.others[index];
                 (other.witness, other.incarnation) = (Witness::new(4), other.incarnation + 1);
                 other.copies.clear();
-                state.owner.confirmed_by.remove(&w);
+                state.owner.confirmed_by.remove(&index);
             }
-            Action::Claims(w, group) => {
-                state.others[w].copies.get_mut(&group)?.claim = Some(ClaimState::default());
+            Action::Claims(index, group) => {
+                state.others[index].copies.get_mut(&group)?.claim = Some(ClaimState::default());
                 for to in self.witnesses(group) {
-                    state.packets.insert(Packet::Claim(to, group, w));
+                    state.packets.insert(Packet::Claim(to, group, index));
                 }
             }
         }
--- a/crates/copies/src/witness.rs
+++ b/crates/copies/src/witness.rs
@@ -228,10 +228,10 @@
         if let Some((_, known)) = entry.moved.filter(|m| m.0 == term && m.1 != to) {
             return Err(Rejection::Moved(known));
         }
-        for t in attempts.iter().take(MAX_ATTEMPTS) {
-            match entry.attempts.iter_mut().find(|k| k.number == t.number) {
-                Some(known) => *known = *t,
-                None => entry.attempts.push(*t),
+        for attempt in attempts.iter().take(MAX_ATTEMPTS) {
+            match entry.attempts.iter_mut().find(|known| known.number == attempt.number) {
+                Some(known) => *known = *attempt,
+                None => entry.attempts.push(*attempt),
             }
         }
         entry.moved = Some((term, to));
@@ -339,8 +339,10 @@
         };
         let mut entry = entry.clone();
         let mut changed = false;
-        for t in attempts.iter().filter(|t| t.never_ran) {
-            for known in entry.attempts.iter_mut().filter(|k| k.number == t.number && !k.never_ran) {
+        for attempt in attempts.iter().filter(|t| t.never_ran) {
+            for known in
+                entry.attempts.iter_mut().filter(|known| known.number == attempt.number && !known.never_ran)
+            {
                 (known.never_ran, changed) = (true, true);
             }
         }
--- a/crates/copies/tests/sim/mod.rs
+++ b/crates/copies/tests/sim/mod.rs
@@ -15,7 +15,7 @@
 const CLIENT_TIMEOUT: Micros = 300 * MS;
 const MAX_ATTEMPTS: u32 = 8;
 /// The difference between wall clock and monotonic clock.
-const UNIX: Micros = 1_700_000_000 * S;
+const UNIX_OFFSET: Micros = 1_700_000_000 * S;
 
 /// A deliberate fault in the protocol, to show that the checks find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -104,7 +104,7 @@
     /// Received frames, in order of arrival.
     inbox: VecDeque<(Micros, Inbound)>,
     dials: BTreeMap<Peer, Dial>,
-    back_by: Micros,
+    recover_by: Micros,
     starts: u64,
 }
 
@@ -219,7 +219,7 @@
                 dead: 0,
                 inbox: VecDeque::new(),
                 dials: BTreeMap::new(),
-                back_by: 0,
+                recover_by: 0,
                 starts: 0,
             });
         }
@@ -232,7 +232,7 @@
     }
 
     fn timestamps(&self) -> Timestamps {
-        Timestamps { now: self.now, unix: UNIX + self.now }
+        Timestamps { now: self.now, unix: UNIX_OFFSET + self.now }
     }
 
     fn start(&mut self, i: usize) {
@@ -257,7 +257,7 @@
         node.activity.clear();
         node.numbers.clear();
         node.dials.clear();
-        node.back_by = self.now + 300 * MS;
+        node.recover_by = self.now + 300 * MS;
         let all: Vec<(Id, Record)> = node.folder.messages.iter().map(|(&i, r)| (i, r.clone())).collect();
         for (id, record) in all {
             self.handle_input(i, Input::Resume { id, record: record.clone() });
@@ -415,9 +415,9 @@
     }
 
     fn carry_out(&mut self, i: usize, out: Vec<Output>) {
-        for o in out {
-            self.trace(i, &o);
-            match o {
+        for output in out {
+            self.trace(i, &output);
+            match output {
                 Output::Connect(peer) => self.connect(i, peer),
                 Output::Disconnect(peer) => {
                     let up = self.nodes[i].dials.get(&peer).and_then(|d| d.up);
@@ -499,7 +499,7 @@
             class: "c".into(),
             tenant: "t".into(),
             dest: 1,
-            deadline: UNIX + self.now + time,
+            deadline: UNIX_OFFSET + self.now + time,
             body: bytes::Bytes::from_static(b"body"),
             at_most_once,
             acknowledged: false,
@@ -606,7 +606,7 @@
         if number >= MAX_ATTEMPTS {
             return self.end(i, id, Verdict::Dead);
         }
-        let attempt = AttemptRecord { number, endpoint: 1, at: UNIX + now, never_ran: false };
+        let attempt = AttemptRecord { number, endpoint: 1, at: UNIX_OFFSET + now, never_ran: false };
         if let Some(record) = node.folder.messages.get_mut(&id) {
             record.attempts.push(attempt);
         }
@@ -631,7 +631,7 @@
         let now = self.now;
         let must_query = self.mutant != Mutant::NoQueryAfterRestart;
         let is_recovered = self.nodes[i].replicator.as_ref().is_some_and(Replicator::is_recovered);
-        if must_query && !is_recovered && now < self.nodes[i].back_by {
+        if must_query && !is_recovered && now < self.nodes[i].recover_by {
             return;
         }
         let all: Vec<(Id, Activity)> = self.nodes[i].activity.iter().map(|(&i, &d)| (i, d)).collect();
@@ -647,7 +647,7 @@
                     let attempt = AttemptRecord {
                         number: CLOSING_ATTEMPT,
                         endpoint: 0,
-                        at: UNIX + now,
+                        at: UNIX_OFFSET + now,
                         never_ran: false,
                     };
                     self.nodes[i].activity.insert(id, Activity::Closing(now + 150 * MS));
@@ -828,19 +828,19 @@
 
     /// Checks the invariants. Returns the first violation.
     pub fn check(&self) -> Result<(), String> {
-        for (id, f) in &self.histories {
-            let reason = if f.committed.is_some() && !f.ended() {
+        for (id, history) in &self.histories {
+            let reason = if history.committed.is_some() && !history.ended() {
                 "committed, but never ended"
-            } else if f.at_most_once && f.effects > 1 {
+            } else if history.at_most_once && history.effects > 1 {
                 "took effect twice"
-            } else if f.at_most_once && f.bounced > 0 && f.effects > 0 {
+            } else if history.at_most_once && history.bounced > 0 && history.effects > 0 {
                 "reported as safe to submit again, but took effect"
-            } else if f.attempts.len() > MAX_ATTEMPTS as usize {
+            } else if history.attempts.len() > MAX_ATTEMPTS as usize {
                 "more attempts than allowed"
             } else {
                 continue;
             };
-            return Err(format!("{id}: {reason}: {f:?}"));
+            return Err(format!("{id}: {reason}: {history:?}"));
         }
         Ok(())
     }
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -250,8 +250,8 @@
     }
 
     fn carry_out(self: &Rc<Self>, out: Vec<Output>) {
-        for o in out {
-            match o {
+        for output in out {
+            match output {
                 Output::Connect(peer) => {
                     if let Some(&address) = self.addresses.get(&peer) {
                         self.spawn(self.clone().dial(peer, address));
