--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -1,11 +1,12 @@
-//! Hosts one sender for each instance and turns batches into turns. It decides nothing.
+//! Hosts one sender per instance and turns each batch of events into one turn. It decides nothing.
 
 use crate::wire::*;
 use notchpoint_policy::*;
 use std::collections::BTreeMap;
 use std::fmt::Write as _;
 
-struct Line {
+/// An entry of an endpoint list, with the names of the protocol.
+struct NamedEntry {
     zone: String,
     kind: String,
     phase: Phase,
@@ -13,27 +14,32 @@
     endpoint: String,
 }
 
+/// A sender and what is needed to translate its events and actions.
 struct Instance {
     sender: Sender,
     names: Names,
     addresses: BTreeMap<EndpointId, String>,
+    /// The events of the current batch.
     events: Vec<Event>,
+    /// The current batch names the instance.
     touched: bool,
 }
 
 impl Instance {
-    /// The number of an address: the same at every sender (FNV-1a), but for the rare clash.
+    /// Returns the id of an address, its FNV-1a hash, which is the same at every sender unless two hashes
+    /// collide.
     fn endpoint(&mut self, address: &str) -> EndpointId {
-        let fold = |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
-        let mut id = EndpointId(address.bytes().fold(0xcbf2_9ce4_8422_2325, fold));
+        let step = |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+        let mut id = EndpointId(address.bytes().fold(0xcbf2_9ce4_8422_2325, step));
         while self.addresses.entry(id).or_insert_with(|| address.to_owned()) != address {
             id.0 = id.0.wrapping_add(1);
         }
         id
     }
 
-    fn entries(&mut self, list: &[Line]) -> Read<Vec<ListEntry>> {
-        let one = |l: &Line| {
+    /// Translates the entries of a list.
+    fn entries(&mut self, list: &[NamedEntry]) -> Parsed<Vec<ListEntry>> {
+        let translate = |l: &NamedEntry| {
             Ok(ListEntry {
                 endpoint: self.endpoint(&l.endpoint),
                 dest: DestinationId(l.dest),
@@ -42,27 +48,30 @@
                 phase: l.phase,
             })
         };
-        list.iter().map(one).collect()
+        list.iter().map(translate).collect()
     }
 }
 
-/// All instances of this process.
+/// All instances of this process and the state of the protocol.
 #[derive(Default)]
 pub struct Host {
     clock: Micros,
+    /// The number of the batch that is being read.
     batch: Option<u64>,
     instances: BTreeMap<u32, Instance>,
-    lists: BTreeMap<u8, Vec<Line>>,
+    /// The endpoint lists that the simulator has defined, by number.
+    lists: BTreeMap<u8, Vec<NamedEntry>>,
+    /// The list that is being read, and the number of its missing entries.
     filling: Option<(u8, usize)>,
 }
 
 impl Host {
-    /// Takes one line; gives the reply when the line ends a batch.
-    pub fn line(&mut self, line: &str) -> Read<Option<String>> {
+    /// Processes one line and returns the reply if the line ends a batch.
+    pub fn process_line(&mut self, line: &str) -> Parsed<Option<String>> {
         let mut p = Parts::new(line);
         if let Some((list, left)) = self.filling {
             if p.name() != "ENTRY" {
-                return Err(Malformed(format!("an ENTRY line was due, not {}", p.name())));
+                return Err(Malformed(format!("expected an ENTRY line, found {}", p.name())));
             }
             let entry = entry(&mut p)?;
             self.lists.entry(list).or_default().push(entry);
@@ -71,9 +80,9 @@
         }
         match (p.name(), self.batch) {
             ("TURN", None) => {
-                let clock = p.seconds("clock", Round::Near)?;
+                let clock = p.seconds("clock", Round::Nearest)?;
                 if clock < self.clock {
-                    return Err(Malformed("the clock ran backwards".into()));
+                    return Err(Malformed("the clock went backwards".into()));
                 }
                 self.clock = clock;
                 self.batch = Some(p.number("batch")?);
@@ -99,7 +108,8 @@
         }
     }
 
-    fn event(&mut self, mut p: Parts) -> Read<()> {
+    /// Processes a line that is addressed to an instance.
+    fn event(&mut self, mut p: Parts) -> Parsed<()> {
         let name = p.name();
         if !EVENTS.contains(&name) {
             return Err(Malformed(format!("unknown message {name:?}")));
@@ -110,27 +120,28 @@
             let (settings, names) = settings(p.rest())?;
             let sender = Sender::new(settings, seed).map_err(|e| Malformed(e.to_string()))?;
             let addresses = BTreeMap::new();
-            let fresh = Instance { sender, names, addresses, events: vec![], touched: true };
-            self.instances.insert(i, fresh);
+            let instance = Instance { sender, names, addresses, events: vec![], touched: true };
+            self.instances.insert(i, instance);
             return Ok(());
         }
         if name == "KILL" {
             self.instances.remove(&i);
             return Ok(());
         }
-        let Some(inst) = self.instances.get_mut(&i) else {
-            return Err(Malformed(format!("{name} for instance {i}, which has not begun")));
+        let Some(instance) = self.instances.get_mut(&i) else {
+            return Err(Malformed(format!("{name} for instance {i}, which has not started")));
         };
-        inst.touched = true;
+        instance.touched = true;
         let event = match name {
             "WORK_ITEM" => {
                 let id = p.id("corr")?;
-                let class = position(&inst.names.classes, p.text("type")?, "class")?;
-                let tenant = p.maybe("userGroup")?.filter(|t| !inst.names.tenants.is_empty() && *t != "0");
-                let tenant = tenant.map(|t| position(&inst.names.tenants, t, "tenant")).transpose()?;
-                let key = p.maybe("key")?.map(Box::from);
+                let class = position(&instance.names.classes, p.text("type")?, "class")?;
+                let tenant =
+                    p.optional("userGroup")?.filter(|t| !instance.names.tenants.is_empty() && *t != "0");
+                let tenant = tenant.map(|t| position(&instance.names.tenants, t, "tenant")).transpose()?;
+                let key = p.optional("key")?.map(Box::from);
                 let expires_in = p.seconds("expiresInS", Round::Down)?;
-                p.maybe("workHintS")?;
+                p.optional("workHintS")?;
                 let dest = DestinationId(p.number("addresseeNo")?);
                 let bits: u32 = p.number("bitmap")?;
                 let is_retry = bits & (2 | 16) != 0;
@@ -139,10 +150,10 @@
             "REPORT_BACK" => {
                 let (id, is_final, reason) = (p.id("corr")?, p.flag("complete")?, p.text("reason")?);
                 p.text("endpoint")?;
-                let outcome = outcome(reason, p.maybe("holdMs")?)?;
+                let outcome = outcome(reason, p.optional("holdMs")?)?;
                 let attempt = p.number("try")?;
-                p.maybe("waitTimeS")?;
-                let allowance = allowance(p.maybe("report")?)?;
+                p.optional("waitTimeS")?;
+                let allowance = allowance(p.optional("report")?)?;
                 Event::Ended { id, attempt, outcome, is_final, allowance }
             }
             "GONE" => Event::Withdrawn(p.id("corr")?),
@@ -152,21 +163,21 @@
             }
             "INBOX" => {
                 let from = p.number("sender")?;
-                Event::Note { from, body: p.maybe("body")?.map_or(Ok(Vec::new()), unhex)? }
+                Event::Note { from, body: p.optional("body")?.map_or(Ok(Vec::new()), unhex)? }
             }
             "CHECK_RESULT" => {
                 let endpoint = p.text("endpoint")?;
-                let endpoint = inst.endpoint(endpoint);
+                let endpoint = instance.endpoint(endpoint);
                 Event::Probed { endpoint, outcome: outcome(p.text("reason")?, None)? }
             }
             "DIRECTORY_UPDATE" => {
                 let scope = p.text("scope")?;
-                p.maybe("version")?;
-                let buffer = p.maybe("buffer")?;
+                p.optional("version")?;
+                let buffer = p.optional("buffer")?;
                 let mut entries = || {
                     let known = buffer.and_then(|b| b.parse().ok()).and_then(|b: u8| self.lists.get(&b));
                     match known {
-                        Some(list) => inst.entries(list),
+                        Some(list) => instance.entries(list),
                         None => Err(Malformed(format!("no list number {}", buffer.unwrap_or("-")))),
                     }
                 };
@@ -178,29 +189,31 @@
                     other => return Err(Malformed(format!("unknown scope {other}"))),
                 })
             }
-            // Streams do not occur here; that one began changes nothing.
+            // Streams are not used here, so their start changes nothing.
             _ => return Ok(()),
         };
-        inst.events.push(event);
+        instance.events.push(event);
         Ok(())
     }
 
+    /// Runs one turn of each instance that the batch names, and returns their actions as text.
     fn reply(&mut self, batch: u64) -> String {
         let mut text = String::new();
         let mut actions = Vec::new();
-        for (i, inst) in &mut self.instances {
-            if !std::mem::take(&mut inst.touched) {
+        for (i, instance) in &mut self.instances {
+            if !std::mem::take(&mut instance.touched) {
                 continue;
             }
-            inst.sender.handle(self.clock, &inst.events, &mut actions);
-            inst.events.clear();
-            actions.drain(..).for_each(|a| write_action(&mut text, *i, &a, &inst.addresses));
+            instance.sender.handle(self.clock, &instance.events, &mut actions);
+            instance.events.clear();
+            actions.drain(..).for_each(|a| write_action(&mut text, *i, &a, &instance.addresses));
         }
         let _ = writeln!(text, "YIELD\t{batch}");
         text
     }
 }
 
+/// The names of the lines that are addressed to an instance.
 const EVENTS: [&str; 10] = [
     "BEGIN",
     "KILL",
@@ -214,38 +227,50 @@
     "STREAMING",
 ];
 
-fn entry(p: &mut Parts) -> Read<Line> {
-    let zone = p.maybe("regionPart")?.unwrap_or("").to_owned();
-    p.maybe("weight")?;
-    let kind = p.maybe("sku")?.unwrap_or("").to_owned();
+/// Reads an entry of an endpoint list.
+fn entry(p: &mut Parts) -> Parsed<NamedEntry> {
+    let zone = p.optional("regionPart")?.unwrap_or("").to_owned();
+    p.optional("weight")?;
+    let kind = p.optional("sku")?.unwrap_or("").to_owned();
     let phase = match p.text("phase")? {
         "live" => Phase::Live,
         "quiescing" => Phase::Draining,
         "dead" => Phase::Gone,
         other => return Err(Malformed(format!("unknown phase {other}"))),
     };
-    Ok(Line { zone, kind, phase, dest: p.number("ownerNo")?, endpoint: p.text("endpoint")?.to_owned() })
+    Ok(NamedEntry { zone, kind, phase, dest: p.number("ownerNo")?, endpoint: p.text("endpoint")?.to_owned() })
 }
 
+/// Appends an action to a reply.
 fn write_action(text: &mut String, i: u32, action: &Action, addresses: &BTreeMap<EndpointId, String>) {
     let address = |e: &EndpointId| addresses.get(e).map_or("-", String::as_str);
-    // Writing to a String does not fail.
+    // Writes to a `String` never fail.
     let _ = match action {
         Action::Send { id, endpoint, timeout, .. } => {
-            writeln!(text, "CALL_OUT\t{i}\t{:016x}\t{}\t{}", id.0, stamp(*timeout), address(endpoint))
+            writeln!(
+                text,
+                "CALL_OUT\t{i}\t{:016x}\t{}\t{}",
+                id.0,
+                format_seconds(*timeout),
+                address(endpoint)
+            )
         }
         Action::Cancel { id, attempt } => writeln!(text, "RETRACT\t{i}\t{:016x}\t{attempt}", id.0),
         Action::Refuse { id, retry_after } => {
-            writeln!(text, "OVERLOAD_REPLY\t{i}\t{:016x}\t{}", id.0, stamp(*retry_after))
+            writeln!(text, "OVERLOAD_REPLY\t{i}\t{:016x}\t{}", id.0, format_seconds(*retry_after))
         }
         Action::Fail { id } => writeln!(text, "LOSE\t{i}\t{:016x}", id.0),
-        Action::WakeAt(at) => writeln!(text, "AFTER\t{i}\t0\t{}", stamp(*at)),
+        Action::WakeAt(at) => writeln!(text, "AFTER\t{i}\t0\t{}", format_seconds(*at)),
         Action::Watch => writeln!(text, "TRACK\t{i}\t1"),
         Action::Fetch => writeln!(text, "RESOLVE\t{i}"),
         Action::Probe { endpoint } => writeln!(text, "POLL\t{i}\t{}", address(endpoint)),
         Action::Note { to, body } => {
-            let whom = to.map_or("all".to_owned(), |n| n.to_string());
-            writeln!(text, "POST\t{i}\t{whom}\t{}", if body.is_empty() { "-".to_owned() } else { hex(body) })
+            let receiver = to.map_or("all".to_owned(), |n| n.to_string());
+            writeln!(
+                text,
+                "POST\t{i}\t{receiver}\t{}",
+                if body.is_empty() { "-".to_owned() } else { hex(body) }
+            )
         }
         Action::CloseIdle { endpoint } => writeln!(text, "CLOSE_IDLE\t{i}\t{}", address(endpoint)),
         Action::Log(line) => writeln!(text, "DEBUG\t{i}\t{line}"),
@@ -261,7 +286,7 @@
         discovery=push\tfamilyInfo.slots=7\tkinds=k\tzones=z";
 
     fn feed(host: &mut Host, lines: &[&str]) -> Vec<String> {
-        lines.iter().filter_map(|l| host.line(l).unwrap_or_else(|e| panic!("{l}: {}", e.0))).collect()
+        lines.iter().filter_map(|l| host.process_line(l).unwrap_or_else(|e| panic!("{l}: {}", e.0))).collect()
     }
 
     #[test]
@@ -279,7 +304,7 @@
     }
 
     #[test]
-    fn a_killed_instance_says_nothing_more() {
+    fn a_killed_instance_takes_no_further_action() {
         let mut host = Host::default();
         feed(&mut host, &["TURN\t1\t1", BEGIN, "YOUR_TURN"]);
         let work = "WORK_ITEM\t3\t65c853ac5d3a91c4\ta\t-\t-\t6.0\t-\t57\t0";
@@ -287,8 +312,8 @@
     }
 
     #[test]
-    fn what_cannot_be_read_is_said_and_never_panics() {
-        for wrong in [
+    fn malformed_lines_are_reported_without_a_panic() {
+        for malformed in [
             "WHAT\t3",
             "",
             "WORK_ITEM\t3\tnot-hex\ta\t-\t-\t6.0\t-\t57\t0",
@@ -305,7 +330,7 @@
         ] {
             let mut host = Host::default();
             feed(&mut host, &["TURN\t1\t1", BEGIN]);
-            assert!(host.line(wrong).is_err(), "{wrong}");
+            assert!(host.process_line(malformed).is_err(), "{malformed}");
         }
     }
 }
--- a/crates/simhost/src/main.rs
+++ b/crates/simhost/src/main.rs
@@ -1,4 +1,5 @@
-//! Runs senders on the simulator's wire: batches on standard input, replies on standard output.
+//! Runs senders for a simulator: reads batches of events from standard input and writes replies to standard
+//! output.
 
 mod host;
 mod wire;
@@ -13,12 +14,12 @@
     let mut bytes = Vec::new();
     for number in 1u64.. {
         bytes.clear();
-        let said = match input.read_until(b'\n', &mut bytes) {
+        let line = match input.read_until(b'\n', &mut bytes) {
             Ok(0) => return ExitCode::SUCCESS,
             Ok(_) => std::str::from_utf8(&bytes).map_err(|e| wire::Malformed(e.to_string())),
             Err(e) => Err(wire::Malformed(e.to_string())),
         };
-        let reply = said.and_then(|line| host.line(line.trim_end_matches(['\n', '\r'])));
+        let reply = line.and_then(|line| host.process_line(line.trim_end_matches(['\n', '\r'])));
         match reply {
             Ok(None) => {}
             Ok(Some(text)) => {
@@ -26,8 +27,8 @@
                     return ExitCode::FAILURE;
                 }
             }
-            Err(wire::Malformed(why)) => {
-                eprintln!("line {number}: {why}");
+            Err(wire::Malformed(reason)) => {
+                eprintln!("line {number}: {reason}");
                 return ExitCode::FAILURE;
             }
         }
