--- a/crates/limits/src/latency.rs
+++ b/crates/limits/src/latency.rs
@@ -1,18 +1,18 @@
-//! The usual latency of a partner's answers.
+//! An estimator of the latency of a destination's answers.
 
 use crate::Micros;
 use serde::{Deserialize, Serialize};
 
-/// Smoothed latency, its mean deviation, and the best it has been of late.
+/// The smoothed latency, its mean deviation, and its recent minimum.
 ///
-/// Smoothing and the bound on what is usual are those of a retransmission timer (RFC 6298, section 2: gains
-/// of 1/8 and 1/4, and four deviations).
+/// The smoothing and the upper bound are those of a retransmission timer (RFC 6298, section 2: gains of 1/8
+/// and 1/4, and four deviations).
 ///
 /// ```
-/// let mut l = notchpoint_limits::Latency::default();
-/// assert_eq!(l.upper_bound(1_000_000), 1_000_000.0); // nothing is known: what is wanted
-/// (0..100).for_each(|_| l.observe(20_000));
-/// assert!((l.upper_bound(1_000_000) - 20_000.0).abs() < 1.0);
+/// let mut latency = notchpoint_limits::Latency::default();
+/// assert_eq!(latency.upper_bound(1_000_000), 1_000_000.0); // the default, without any answer
+/// (0..100).for_each(|_| latency.observe(20_000));
+/// assert!((latency.upper_bound(1_000_000) - 20_000.0).abs() < 1.0);
 /// ```
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Latency {
@@ -22,37 +22,37 @@
 }
 
 impl Latency {
-    /// An answer took so long.
-    pub fn observe(&mut self, took: Micros) {
-        let x = took as f64;
+    /// Records the latency of an answer.
+    pub fn observe(&mut self, latency: Micros) {
+        let latency = latency as f64;
         if self.smoothed == 0.0 {
-            (self.smoothed, self.deviation, self.best) = (x, x / 2.0, x);
+            (self.smoothed, self.deviation, self.best) = (latency, latency / 2.0, latency);
         } else {
-            self.deviation += ((x - self.smoothed).abs() - self.deviation) / 4.0;
-            self.smoothed += (x - self.smoothed) / 8.0;
-            // It rises slowly with the smoothed latency, so that a partner that moved away is not slow for
-            // ever.
+            self.deviation += ((latency - self.smoothed).abs() - self.deviation) / 4.0;
+            self.smoothed += (latency - self.smoothed) / 8.0;
+            // The minimum rises slowly with the smoothed latency, so that a destination that has moved
+            // further away does not count as slow for ever.
             self.best = (self.best + (self.smoothed - self.best).max(0.0) / 256.0).min(self.smoothed);
         }
     }
 
-    /// The slowest answer that is still usual; `unknown` while there was none.
-    pub fn upper_bound(&self, unknown: Micros) -> f64 {
-        if self.smoothed == 0.0 { unknown as f64 } else { self.smoothed + 4.0 * self.deviation }
+    /// Returns the longest latency that is still usual, or `default` before the first answer.
+    pub fn upper_bound(&self, default: Micros) -> f64 {
+        if self.smoothed == 0.0 { default as f64 } else { self.smoothed + 4.0 * self.deviation }
     }
 
-    /// What an answer takes on average; `unknown` while there was none.
-    pub fn mean(&self, unknown: Micros) -> f64 {
-        if self.smoothed > 0.0 { self.smoothed } else { unknown as f64 }
+    /// Returns the smoothed latency, or `default` before the first answer.
+    pub fn mean(&self, default: Micros) -> f64 {
+        if self.smoothed > 0.0 { self.smoothed } else { default as f64 }
     }
 
-    /// The smoothed latency at its best; 0 while nothing is known.
+    /// Returns the recent minimum of the smoothed latency; 0 before the first answer.
     pub fn best(&self) -> f64 {
         self.best
     }
 
-    /// It answers so many times slower than at its best.
-    pub fn is_slow(&self, times: f64) -> bool {
-        self.smoothed > times * self.best
+    /// Returns whether the smoothed latency exceeds `factor` times its minimum.
+    pub fn is_slow(&self, factor: f64) -> bool {
+        self.smoothed > factor * self.best
     }
 }
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -1,34 +1,34 @@
-//! Estimators that the decision module consults: what is learned of a partner from how calls to it end.
-//! They do no I/O, have no clock, and decide nothing: what follows from an estimate stands with the
-//! decisions.
+//! Estimators that the decision module uses: what the ends of calls show about a destination. They do no
+//! I/O, have no clock and decide nothing; the decision module acts on the estimates.
 //!
-//! - [`Latency`]: the usual latency and its spread, after RFC 6298.
-//! - [`Rate`]: the rate that a partner admits, and the pace that follows.
-//! - [`Breaks`]: whether a reset or failed connection is chance, or says something of the partner.
+//! - [`Latency`]: the smoothed latency and its deviation, after RFC 6298.
+//! - [`AdaptiveRate`]: the rate that a destination admits, and the pacing of calls under it.
+//! - [`ConnectionFailures`]: whether a reset or failed connection is random or a sign of the destination's
+//!   state.
 //!
-//! Times are microseconds; the zero of the clock is the caller's.
+//! Times are in microseconds. The caller defines the zero of the clock.
 #![warn(missing_docs)]
 
-mod breaks;
+mod connection_failures;
 mod latency;
 mod rate;
 
-pub use breaks::{Breaks, Says};
+pub use connection_failures::{ConnectionFailures, FailureCause};
 pub use latency::Latency;
-pub use rate::Rate;
+pub use rate::AdaptiveRate;
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
 
-/// Which text of the estimators this is: recordings name it, since decisions rest on them (FNV-1a).
+/// Identifies the source text of the estimators (FNV-1a). Recordings carry it, since decisions depend on it.
 pub const FINGERPRINT: u64 = {
-    let h = fold(0xcbf2_9ce4_8422_2325, include_bytes!("breaks.rs"));
-    let h = fold(h, include_bytes!("latency.rs"));
-    fold(h, include_bytes!("rate.rs"))
+    let h = fnv1a(0xcbf2_9ce4_8422_2325, include_bytes!("connection_failures.rs"));
+    let h = fnv1a(h, include_bytes!("latency.rs"));
+    fnv1a(h, include_bytes!("rate.rs"))
 };
 
-/// Folds a text into such a number.
-pub const fn fold(mut h: u64, text: &[u8]) -> u64 {
+/// Continues an FNV-1a hash with a text.
+pub const fn fnv1a(mut h: u64, text: &[u8]) -> u64 {
     let mut n = 0;
     while n < text.len() {
         h = (h ^ text[n] as u64).wrapping_mul(0x0100_0000_01b3);
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -1,116 +1,124 @@
-//! What the end of a call says of its messages, its route and its endpoint.
+//! Processing of outcomes: what the end of a call means for its messages, its route and its endpoint.
 
 use super::*;
 
 impl Sender {
-    pub(super) fn ended(
+    /// Records the end of an attempt, and queues its message again or ends it.
+    pub(super) fn end_attempt(
         &mut self,
         id: MessageId,
         attempt: u32,
         outcome: Outcome,
         is_final: bool,
-        told: Option<Allowance>,
+        allowance: Option<Allowance>,
     ) {
         let now = self.now;
         let Some(h) = self.held.get_mut(&id) else { return };
-        let Some(slot) = h.attempts.get_mut(attempt as usize) else { return };
-        let call_id = std::mem::replace(slot, u64::MAX);
-        let Some(call) = self.calls.get_mut(&call_id) else { return };
-        h.out -= 1;
-        // Reset sooner than any answer ever came, on a connection that had been idle: nobody was there. That
-        // tells how long connections live, and nothing of load or health.
+        let Some(call_number) = h.attempts.get_mut(attempt as usize) else { return };
+        let number = std::mem::replace(call_number, u64::MAX);
+        let Some(call) = self.calls.get_mut(&number) else { return };
+        h.in_flight -= 1;
+        // A reset in less than half the best latency, on a connection that had been idle: the endpoint had
+        // closed it. That shows how long connections live and is no sign of load or health.
         let latency = self.routes.get(&call.route).map(|r| r.latency).unwrap_or_default();
-        let (best, usual) = (latency.best(), latency.upper_bound(0));
-        let stale = outcome == Reset && call.idle > 0 && ((now - call.sent) as f64) < best / 2.0;
-        if let Some(d) = self.dests.get_mut(&call.route.0).filter(|_| stale && call.idle >= CROSSING) {
-            let safe = d.trusted(now).min((call.idle as f64 * IDLE_SHARE) as Micros);
-            d.idle_safe = (safe, now + FORGET);
+        let (best, bound) = (latency.best(), latency.upper_bound(0));
+        let was_dropped = outcome == Reset && call.idle > 0 && ((now - call.sent) as f64) < best / 2.0;
+        if let Some(d) =
+            self.dests.get_mut(&call.route.0).filter(|_| was_dropped && call.idle >= MIN_LEARNED_IDLE)
+        {
+            let max_idle = d.max_idle(now).min((call.idle as f64 * TRUSTED_IDLE_SHARE) as Micros);
+            d.trusted_idle = (max_idle, now + FORGET_AFTER);
         }
-        if let Some(r) = self.routes.get_mut(&call.route).filter(|_| !call.judged && !stale) {
+        if let Some(r) = self.routes.get_mut(&call.route).filter(|_| !call.evaluated && !was_dropped) {
             match outcome {
-                Reset | ConnectFailed => call.chance = r.breaks.broke() == Says::Chance,
+                Reset | ConnectFailed => {
+                    call.random_failure = r.connection_failures.record_failure() == FailureCause::Random
+                }
                 Served | Failed | Full { .. } | Spoilt => {
-                    r.breaks.answered();
-                    r.rate.answered(now, call.sent, matches!(outcome, Full { .. }));
+                    r.connection_failures.record_answer();
+                    r.rate.record_answer(now, call.sent, matches!(outcome, Full { .. }));
                 }
                 TimedOut | Cancelled | Moot | NotSent => {}
             }
         }
-        // It had less time than usual answers take: that it ran out says nothing of load or health.
-        let short = outcome == TimedOut && ((now - call.sent) as f64) < usual;
-        let broken = matches!(outcome, Reset | ConnectFailed) && !stale && !call.chance;
-        let congestion = broken || matches!(outcome, Full { .. }) || outcome == TimedOut && !short;
-        // Overload would have held back also what was sent later; what one crash breaks was cut for once.
-        let known = self.routes.get(&call.route).and_then(|r| r.last_cut).is_some_and(|t| call.sent < t);
-        let cut = congestion && !h.congested && !call.cut && !call.lost && (!broken || !known);
+        // The call had less time than answers usually take, so its time-out is no sign of load or health.
+        let too_short = outcome == TimedOut && ((now - call.sent) as f64) < bound;
+        let broke = matches!(outcome, Reset | ConnectFailed) && !was_dropped && !call.random_failure;
+        let congestion = broke || matches!(outcome, Full { .. }) || outcome == TimedOut && !too_short;
+        // Overload would have delayed later calls, too, so a lost call cuts nothing. All calls that one crash
+        // breaks cut the window once.
+        let was_cut = self.routes.get(&call.route).and_then(|r| r.last_cut).is_some_and(|t| call.sent < t);
+        let cuts = congestion && !h.congested && !call.has_cut && !call.lost && (!broke || !was_cut);
         h.congested |= congestion;
-        call.cut |= cut;
+        call.has_cut |= cuts;
         if matches!(outcome, Failed | Spoilt | TimedOut | Reset | Cancelled) {
             let run = (call.sent, call.endpoint);
             h.ran_at = Some(h.ran_at.map_or(run, |r| if r.0 <= run.0 { r } else { run }));
         }
         if matches!(outcome, Failed | ConnectFailed) {
-            h.not_before = now + (AGAIN << h.tries().min(4));
+            h.not_before = now + (MESSAGE_BACKOFF << h.attempt_count().min(4));
         }
         h.unsent += u32::from(outcome == NotSent);
         if matches!(outcome, TimedOut | Reset | Cancelled)
             && let Some(k) = h.key.as_ref().and_then(|k| self.keys.get_mut(k))
         {
-            k.1 = k.1.max(now + self.set.key_rest);
+            k.1 = k.1.max(now + self.settings.key_rest);
         }
-        let (ended, class, mut room) = (*call, h.class, false);
-        call.judged = true;
+        let (ended, class, mut was_full) = (*call, h.class, false);
+        call.evaluated = true;
         call.open -= 1;
         if call.open == 0 {
-            self.calls.remove(&call_id);
-            self.late.end(&ended, outcome);
+            self.calls.remove(&number);
+            self.life_table.record_end(&ended, outcome);
             self.routes.entry(ended.route).and_modify(|r| {
-                r.late.end(&ended, outcome);
-                (r.out, r.lost) = (r.out - 1, r.lost - u32::from(ended.lost));
+                r.life_table.record_end(&ended, outcome);
+                (r.in_flight, r.lost) = (r.in_flight - 1, r.lost - u32::from(ended.lost));
             });
             if let Some(e) = self.endpoints.get_mut(&ended.endpoint) {
-                (e.out, e.unheard) = (e.out - 1, e.unheard - ended.unheard);
-                // Turned away at the door at once, and served soon after or with no word of an outage: a full
-                // table. A destination that was down refused all for as long as that.
-                let known = |r: &Route| matches!(r.health, Health::Open { failed: true, .. });
-                let quiet = |r: &Route| !known(r) && r.heard.is_none();
-                let sound = self.routes.get(&ended.route).is_some_and(quiet);
-                let up = e.answered > 0 && (sound || now < e.answered + OUTAGE_LEAST);
-                room = outcome == Served && e.no_room > e.answered && up;
-                if outcome == ConnectFailed && up && now - ended.sent < self.set.connect_timeout / 4 {
-                    e.no_room = now;
+                (e.in_flight, e.unproven) = (e.in_flight - 1, e.unproven - ended.unproven);
+                // A connection is refused at once, and a later call is served soon or without a sign of an
+                // outage: the endpoint's connection table was full. In an outage it refuses all connections
+                // meanwhile.
+                let in_outage = |r: &Route| matches!(r.breaker, Breaker::Open { failed: true, .. });
+                let no_outage = |r: &Route| !in_outage(r) && r.outage_report.is_none();
+                let is_sound = self.routes.get(&ended.route).is_some_and(no_outage);
+                let is_up = e.last_answer > 0 && (is_sound || now < e.last_answer + MIN_OUTAGE);
+                was_full = outcome == Served && e.refused_at > e.last_answer && is_up;
+                if outcome == ConnectFailed && is_up && now - ended.sent < self.settings.connect_timeout / 4 {
+                    e.refused_at = now;
                 }
                 if matches!(outcome, Served | Failed | Full { .. } | Spoilt) {
-                    e.answered = now;
-                    if std::mem::take(&mut e.unheard) > 0 {
-                        let others = self.calls.values_mut().filter(|c| c.endpoint == ended.endpoint);
-                        others.for_each(|c| c.unheard = 0);
+                    e.last_answer = now;
+                    if std::mem::take(&mut e.unproven) > 0 {
+                        let other_calls = self.calls.values_mut().filter(|c| c.endpoint == ended.endpoint);
+                        other_calls.for_each(|c| c.unproven = 0);
                     }
                 }
-                if room {
-                    self.scarce[e.kind] = now + FORGET;
+                if was_full {
+                    self.scarce_until[e.kind] = now + FORGET_AFTER;
                 }
                 if matches!(outcome, Served | Failed | Full { .. }) {
-                    if !self.set.connections_reported {
-                        e.idle.push(now);
+                    if !self.settings.connections_reported {
+                        e.idle_since.push(now);
                     }
-                    // A connection that would lie idle until it closes may be the one that another sender
-                    // cannot get: hundreds of senders fill what an endpoint accepts. Costs handshakes.
-                    if now < self.scarce[e.kind] && e.gap > self.set.conn_idle / 8 {
-                        e.idle.clear();
-                        self.out.push(Action::CloseIdle { endpoint: ended.endpoint });
+                    // A connection that would stay idle until it closes may be the one that another sender
+                    // cannot open: hundreds of senders fill an endpoint's connection table. This costs
+                    // handshakes.
+                    if now < self.scarce_until[e.kind] && e.use_gap > self.settings.conn_idle / 8 {
+                        e.idle_since.clear();
+                        self.actions.push(Action::CloseIdle { endpoint: ended.endpoint });
                     }
                 }
             }
         }
-        let said = if stale || short { Spoilt } else { outcome };
-        self.judge(call_id, Call { cut, ..ended }, class, said, told);
-        if room {
-            self.tell(ended.route, Word::Scarce);
+        let effective = if was_dropped || too_short { Spoilt } else { outcome };
+        self.apply_outcome(number, Call { has_cut: cuts, ..ended }, class, effective, allowance);
+        if was_full {
+            self.send_note(ended.route, Report::Scarce);
         }
         let h = &self.held[&id];
-        let again = self.may(h).0 && now < self.answer_by(h);
-        match (is_final || outcome == Served || h.done, h.out, again) {
+        let can_retry = self.permitted(h).0 && now < self.give_up_at(h);
+        match (is_final || outcome == Served || h.done, h.in_flight, can_retry) {
             (true, ..) => self.finish(id),
             (_, 0, true) => {
                 self.enqueue(h.dest, id);
@@ -120,116 +128,125 @@
         }
     }
 
-    /// How long to rest after a refusal: the less a sender has for a destination, the more senders share it,
-    /// and their tries add up.
-    pub(super) fn rest_span(&self, route: RouteId) -> Micros {
-        let flow = self.dests.get(&route.0).map_or(0.0, |d| d.flow(self.now)).max(f64::MIN_POSITIVE);
-        let most = REST_MOST.min(REST * u64::from(self.set.senders) / 4).max(REST);
-        ((SEC as f64 * REST_FLOW / flow) as Micros).clamp(REST, most)
+    /// Returns the backoff after a refusal. The fewer messages this sender has for a destination, the more
+    /// senders share it and add up their retries, and the longer is the backoff.
+    pub(super) fn refusal_backoff(&self, route: RouteId) -> Micros {
+        let rate = self.dests.get(&route.0).map_or(0.0, |d| d.arrival_rate(self.now)).max(f64::MIN_POSITIVE);
+        let max = MAX_BACKOFF.min(MIN_BACKOFF * u64::from(self.settings.senders) / 4).max(MIN_BACKOFF);
+        ((SEC as f64 * BACKOFF_SHARE / rate) as Micros).clamp(MIN_BACKOFF, max)
     }
 
-    /// What a call's end says of its destination and endpoint.
-    pub(super) fn judge(
+    /// Applies the outcome of a call to its route and its endpoint.
+    pub(super) fn apply_outcome(
         &mut self,
-        id: u64,
+        number: u64,
         call: Call,
         class: usize,
         outcome: Outcome,
-        told: Option<Allowance>,
+        allowance: Option<Allowance>,
     ) {
         let (now, route, sent) = (self.now, call.route, call.sent);
-        let span = self.rest_span(route);
-        let (rest, trial_wait) = (self.jitter(span), self.jitter(TRIAL_WAIT));
-        let local_rest = if outcome == NotSent { self.jitter(LOCAL_REST) } else { 0 };
-        let ceiling = self.ceiling(route.0);
-        let flow = self.dests.get(&route.0).map_or(0.0, |d| d.flow(now));
-        let alone = self.dests.get(&route.0).is_none_or(|d| d.per_endpoint || d.endpoints.len() < 2);
+        let backoff = self.refusal_backoff(route);
+        let (backoff, probe_wait) = (self.jitter(backoff), self.jitter(PROBE_WAIT));
+        let local_backoff = if outcome == NotSent { self.jitter(LOCAL_BACKOFF) } else { 0 };
+        let limit = self.slot_limit(route.0);
+        let rate = self.dests.get(&route.0).map_or(0.0, |d| d.arrival_rate(now));
+        let is_only = self.dests.get(&route.0).is_none_or(|d| d.per_endpoint || d.endpoints.len() < 2);
         let Some(r) = self.routes.get_mut(&route) else { return };
         let Some(e) = self.endpoints.get_mut(&call.endpoint) else { return };
-        let was_trial = matches!(r.health, Health::Open { trial: Some(t), .. } if t == id);
-        let was_open = matches!(r.health, Health::Open { .. });
-        // At its floor nothing can be cut, and the cooldown is not renewed.
-        if call.cut && r.window > FLOOR {
-            (r.window, r.last_cut, r.cut_by) = ((r.window * CUT).max(FLOOR), Some(now), Some(outcome));
-        }
-        let resting = now < r.rest_until;
-        let mut news = None;
-        // Every message of a bundle may bring a wait, also behind one that timed out earlier.
+        let was_probe = matches!(r.breaker, Breaker::Open { probe: Some(t), .. } if t == number);
+        let was_open = matches!(r.breaker, Breaker::Open { .. });
+        // At the floor the window is not cut and the cooldown does not restart.
+        if call.has_cut && r.window > MIN_WINDOW {
+            (r.window, r.last_cut, r.cut_by) =
+                ((r.window * WINDOW_CUT).max(MIN_WINDOW), Some(now), Some(outcome));
+        }
+        let was_paused = now < r.paused_until;
+        let mut wait_report = None;
+        // Every message of a bundle may carry a wait, even after one of them timed out.
         if let Full { wait: Some(w) } = outcome {
-            let end = now + w.min(FAR);
-            r.rest_until = r.rest_until.max(end + rest / 4);
-            r.told_until = r.rest_until;
-            // Else each sender must be refused to learn of it, and refused calls may use up the limit.
-            if end > r.wait_known + REST && w >= REST {
-                news = Some(Word::Wait((w / MS).try_into().unwrap_or(u32::MAX)));
+            let end = now + w.min(MAX_TIME);
+            r.paused_until = r.paused_until.max(end + backoff / 4);
+            r.wait_until = r.paused_until;
+            // Otherwise each sender would learn of it only by a refusal, and refused calls may use up the
+            // limit.
+            if end > r.known_wait_until + MIN_BACKOFF && w >= MIN_BACKOFF {
+                wait_report = Some(Report::Wait((w / MS).try_into().unwrap_or(u32::MAX)));
             }
-            r.wait_known = r.wait_known.max(end);
+            r.known_wait_until = r.known_wait_until.max(end);
         }
-        if call.judged {
+        if call.evaluated {
             return;
         }
-        let mut open = None;
+        let mut opened_by = None;
         match outcome {
             Served => {
-                e.rests.retain(|c, _| c.is_some_and(|c| c != class));
-                // It was the message that was slow, not the connection that was gone.
-                self.idle_safe.1 *= Micros::from(call.idle < FAR);
-                let low = told.is_some_and(|a| a.left < LOW_ALLOWANCE && a.limit > 0.0);
-                r.served(now, now.saturating_sub(sent), low, ceiling, r.refill(&self.set, now, flow));
+                e.backoffs.retain(|c, _| c.is_some_and(|c| c != class));
+                // The message was slow; the connection had not been dropped.
+                self.trusted_idle.1 *= Micros::from(call.idle < MAX_TIME);
+                let is_low = allowance.is_some_and(|a| a.left < LOW_ALLOWANCE && a.limit > 0.0);
+                r.record_served(
+                    now,
+                    now.saturating_sub(sent),
+                    is_low,
+                    limit,
+                    r.credit_rate(&self.settings, now, rate),
+                );
             }
             Failed => {
                 r.errors += 1;
-                e.fail(Some(class), now, ERRORS_REST);
-                open = (was_trial || r.errors >= ERRORS_OPEN).then_some("errors");
+                e.record_failure(Some(class), now, CLASS_ERRORS);
+                opened_by = (was_probe || r.errors >= OPEN_ERRORS).then_some("errors");
             }
             Full { wait } => {
-                if !resting && r.fulls >= DROWNED {
-                    r.slow_down(now, CUT);
+                if !was_paused && r.refusals >= OVERWHELMED_REFUSALS {
+                    r.slow_down(now, WINDOW_CUT);
                 }
                 if wait.is_none() {
-                    r.rest_until = r.rest_until.max(now + rest);
+                    r.paused_until = r.paused_until.max(now + backoff);
                 }
-                r.fulls += 1;
-                open = was_trial.then_some("refuses all");
+                r.refusals += 1;
+                opened_by = was_probe.then_some("a probe was refused");
             }
             TimedOut | Reset | ConnectFailed => {
-                e.idle.retain(|_| self.set.connections_reported);
-                // A lost call's endpoint rests since it was overdue.
+                e.idle_since.retain(|_| self.settings.connections_reported);
+                // The endpoint of a lost call has been in backoff since the call was overdue.
                 if !call.lost {
-                    e.fail(None, now, if alone { u32::MAX } else { 1 });
+                    e.record_failure(None, now, if is_only { u32::MAX } else { 1 });
                 }
-                // Served since it was sent: slow or one endpoint's trouble, no outage of the route.
-                let bad = r.last_ok <= sent;
-                r.fails += u32::from(bad);
-                r.failed_at = now;
-                let weak = r.fails >= FAILS_OPEN || !matches!(r.health, Health::Closed);
-                open = (bad && weak).then_some("calls fail");
+                // If a call sent later was served, the call was slow or its endpoint failed; the route did
+                // not.
+                let is_failure = r.last_served <= sent;
+                r.failures += u32::from(is_failure);
+                r.last_failure = now;
+                let opens = r.failures >= OPEN_FAILURES || !matches!(r.breaker, Breaker::Closed);
+                opened_by = (is_failure && opens).then_some("failed calls");
             }
-            NotSent => r.rest_until = r.rest_until.max(now + local_rest),
+            NotSent => r.paused_until = r.paused_until.max(now + local_backoff),
             Spoilt | Cancelled | Moot => {}
         }
-        match (&mut r.health, open) {
-            (Health::Open { failed, .. }, Some(_)) if !was_trial => *failed = true,
-            (Health::Open { trial, .. }, None) if was_trial => *trial = None,
-            (_, Some(_)) => r.open(now, true, trial_wait),
+        match (&mut r.breaker, opened_by) {
+            (Breaker::Open { failed, .. }, Some(_)) if !was_probe => *failed = true,
+            (Breaker::Open { probe, .. }, None) if was_probe => *probe = None,
+            (_, Some(_)) => r.open_breaker(now, true, probe_wait),
             _ => {}
         }
-        let (noted, drowned) = (r.heard.is_some(), r.fulls >= DROWNED);
-        match (outcome, open) {
-            (Served, _) => r.heard = None,
-            (_, Some(why)) if !was_open => {
-                self.log(route.0, &format!("held back: {why}"));
-                self.tell(route, Word::Down);
+        let (was_reported, is_overwhelmed) = (r.outage_report.is_some(), r.refusals >= OVERWHELMED_REFUSALS);
+        match (outcome, opened_by) {
+            (Served, _) => r.outage_report = None,
+            (_, Some(reason)) if !was_open => {
+                self.log(route.0, &format!("paused: {reason}"));
+                self.send_note(route, Report::Down);
             }
-            (Full { .. }, _) if drowned => self.tell(route, Word::Full),
+            (Full { .. }, _) if is_overwhelmed => self.send_note(route, Report::Full),
             _ => {}
         }
-        if let Some(word) = news {
-            self.tell(route, word);
+        if let Some(report) = wait_report {
+            self.send_note(route, report);
         }
-        if outcome == Served && (was_open || noted) {
+        if outcome == Served && (was_open || was_reported) {
             self.log(route.0, "answers again");
-            self.tell(route, Word::Up);
+            self.send_note(route, Report::Up);
         }
     }
 }
--- a/crates/policy/src/choice/tests.rs
+++ b/crates/policy/src/choice/tests.rs
@@ -1,4 +1,4 @@
-//! What can only be seen from inside.
+//! Tests that need access to private state.
 
 use super::*;
 
@@ -46,9 +46,9 @@
 }
 
 #[test]
-fn destinations_that_come_and_go_leave_nothing_behind() {
+fn destinations_that_leave_the_list_are_dropped_after_a_while() {
     // Guards against memory that grows for as long as the process runs.
-    let mut sender = Sender::new(settings(), 1).expect("sound");
+    let mut sender = Sender::new(settings(), 1).expect("valid settings");
     let (mut now, mut out) = (0, Vec::new());
     for n in 0..200u64 {
         now += SEC;
@@ -64,22 +64,22 @@
         sender.handle(now + MS, &[ended, list(gone)], &mut out);
     }
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 200);
-    let most = (FORGET / SEC) as usize + 2;
-    let kept = [sender.dests.len(), sender.routes.len(), sender.endpoints.len(), sender.held.len()];
-    assert!(kept.iter().all(|&n| n <= most), "{kept:?}");
+    let limit = (FORGET_AFTER / SEC) as usize + 2;
+    let counts = [sender.dests.len(), sender.routes.len(), sender.endpoints.len(), sender.held.len()];
+    assert!(counts.iter().all(|&n| n <= limit), "{counts:?}");
 }
 
-/// One sender whose list, messages and calls change at random.
-struct Churn {
+/// A sender whose list, messages and calls change at random.
+struct RandomWorld {
     sender: Sender,
     random: fastrand::Rng,
     now: Micros,
     next: u64,
-    out: Vec<(MessageId, u32)>,
+    in_flight: Vec<(MessageId, u32)>,
     attempts: BTreeMap<MessageId, u32>,
 }
 
-impl Churn {
+impl RandomWorld {
     fn entry(&mut self) -> ListEntry {
         let endpoint = self.random.u64(..12);
         let phase = [Phase::Live, Phase::Live, Phase::Draining, Phase::Gone][self.random.usize(..4)];
@@ -95,7 +95,7 @@
             3 => Event::List(ListUpdate::Whole((0..self.random.usize(..9)).map(|_| self.entry()).collect())),
             4..=6 => {
                 self.next += 1;
-                // Some go to a destination that no list names.
+                // Some messages go to a destination that no list names.
                 let (id, dest) = (MessageId(self.next), DestinationId(self.random.u64(..8)));
                 let expires_in = 20 * SEC;
                 Event::Taken(Message {
@@ -108,8 +108,8 @@
                     expires_in,
                 })
             }
-            7..=8 if !self.out.is_empty() => {
-                let (id, attempt) = self.out.swap_remove(self.random.usize(..self.out.len()));
+            7..=8 if !self.in_flight.is_empty() => {
+                let (id, attempt) = self.in_flight.swap_remove(self.random.usize(..self.in_flight.len()));
                 let outcome = [Served, Full { wait: None }, TimedOut, ConnectFailed][self.random.usize(..4)];
                 Event::Ended { id, attempt, outcome, is_final: outcome == Served, allowance: None }
             }
@@ -122,49 +122,51 @@
     }
 
     fn step(&mut self) {
-        let spans = [5 * MS, 100 * MS, 5 * SEC, 70 * SEC];
-        self.now += spans[self.random.usize(..spans.len())];
+        let durations = [5 * MS, 100 * MS, 5 * SEC, 70 * SEC];
+        self.now += durations[self.random.usize(..durations.len())];
         let (event, mut actions) = (self.event(), Vec::new());
-        // What falls due goes first, so that nothing else changes with the list.
+        // Due work is done first, so that only the list changes in the second turn.
         self.sender.handle(self.now, &[Event::Wake], &mut actions);
         self.sender.handle(self.now, event.as_slice(), &mut actions);
         for action in actions {
             if let Action::Send { id, .. } = action {
-                let made = self.attempts.entry(id).or_default();
-                self.out.push((id, *made));
-                *made += 1;
+                let count = self.attempts.entry(id).or_default();
+                self.in_flight.push((id, *count));
+                *count += 1;
             }
         }
         self.check(matches!(event, Some(Event::List(_))));
     }
 
-    /// What is kept of the unlisted is all of it, as a look at everything finds it.
-    fn check(&self, listed: bool) {
+    /// Compares `unlisted` with a search of the whole state.
+    fn check(&self, list_changed: bool) {
         let Sender { endpoints, dests, routes, unlisted, queued, .. } = &self.sender;
         let gone: BTreeSet<EndpointId> =
             endpoints.iter().filter(|(_, e)| !e.listed).map(|(&id, _)| id).collect();
         assert_eq!(unlisted.endpoints, gone);
         for (id, d) in dests.iter().filter(|(_, d)| d.endpoints.is_empty()) {
             assert!(unlisted.dests.contains(id), "{id:?}");
-            let left = !d.queue.is_empty() || queued.contains(id) || d.rate_at + FORGET > self.now;
-            assert!(!listed || left, "{id:?} is kept for nothing");
+            let is_in_use =
+                !d.queue.is_empty() || queued.contains(id) || d.rate_updated + FORGET_AFTER > self.now;
+            assert!(!list_changed || is_in_use, "{id:?} is kept without need");
         }
         for (route, r) in routes {
-            let named = route.1.map_or_else(|| dests.contains_key(&route.0), |e| endpoints.contains_key(&e));
-            assert!(named || unlisted.routes.contains(route), "{route:?}");
-            let left = r.out > 0 || r.last_ok.max(r.rest_until) + FORGET > self.now;
-            assert!(!listed || named || left, "{route:?} is kept for nothing");
+            let is_known =
+                route.1.map_or_else(|| dests.contains_key(&route.0), |e| endpoints.contains_key(&e));
+            assert!(is_known || unlisted.routes.contains(route), "{route:?}");
+            let is_in_use = r.in_flight > 0 || r.last_served.max(r.paused_until) + FORGET_AFTER > self.now;
+            assert!(!list_changed || is_known || is_in_use, "{route:?} is kept without need");
         }
     }
 }
 
 #[test]
-fn what_the_list_names_no_more_is_found_without_a_look_at_everything() {
+fn unlisted_items_match_a_search_of_the_whole_state() {
     for seed in 0..100 {
-        let sender = Sender::new(settings(), seed).expect("sound");
+        let sender = Sender::new(settings(), seed).expect("valid settings");
         let random = fastrand::Rng::with_seed(seed);
-        let (out, attempts) = Default::default();
-        let mut churn = Churn { sender, random, now: 1 << 40, next: 0, out, attempts };
-        (0..300).for_each(|_| churn.step());
+        let (in_flight, attempts) = Default::default();
+        let mut world = RandomWorld { sender, random, now: 1 << 40, next: 0, in_flight, attempts };
+        (0..300).for_each(|_| world.step());
     }
 }
--- a/crates/policy/src/choice/unproven.rs
+++ b/crates/policy/src/choice/unproven.rs
@@ -1,76 +1,78 @@
-//! Connections that have not carried an answer: what may be written to one.
+//! Limits on at-most-once messages on unproven connections, which have not carried an answer yet.
 //!
-//! A new connection may be silent for good. What must not be repeated is lost to its client with it, since it
-//! may have run, with or without a restart: so few of such messages go out on new connections of an endpoint
-//! until that has answered. What may be repeated goes with them, and finds out.
+//! A new connection may stay silent for ever. An at-most-once message on it may have run, so it is lost to
+//! its client, with or without a restart. Therefore few such messages are sent on new connections to an
+//! endpoint until it has answered. Repeatable messages are sent as usual and show whether it does.
 
 use super::*;
 
-/// So many messages that must not be repeated may be out on new connections of an endpoint that has not
-/// answered since: of one that answered lately, and of any other.
-const UNHEARD_KNOWN: u32 = 4;
-const UNHEARD_OTHER: u32 = 1;
+/// The most at-most-once messages in flight on new connections to an endpoint that has not answered since:
+/// for an endpoint that answered recently, and for any other.
+const UNPROVEN_RECENT: u32 = 4;
+const UNPROVEN_OTHER: u32 = 1;
 
 impl Sender {
-    /// Whether a call there would try whether its route, or zone, serves again.
-    pub(super) fn is_trial(&self, id: EndpointId) -> bool {
+    /// Returns whether a call to the endpoint would be a probe of its route's breaker or of its zone.
+    pub(super) fn is_probe(&self, id: EndpointId) -> bool {
         let dest = self.endpoints[&id].dest;
         let route = self.routes.get(&(dest, self.dests[&dest].per_endpoint.then_some(id)));
-        route.is_some_and(|r| matches!(r.health, Health::Open { .. })) || self.is_tried(id)
+        route.is_some_and(|r| matches!(r.breaker, Breaker::Open { .. })) || self.is_zone_probe(id)
     }
 
-    /// Its idle connections are not to be used: others were dropped unseen that had stood for as long.
-    pub(super) fn is_stale(&self, e: &Endpoint) -> bool {
-        let (now, trusted) = (self.now, self.dests[&e.dest].trusted(self.now));
-        let mut idle = e.idle.iter().filter(|&&t| self.stands(t));
-        let dropped = e.idle.last().is_some_and(|t| t.saturating_add(trusted) < now);
-        dropped || now < self.idle_safe.1 && idle.any(|t| t + self.idle_safe.0 < now)
+    /// Returns whether the endpoint's idle connections must not be used, because others that had been idle
+    /// for as long were found dropped.
+    pub(super) fn has_stale_idle(&self, e: &Endpoint) -> bool {
+        let (now, max_idle) = (self.now, self.dests[&e.dest].max_idle(self.now));
+        let mut idle = e.idle_since.iter().filter(|&&t| self.is_idle_open(t));
+        let dropped = e.idle_since.last().is_some_and(|t| t.saturating_add(max_idle) < now);
+        dropped || now < self.trusted_idle.1 && idle.any(|t| t + self.trusted_idle.0 < now)
     }
 
-    /// Whether a connection that has been idle since then still stands, as far as is known.
-    pub(super) fn stands(&self, since: Micros) -> bool {
-        self.set.connections_reported || since + self.set.conn_idle > self.now
+    /// Returns whether a connection that has been idle since a time is still open, as far as is known.
+    pub(super) fn is_idle_open(&self, since: Micros) -> bool {
+        self.settings.connections_reported || since + self.settings.conn_idle > self.now
     }
 
-    /// How many messages that must not be repeated the next call there may carry. A new connection may be
-    /// silent for good, and what is written to it is lost to its client then: few go there until the endpoint
-    /// has answered. A trial takes one message as it is, so that a silence of the past holds nothing back.
-    pub(super) fn unsafe_room(&self, id: EndpointId) -> usize {
+    /// Returns how many at-most-once messages the next call to the endpoint may carry. A probe carries only
+    /// one message anyway, so earlier silence does not hold it.
+    pub(super) fn unproven_room(&self, id: EndpointId) -> usize {
         let e = &self.endpoints[&id];
-        let proven = e.idle.iter().any(|&t| self.stands(t)) && !self.is_stale(e);
-        if proven || self.is_trial(id) {
+        let is_proven = e.idle_since.iter().any(|&t| self.is_idle_open(t)) && !self.has_stale_idle(e);
+        if is_proven || self.is_probe(id) {
             return usize::MAX;
         }
-        self.unheard_most(id).saturating_sub(e.unheard) as usize
+        self.unproven_limit(id).saturating_sub(e.unproven) as usize
     }
 
-    /// How many such messages may be out on new connections of an endpoint.
-    pub(super) fn unheard_most(&self, id: EndpointId) -> u32 {
+    /// Returns how many at-most-once messages may be in flight on new connections to the endpoint.
+    pub(super) fn unproven_limit(&self, id: EndpointId) -> u32 {
         let e = &self.endpoints[&id];
-        let lately = e.answered > 0 && self.now < e.answered + self.set.conn_idle;
-        if lately { UNHEARD_KNOWN } else { UNHEARD_OTHER }
+        let is_recent = e.last_answer > 0 && self.now < e.last_answer + self.settings.conn_idle;
+        if is_recent { UNPROVEN_RECENT } else { UNPROVEN_OTHER }
     }
 
-    pub(super) fn is_unsafe(&self, h: &Held) -> bool {
-        self.set.classes[h.class].effect == Effect::AtMostOnce
+    /// Returns whether a message must not be repeated once it may have run.
+    pub(super) fn is_at_most_once(&self, h: &Held) -> bool {
+        self.settings.classes[h.class].effect == Effect::AtMostOnce
     }
 
-    /// What goes in a call with its first message: of the rest, in their order, as many as may.
-    pub(super) fn load(
+    /// Returns the messages of a call: the first one, and of the rest, in their order, as many as are
+    /// allowed.
+    pub(super) fn fill_bundle(
         &self,
         endpoint: EndpointId,
         first: MessageId,
         rest: Vec<MessageId>,
-        most: usize,
+        max: usize,
     ) -> Vec<MessageId> {
-        let is_unsafe = |id: &MessageId| self.is_unsafe(&self.held[id]);
-        let mut room = self.unsafe_room(endpoint).saturating_sub(usize::from(is_unsafe(&first)));
+        let is_unsafe = |id: &MessageId| self.is_at_most_once(&self.held[id]);
+        let mut room = self.unproven_room(endpoint).saturating_sub(usize::from(is_unsafe(&first)));
         let fits = |id: &MessageId| {
             let fits = !is_unsafe(id) || room > 0;
             room -= usize::from(fits && is_unsafe(id));
             fits
         };
-        let rest = rest.into_iter().filter(fits).take(most.saturating_sub(1));
+        let rest = rest.into_iter().filter(fits).take(max.saturating_sub(1));
         std::iter::once(first).chain(rest).collect()
     }
 }
--- a/crates/policy/src/choice/view.rs
+++ b/crates/policy/src/choice/view.rs
@@ -1,9 +1,9 @@
-//! What those may see who look on. Nothing is decided here.
+//! Read-only views of the state for diagnostics. This module decides nothing.
 
 use super::*;
 
 impl Sender {
-    /// What is believed of the routes of a destination, or of all.
+    /// Returns the state of the routes of a destination, or of all routes.
     pub fn route_views(&self, dest: Option<DestinationId>) -> Vec<RouteView> {
         let range = match dest {
             Some(d) => self.routes.range(routes_of(d)),
@@ -13,44 +13,46 @@
             dest,
             endpoint,
             window: r.window,
-            in_flight: r.out,
+            in_flight: r.in_flight,
             lost: r.lost,
             last_cut: r.last_cut.zip(r.cut_by),
-            paused_until: r.rest_until,
+            paused_until: r.paused_until,
             admitted_rate: r.rate.estimate(),
-            hold: self.route_ready(r, self.dests.get(&dest).map_or(0.0, |d| d.flow(self.now))).err(),
+            hold: self.check_route(r, self.dests.get(&dest).map_or(0.0, |d| d.arrival_rate(self.now))).err(),
         };
         range.map(view).collect()
     }
 
-    /// All messages that are not answered yet, with class and destination, and whether a call of them is out.
+    /// Returns all messages without a final status: id, class, destination, and whether an attempt is in
+    /// flight.
     pub fn open_messages(&self) -> Vec<(MessageId, u32, DestinationId, bool)> {
         let open = self.held.iter().filter(|(_, h)| !h.done);
-        open.map(|(&id, h)| (id, h.class as u32, h.dest, h.out > 0)).collect()
+        open.map(|(&id, h)| (id, h.class as u32, h.dest, h.in_flight > 0)).collect()
     }
 
-    /// The settings in force.
+    /// Returns the current settings.
     pub fn settings(&self) -> &Settings {
-        &self.set
+        &self.settings
     }
 
-    /// The places of the classes that messages have, of those as well that are over and have a call out.
+    /// Returns the positions of the classes of all held messages, including done ones with an attempt in
+    /// flight.
     pub fn classes_in_use(&self) -> BTreeSet<usize> {
         self.held.values().map(|h| h.class).collect()
     }
 
-    /// How many messages are held and have no call out.
+    /// Returns the number of queued messages, which have no attempt in flight.
     pub fn waiting_count(&self) -> usize {
         self.waiting().map(|(_, d)| d.queue.len()).sum()
     }
 
-    /// Attempts that are out.
+    /// Returns the number of attempts in flight.
     pub fn attempts_in_flight(&self) -> usize {
-        self.held.values().map(|h| h.out as usize).sum()
+        self.held.values().map(|h| h.in_flight as usize).sum()
     }
 
-    /// Connections that are believed to stand idle, by endpoint.
+    /// Returns the presumed number of idle connections to each endpoint.
     pub fn idle_connections(&self) -> Vec<(EndpointId, usize)> {
-        self.endpoints.iter().map(|(&id, e)| (id, e.idle.len())).collect()
+        self.endpoints.iter().map(|(&id, e)| (id, e.idle_since.len())).collect()
     }
 }
--- a/crates/policy/src/credit.rs
+++ b/crates/policy/src/credit.rs
@@ -1,77 +1,84 @@
-//! Arithmetic of what a route that is held back, or comes back, may be sent: credit that grows with what
-//! comes in for it. What opens and ends such times is decided in `choice.rs`.
+//! The credit of routes that are paced, in recovery or behind an open breaker. It grows with the messages
+//! that arrive for the route. `choice.rs` decides when a route needs credit.
 
 use crate::interface::{Micros, Settings};
-use crate::state::{Health, Route};
+use crate::state::{Breaker, Route};
 
-/// What refusals leave of the pace at least.
-const PACE_LEAST: f64 = 0.03;
-/// Trials and a ramp's calls stay under this part of what would push a returning destination over, measured
-/// by what comes in for it; and all senders together make at least so many trials a second.
-const METER: f64 = 0.4;
-/// The same where it refused nothing in the last minute: what came in is then no more than it can do.
-const METER_ROOM: f64 = 0.65;
-const TRIALS_LEAST: f64 = 1.5;
+/// The least pace that refusals leave.
+const MIN_PACE: f64 = 0.03;
+/// Probes and calls in slow start stay below this share of the rate that would overload a returning
+/// destination, where the rate of incoming messages stands for its capacity.
+const LOAD_SHARE: f64 = 0.4;
+/// The same if no rate limit is known, that is without refusals for a minute: its capacity is then no lower
+/// than that rate.
+const LOAD_SHARE_UNLIMITED: f64 = 0.65;
+/// The least probes per second of all senders together.
+const MIN_PROBE_RATE: f64 = 1.5;
 
 impl Route {
-    /// The share of what comes in that a destination held back or returning may be sent.
-    pub fn share(&self, set: &Settings, now: Micros) -> f64 {
-        let warm = match self.health {
-            // Senders find it back one after another, each within the gap between two of its trials. Where
-            // each goes on as if it had been back for all of that, and then grows with time, what all of
-            // them send together grows as fast as what it can do. It is warm for certain, and this ends,
-            // only a whole cold time after a call was served.
-            Health::Ramp { since, gap } => {
-                (now - since + gap / 2).max(gap) as f64 / set.warm_up.max(1) as f64
+    /// Returns the share of the incoming messages that the route may be sent.
+    pub fn send_share(&self, settings: &Settings, now: Micros) -> f64 {
+        let warm = match self.breaker {
+            // Senders detect the return one after another, each within the gap between two of its probes. If
+            // each acts as if the destination had been back for the whole gap and then grows with time,
+            // the calls of all senders together grow as fast as its capacity. The slow start ends only a
+            // whole warm-up time after a call was served, when the capacity is certain to be full.
+            Breaker::SlowStart { since, gap } => {
+                (now - since + gap / 2).max(gap) as f64 / settings.warm_up.max(1) as f64
             }
-            // It may be back since just now, and the trials of all senders add up.
-            Health::Open { .. } => 0.0,
-            Health::Closed => return self.pace,
+            // It may have returned only now, and the probes of all senders add up.
+            Breaker::Open { .. } => 0.0,
+            Breaker::Closed => return self.pace,
         };
-        let meter = if self.rate.estimate().is_none() { METER_ROOM } else { METER };
-        meter * set.overload_factor * (set.start_capacity + (1.0 - set.start_capacity) * warm)
+        let load_share = if self.rate.estimate().is_none() { LOAD_SHARE_UNLIMITED } else { LOAD_SHARE };
+        load_share
+            * settings.overload_factor
+            * (settings.start_capacity + (1.0 - settings.start_capacity) * warm)
     }
 
-    /// Credit that time brings, in calls a second.
-    pub fn refill(&self, set: &Settings, now: Micros, rate: f64) -> f64 {
-        let share = self.share(set, now);
-        // A message that comes in brings one call at the most; time brings the rest.
-        ((share + (share - 1.0).max(0.0)) * rate).max(TRIALS_LEAST / f64::from(set.senders))
+    /// Returns the credit that accrues with time, in calls per second.
+    pub fn credit_rate(&self, settings: &Settings, now: Micros, rate: f64) -> f64 {
+        let share = self.send_share(settings, now);
+        // A new message adds at most one call; the rest accrues with time.
+        ((share + (share - 1.0).max(0.0)) * rate).max(MIN_PROBE_RATE / f64::from(settings.senders))
     }
 
-    /// When the outage for which the route is held back began, as far as is known. A sender that found it by
-    /// a call of its own may have found it late: it began behind the last call that was served.
-    pub fn outage_begun(&self) -> Option<Micros> {
-        let Health::Open { since, .. } = self.health else { return None };
-        Some(if self.fails > 0 { since.min(self.last_ok) } else { since })
+    /// Returns when the outage for which the breaker is open began, as far as is known. A sender that
+    /// detected it by a call of its own may have done so late, so it counts from the last served call.
+    pub fn outage_start(&self) -> Option<Micros> {
+        let Breaker::Open { since, .. } = self.breaker else { return None };
+        Some(if self.failures > 0 { since.min(self.last_served) } else { since })
     }
 
-    pub fn metered(&self) -> bool {
-        self.pace < 1.0 || !matches!(self.health, Health::Closed)
+    /// Returns whether calls on the route need credit.
+    pub fn is_metered(&self) -> bool {
+        self.pace < 1.0 || !matches!(self.breaker, Breaker::Closed)
     }
 
-    /// A refusal slows what is sent, since refused calls may use up the limit too; each served call forgives.
+    /// Lowers the pace after a refusal, since refused calls may use up the limit, too. Served calls raise it
+    /// again.
     pub fn slow_down(&mut self, now: Micros, by: f64) {
-        self.credit_at = if self.metered() { self.credit_at } else { now };
-        self.pace = (self.pace * by).max(PACE_LEAST);
+        self.credit_updated = if self.is_metered() { self.credit_updated } else { now };
+        self.pace = (self.pace * by).max(MIN_PACE);
     }
 
-    /// Accrues the credit of a route: for `more` messages (in part if each endpoint is a route) and for time.
+    /// Accrues the credit of a route: for `messages` (in part if each endpoint is a route) and for time.
     /// Credit follows this sender's own traffic, so that any number of senders together stay under what the
     /// destination can bear.
-    pub fn accrue(&mut self, set: &Settings, now: Micros, more: f64, rate: f64) {
-        if !self.metered() {
+    pub fn accrue_credit(&mut self, settings: &Settings, now: Micros, messages: f64, rate: f64) {
+        if !self.is_metered() {
             return;
         }
-        // While one that fails has told to wait, no credit comes up: all senders would have a trial ready
-        // for the very moment at which the wait ends.
-        let waits = if matches!(self.health, Health::Open { .. }) { self.rest_until } else { 0 };
-        let dt = now.saturating_sub(self.credit_at.max(waits)) as f64 / 1e6;
-        let more = if now < waits { 0.0 } else { more };
-        let more = self.share(set, now) * more + self.refill(set, now, rate) * dt;
-        (self.credit, self.credit_at) = ((self.credit + more).min(1.0), now);
-        if matches!(self.health, Health::Ramp { since, .. } if now >= since + set.warm_up) {
-            self.health = Health::Closed;
+        // No credit accrues while a failing destination has asked to wait; otherwise all senders would have a
+        // probe ready at the instant at which the wait ends.
+        let wait_end = if matches!(self.breaker, Breaker::Open { .. }) { self.paused_until } else { 0 };
+        let elapsed_s = now.saturating_sub(self.credit_updated.max(wait_end)) as f64 / 1e6;
+        let messages = if now < wait_end { 0.0 } else { messages };
+        let added =
+            self.send_share(settings, now) * messages + self.credit_rate(settings, now, rate) * elapsed_s;
+        (self.credit, self.credit_updated) = ((self.credit + added).min(1.0), now);
+        if matches!(self.breaker, Breaker::SlowStart { since, .. } if now >= since + settings.warm_up) {
+            self.breaker = Breaker::Closed;
         }
     }
 }
--- a/crates/policy/src/note.rs
+++ b/crates/policy/src/note.rs
@@ -1,28 +1,29 @@
-//! How notes between senders are written as bytes. Who writes what is decided in `choice.rs`.
+//! The encoding of notes between senders. `choice.rs` decides which notes are sent.
 
 use crate::interface::{DestinationId, EndpointId};
 use crate::state::RouteId;
 
-/// The first byte of every note: its form. Others are passed over.
-const FORM: u8 = 0xd1;
+/// The first byte of every note identifies its format. Other notes are ignored.
+const FORMAT: u8 = 0xd1;
 
-/// What a note says of a route.
+/// What a note reports about a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Held back: calls fail there.
+pub enum Report {
+    /// Calls fail, and the breaker is open.
     Down,
-    /// A call was served there.
+    /// A call was served.
     Up,
-    /// It refuses call after call.
+    /// Several calls in a row were refused.
     Full,
-    /// It turned connections away and served soon after: they are scarce at its kind.
+    /// A connection was refused and a call served soon after: connections are scarce at this kind of
+    /// destination.
     Scarce,
-    /// It told to wait so long, in milliseconds.
+    /// The destination asked to wait for this many milliseconds.
     Wait(u32),
 }
 
-impl Word {
-    /// The byte that names it, and what follows the route.
+impl Report {
+    /// Returns the byte that identifies the variant, and the number that follows the route.
     fn code(self) -> (u8, Option<u32>) {
         match self {
             Self::Down => (0, None),
@@ -34,10 +35,10 @@
     }
 }
 
-/// Writes a note.
-pub fn write(word: Word, route: RouteId) -> Vec<u8> {
+/// Encodes a note.
+pub fn encode(word: Report, route: RouteId) -> Vec<u8> {
     let (code, more) = word.code();
-    let mut body = vec![FORM, code];
+    let mut body = vec![FORMAT, code];
     body.extend(route.0.0.to_le_bytes());
     if let Some(e) = route.1 {
         body.extend(e.0.to_le_bytes());
@@ -48,19 +49,19 @@
     body
 }
 
-/// Reads a note; nothing where it is not one.
-pub fn read(body: &[u8]) -> Option<(Word, RouteId)> {
+/// Decodes a note; returns `None` if it is malformed.
+pub fn decode(body: &[u8]) -> Option<(Report, RouteId)> {
     let number = |b: &[u8]| b.try_into().map(u64::from_le_bytes).ok();
-    let (&[FORM, code], mut rest) = body.split_at_checked(2)? else { return None };
+    let (&[FORMAT, code], mut rest) = body.split_at_checked(2)? else { return None };
     let word = match code {
-        0 => Word::Down,
-        1 => Word::Up,
-        2 => Word::Full,
-        3 => Word::Scarce,
+        0 => Report::Down,
+        1 => Report::Up,
+        2 => Report::Full,
+        3 => Report::Scarce,
         4 => {
             let (before, ms) = rest.split_last_chunk()?;
             rest = before;
-            Word::Wait(u32::from_le_bytes(*ms))
+            Report::Wait(u32::from_le_bytes(*ms))
         }
         _ => return None,
     };
@@ -77,17 +78,17 @@
     use super::*;
 
     #[test]
-    fn what_is_written_is_read_and_nothing_else() {
-        for word in [Word::Down, Word::Up, Word::Full, Word::Scarce, Word::Wait(u32::MAX)] {
+    fn notes_survive_a_round_trip_and_malformed_ones_are_rejected() {
+        for word in [Report::Down, Report::Up, Report::Full, Report::Scarce, Report::Wait(u32::MAX)] {
             for endpoint in [None, Some(EndpointId(u64::MAX))] {
                 let route = (DestinationId(1 << 40), endpoint);
-                let body = write(word, route);
-                assert_eq!(read(&body), Some((word, route)));
-                assert_eq!(read(&body[1..]), None);
-                assert_eq!(read(&[&body[..], &[0]].concat()), None);
+                let body = encode(word, route);
+                assert_eq!(decode(&body), Some((word, route)));
+                assert_eq!(decode(&body[1..]), None);
+                assert_eq!(decode(&[&body[..], &[0]].concat()), None);
             }
         }
-        assert_eq!(read(&[]), None);
-        assert_eq!(read(&[FORM, 5, 0, 0, 0, 0, 0, 0, 0, 0]), None);
+        assert_eq!(decode(&[]), None);
+        assert_eq!(decode(&[FORMAT, 5, 0, 0, 0, 0, 0, 0, 0, 0]), None);
     }
 }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,320 +1,375 @@
-//! What a sender remembers: plain data, without decisions. They stand in `choice.rs`. The whole of it can be
-//! written and read again, so that decisions can be played again from any moment.
+//! The state of a sender: plain data without decisions, which are in `choice.rs`. All of it can be
+//! serialized, so that decisions can be replayed from any point in time.
 
 use crate::interface::*;
-use crate::lean::Lean;
-use notchpoint_limits::{Breaks, Latency, Rate};
+use crate::zone_share::ZoneShare;
+use notchpoint_limits::{AdaptiveRate, ConnectionFailures, Latency};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// Times beyond this (centuries) are taken as this, so that sums of them stay in range.
-pub const FAR: Micros = 1 << 60;
+/// The upper bound of all times (centuries), so that their sums do not overflow.
+pub const MAX_TIME: Micros = 1 << 60;
 
-/// A destination, or one endpoint of it where its endpoints are routes apart.
+/// Identifies a route: a destination, or one endpoint of it if each endpoint is a route of its own.
 pub type RouteId = (DestinationId, Option<EndpointId>);
 
-/// All routes of a destination.
+/// Returns the range of all routes of a destination.
 pub fn routes_of(dest: DestinationId) -> std::ops::RangeInclusive<RouteId> {
     (dest, None)..=(dest, Some(EndpointId(u64::MAX)))
 }
 
-/// A message from being taken until it is answered and no attempt of it is out.
+/// A message, from its acceptance until it has its final status and no attempt is in flight.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Held {
     pub class: usize,
     pub dest: DestinationId,
     pub key: Option<Box<str>>,
+    /// The message exceeds its tenant's allowance.
     pub over_share: bool,
-    pub aim: Micros,
+    /// The time until which the message has its full worth.
+    pub due: Micros,
     pub expires: Micros,
+    /// The number of the call of each attempt; `u64::MAX` once the attempt has ended.
     pub attempts: Vec<u64>,
-    /// Attempts among them that this side could not send: they do not count.
+    /// The number of attempts that this side could not send; they do not count.
     pub unsent: u32,
-    pub out: u32,
-    /// The earliest attempt that may have run, and where.
+    /// The number of attempts in flight.
+    pub in_flight: u32,
+    /// The earliest attempt that may have run: when it was sent, and its endpoint.
     pub ran_at: Option<(Micros, EndpointId)>,
+    /// An attempt ended with a sign of congestion; later ones do not cut the window again.
     pub congested: bool,
+    /// The message has its final status.
     pub done: bool,
+    /// The end of the backoff after a failed attempt.
     pub not_before: Micros,
 }
 
-/// A call that is out; of a bundle it is one.
+/// A call in flight. The messages of a bundle share one call.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub struct Call {
     pub route: RouteId,
     pub endpoint: EndpointId,
     pub sent: Micros,
-    pub overdue: Micros,
-    /// When the last of its messages stops being waited for.
-    pub until: Micros,
-    /// It is late from this age on, and how often that has doubled by now, counted from 1; 0 before.
-    pub late: Micros,
-    pub stage: usize,
-    /// How long the connection had been idle, as far as is known; 0 for a fresh one.
+    /// The time from which the call counts as overdue.
+    pub overdue_at: Micros,
+    /// The time at which the last of its messages times out.
+    pub timeout_at: Micros,
+    /// The age from which the call is late.
+    pub late_after: Micros,
+    /// The number of late stages that the call has reached, see [`LATE_STAGES`]; 0 before it is late.
+    pub late_stage: usize,
+    /// How long the connection had been idle, as far as is known; 0 for a new one.
     pub idle: Micros,
+    /// The number of its messages whose attempts have not ended.
     pub open: u32,
-    pub judged: bool,
-    pub cut: bool,
-    /// Its connection broke as connections do now and then: no sign of load.
-    pub chance: bool,
-    pub called_off: bool,
-    /// Messages in it that must not be repeated, while its connection is new and its endpoint has not
+    /// The outcome of its first message has been evaluated.
+    pub evaluated: bool,
+    /// The call has cut the window.
+    pub has_cut: bool,
+    /// The connection broke at random, which is no sign of load.
+    pub random_failure: bool,
+    /// The call has been cancelled.
+    pub cancelled: bool,
+    /// The number of its at-most-once messages, while its connection is new and its endpoint has not
     /// answered.
-    pub unheard: u32,
-    /// Overdue, and overtaken by calls sent later: its connection is to blame.
+    pub unproven: u32,
+    /// The call is overdue although calls sent later were served: its answer is presumed lost.
     pub lost: bool,
 }
 
+/// The circuit breaker of a route.
 #[derive(Clone, Default, Serialize, Deserialize)]
-pub enum Health {
+pub enum Breaker {
+    /// Calls are not restricted by the breaker.
     #[default]
     Closed,
+    /// Only probes (trial calls) are sent.
     Open {
         since: Micros,
+        /// No probe is sent before this time.
         until: Micros,
+        /// A call failed, which tells an outage from silence.
         failed: bool,
-        trial: Option<u64>,
-        /// The ramp that it came in between: since when, and its gap.
-        ramp: Option<(Micros, Micros)>,
+        /// The number of the probe in flight.
+        probe: Option<u64>,
+        /// The slow start that the breaker interrupted: its `since` and its `gap`.
+        slow_start: Option<(Micros, Micros)>,
     },
-    /// It serves again since then, after it had last failed so long before, and is cold.
-    Ramp { since: Micros, gap: Micros },
+    /// The destination has served again since this time and is in slow start. The gap is the time between the
+    /// last failure and the first served call.
+    SlowStart { since: Micros, gap: Micros },
 }
 
-impl Health {
-    /// What it is once calls are served again that were held back for a moment: a destination that was cold
-    /// before that is no warmer by it, and goes on where its ramp was.
+impl Breaker {
+    /// Returns the state after a short interruption: a slow start that the breaker interrupted continues,
+    /// since the destination has not become warmer meanwhile.
     pub fn resumed(&self) -> Self {
         match *self {
-            Self::Open { ramp: Some((since, gap)), .. } | Self::Ramp { since, gap } => {
-                Self::Ramp { since, gap }
+            Self::Open { slow_start: Some((since, gap)), .. } | Self::SlowStart { since, gap } => {
+                Self::SlowStart { since, gap }
             }
             _ => Self::Closed,
         }
     }
 }
 
+/// What is known of a route.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Route {
+    /// The fractional window.
     pub window: f64,
     pub last_cut: Option<Micros>,
-    /// What the last cut was for.
+    /// The outcome that caused the last cut.
     pub cut_by: Option<Outcome>,
-    /// The share of what comes in that is sent while refusals show a limit; 1 where none do.
+    /// The share of incoming messages that is sent while refusals show a limit; 1 without one.
     pub pace: f64,
-    pub full_told: Micros,
-    /// Until when it told any sender to wait, as far as this one knows.
-    pub wait_known: Micros,
-    /// Who told of it, if it was another sender.
-    pub wait_from: Option<u32>,
-    pub rest_until: Micros,
-    /// Until when the destination told to wait; `rest_until` is this or later.
-    pub told_until: Micros,
+    /// When a note of refusals or of scarce connections was last sent or received.
+    pub refusal_note_at: Micros,
+    /// The latest time until which the destination asked any sender to wait, as far as this one knows.
+    pub known_wait_until: Micros,
+    /// The other sender that reported this wait, if one did.
+    pub wait_reporter: Option<u32>,
+    /// Nothing is sent before this time.
+    pub paused_until: Micros,
+    /// The time until which the destination asked this sender to wait; never after `rest_until`.
+    pub wait_until: Micros,
     pub latency: Latency,
-    pub breaks: Breaks,
-    pub rate: Rate,
-    pub health: Health,
-    pub last_ok: Micros,
-    pub fails: u32,
-    pub failed_at: Micros,
+    pub connection_failures: ConnectionFailures,
+    pub rate: AdaptiveRate,
+    pub breaker: Breaker,
+    /// When a call was last served.
+    pub last_served: Micros,
+    /// Failed calls since one was last served.
+    pub failures: u32,
+    /// When a call last failed or the breaker last opened.
+    pub last_failure: Micros,
+    /// Errors since a call was last served.
     pub errors: u32,
-    pub fulls: u32,
-    /// What a route that is held back, or comes back, may be sent, and since when that was not counted up.
+    /// Refusals since a call was last served.
+    pub refusals: u32,
+    /// The calls that may be sent while the route is metered, and when this was last updated.
     pub credit: f64,
-    pub credit_at: Micros,
-    /// Who last told of an outage, and when; and when this sender last wrote.
-    pub heard: Option<(u32, Micros)>,
-    pub told: Micros,
-    pub out: u32,
-    /// Calls among them whose answers are lost.
+    pub credit_updated: Micros,
+    /// The sender that last reported an outage, and when.
+    pub outage_report: Option<(u32, Micros)>,
+    /// When this sender last sent a note about the route, or adopted the report of another.
+    pub last_note: Micros,
+    /// The number of calls in flight.
+    pub in_flight: u32,
+    /// The number of calls in flight whose answers are presumed lost.
     pub lost: u32,
-    pub late: Late,
+    pub life_table: LifeTable,
 }
 
-/// Ages of a late call, each twice the one before; the last has no end.
-pub const STAGES: usize = 5;
+/// The number of stages of a late call. Each lasts until the age of the call has doubled, the last one for
+/// ever.
+pub const LATE_STAGES: usize = 5;
 
-/// What became of late calls, by whether later ones overtook them and by age: how many came to that age, and
-/// how many of those were answered in it (the hazard of an answer, as in a life table).
+/// A life table of late calls. For calls whose answers are not presumed lost (0) and those whose are (1),
+/// and for each stage, it counts the calls that reached the stage and those of them that were answered in
+/// it.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
-pub struct Late(pub [[(f64, f64); STAGES]; 2]);
+pub struct LifeTable(pub [[(f64, f64); LATE_STAGES]; 2]);
 
+/// What is known of an endpoint.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Endpoint {
     pub dest: DestinationId,
     pub zone: u32,
     pub kind: usize,
-    /// It may be sent to: the list says so, and operators have not taken it out.
+    /// The endpoint may be sent to: it is live on the list and not out of service.
     pub live: bool,
-    /// What the list alone says.
+    /// The endpoint is live on the list.
     pub listed: bool,
-    /// Back from operators, it is cold until then.
-    pub cold_until: Micros,
-    pub out: u32,
-    /// Sum over its calls, see [`Call::unheard`].
-    pub unheard: u32,
-    pub idle: Vec<Micros>,
-    /// When it was last sent to, how long after the time before, and when it refused a connect at once.
-    pub used: Micros,
-    pub gap: Micros,
-    /// When it last answered, whatever it said.
-    pub answered: Micros,
-    pub no_room: Micros,
-    /// Failures with nothing served since, and a rest: for one class (plain errors), or for all.
-    pub rests: BTreeMap<Option<usize>, (u32, Micros)>,
+    /// The end of the slow start after operators returned the endpoint to service.
+    pub warm_up_until: Micros,
+    /// The number of calls in flight.
+    pub in_flight: u32,
+    /// The sum of [`Call::unheard`] over its calls.
+    pub unproven: u32,
+    /// For each idle connection, when it became idle.
+    pub idle_since: Vec<Micros>,
+    /// When the last call was sent.
+    pub last_used: Micros,
+    /// The time between the last two calls.
+    pub use_gap: Micros,
+    /// When the endpoint last answered, with whatever outcome.
+    pub last_answer: Micros,
+    /// When the endpoint last refused a connection at once.
+    pub refused_at: Micros,
+    /// The failures since a call was last served and the end of the backoff: for one class (plain errors),
+    /// or for all classes.
+    pub backoffs: BTreeMap<Option<usize>, (u32, Micros)>,
 }
 
+/// What is known of a destination.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Dest {
     pub per_endpoint: bool,
     pub max_bundle: usize,
     pub kind: usize,
     pub endpoints: Vec<EndpointId>,
+    /// The messages without an attempt in flight.
     pub queue: Vec<MessageId>,
-    /// Connections idle for longer are not trusted, until then: its endpoints dropped such ones unseen.
-    pub idle_safe: (Micros, Micros),
-    /// What comes in, messages a second.
-    pub rate: f64,
-    pub rate_at: Micros,
+    /// The longest idle time of connections that are used, and until when it applies: the destination's
+    /// endpoints silently closed connections that had been idle for longer.
+    pub trusted_idle: (Micros, Micros),
+    /// The rate of incoming messages per second, as of `rate_at`.
+    pub average_rate: f64,
+    pub rate_updated: Micros,
 }
 
-/// Messages of one key in the order taken, and until when the key rests.
-pub type Key = (VecDeque<MessageId>, Micros);
+/// The messages of one ordering key in the order of acceptance, and until when the key is blocked.
+pub type KeyQueue = (VecDeque<MessageId>, Micros);
 
-/// What the list does not name any more and is kept for a while: what one change of the list costs follows
-/// these, and not all that there is.
+/// What the list no longer names but is kept for a while. An update of the list visits only these, so that
+/// its cost does not grow with everything that is known.
 #[derive(Clone, Default, Serialize, Deserialize)]
 pub struct Unlisted {
-    /// Endpoints that are not live by the list.
+    /// Endpoints that are not live on the list.
     pub endpoints: BTreeSet<EndpointId>,
     /// Destinations without an endpoint.
     pub dests: BTreeSet<DestinationId>,
-    /// Routes of neither a known endpoint nor a known destination.
+    /// Routes whose endpoint or destination is not known any more.
     pub routes: BTreeSet<RouteId>,
 }
 
-/// One sender's decisions. It has no clock and does no I/O: see [`Sender::handle`].
+/// The state and the decisions of one sender. It has no clock and does no I/O: see [`Sender::handle`].
 #[derive(Clone, Serialize, Deserialize)]
 pub struct Sender {
-    pub(crate) set: Settings,
+    pub(crate) settings: Settings,
     #[serde(with = "seed")]
     pub(crate) rng: fastrand::Rng,
+    /// The time of the current turn.
     pub(crate) now: Micros,
     pub(crate) held: BTreeMap<MessageId, Held>,
-    pub(crate) live: usize,
+    /// The number of held messages without a final status.
+    pub(crate) open_count: usize,
     pub(crate) calls: BTreeMap<u64, Call>,
     pub(crate) next_call: u64,
     pub(crate) routes: BTreeMap<RouteId, Route>,
     pub(crate) endpoints: BTreeMap<EndpointId, Endpoint>,
     pub(crate) dests: BTreeMap<DestinationId, Dest>,
-    /// Endpoints that operators have taken out, whether the list names them or not.
-    pub(crate) taken_out: BTreeSet<EndpointId>,
+    /// Endpoints that operators took out of service, whether the list names them or not.
+    pub(crate) out_of_service: BTreeSet<EndpointId>,
+    /// Destinations that may have queued messages.
     pub(crate) queued: BTreeSet<DestinationId>,
-    /// What the list does not name any more and is kept for a while.
     pub(crate) unlisted: Unlisted,
-    pub(crate) keys: BTreeMap<Box<str>, Key>,
-    /// Connections idle for longer are not trusted, until then.
-    pub(crate) idle_safe: (Micros, Micros),
-    /// For each kind: until when connections are taken to be scarce there.
-    pub(crate) scarce: Vec<Micros>,
-    pub(crate) tenants: Vec<(f64, Micros)>,
-    pub(crate) out: Vec<Action>,
+    pub(crate) keys: BTreeMap<Box<str>, KeyQueue>,
+    /// The longest idle time of connections that are used, and until when it applies.
+    pub(crate) trusted_idle: (Micros, Micros),
+    /// For each kind, until when connections count as scarce.
+    pub(crate) scarce_until: Vec<Micros>,
+    /// For each tenant, the tokens in its bucket and when they were last updated.
+    pub(crate) tenant_buckets: Vec<(f64, Micros)>,
+    /// The actions of the current turn.
+    pub(crate) actions: Vec<Action>,
+    /// When the list is watched next.
     pub(crate) watch_at: Micros,
-    pub(crate) wake: Option<Micros>,
-    /// How late calls fared, over all routes.
-    pub(crate) late: Late,
-    /// Destinations that were sent to in this turn.
-    pub(crate) passed: BTreeSet<DestinationId>,
-    /// Zones that are not sent their whole share, or are to be tried.
-    pub(crate) leans: BTreeMap<u32, Lean>,
+    /// The earliest wake-up that was requested.
+    pub(crate) wake_at: Option<Micros>,
+    /// The life table of late calls on all routes.
+    pub(crate) life_table: LifeTable,
+    /// Destinations that calls were sent to in this turn.
+    pub(crate) sent_this_turn: BTreeSet<DestinationId>,
+    /// Zones that receive less than their whole share, or probes.
+    pub(crate) zone_shares: BTreeMap<u32, ZoneShare>,
 }
 
 impl Sender {
-    /// A sender with nothing held. Randomness comes from the seed alone.
+    /// Creates a sender without messages. All randomness derives from the seed.
     pub fn new(settings: Settings, seed: u64) -> Result<Self, SettingsError> {
         settings.check()?;
         Ok(Self {
             rng: fastrand::Rng::with_seed(seed),
             now: 0,
             held: BTreeMap::new(),
-            live: 0,
+            open_count: 0,
             calls: BTreeMap::new(),
             next_call: 0,
             routes: BTreeMap::new(),
             endpoints: BTreeMap::new(),
             dests: BTreeMap::new(),
-            taken_out: BTreeSet::new(),
+            out_of_service: BTreeSet::new(),
             queued: BTreeSet::new(),
             unlisted: Unlisted::default(),
             keys: BTreeMap::new(),
-            idle_safe: (FAR, 0),
-            scarce: vec![0; settings.kinds.len()],
-            tenants: settings.tenant_allowances.iter().map(|&a| (a / settings.senders as f64, 0)).collect(),
-            out: Vec::new(),
+            trusted_idle: (MAX_TIME, 0),
+            scarce_until: vec![0; settings.kinds.len()],
+            tenant_buckets: settings
+                .tenant_allowances
+                .iter()
+                .map(|&a| (a / settings.senders as f64, 0))
+                .collect(),
+            actions: Vec::new(),
             watch_at: if settings.list == ListMode::Ask { 0 } else { Micros::MAX },
-            wake: None,
-            late: Late::default(),
-            passed: BTreeSet::new(),
-            leans: BTreeMap::new(),
-            set: settings,
+            wake_at: None,
+            life_table: LifeTable::default(),
+            sent_this_turn: BTreeSet::new(),
+            zone_shares: BTreeMap::new(),
+            settings: settings,
         })
     }
 
-    /// A bucket of one second counts a tenant's share.
-    pub(crate) fn over_share(&mut self, tenant: usize) -> bool {
-        let Some(&rate) = self.set.tenant_allowances.get(tenant) else { return false };
-        let rate = rate / self.set.senders as f64;
-        let (tokens, at) = &mut self.tenants[tenant];
-        *tokens = (*tokens + rate * self.now.saturating_sub(*at) as f64 / 1e6).min(rate.max(1.0));
-        *at = self.now;
-        let over = *tokens < 1.0;
-        *tokens -= f64::from(!over);
-        over
+    /// Takes a token for a message of a tenant, and returns whether the message exceeds the tenant's share.
+    /// The bucket holds the tokens of one second.
+    pub(crate) fn charge_tenant(&mut self, tenant: usize) -> bool {
+        let Some(&rate) = self.settings.tenant_allowances.get(tenant) else { return false };
+        let rate = rate / self.settings.senders as f64;
+        let (tokens, updated) = &mut self.tenant_buckets[tenant];
+        *tokens = (*tokens + rate * self.now.saturating_sub(*updated) as f64 / 1e6).min(rate.max(1.0));
+        *updated = self.now;
+        let is_over = *tokens < 1.0;
+        *tokens -= f64::from(!is_over);
+        is_over
     }
 
-    /// A connection stands idle, or an idle one ended: the oldest, as far as can be told.
-    pub(crate) fn idle(&mut self, id: EndpointId, more: bool) {
-        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.set.connections_reported) else { return };
-        if more {
-            e.idle.push(self.now);
-        } else if !e.idle.is_empty() {
-            e.idle.remove(0);
+    /// Records that a connection became idle or that an idle one ended, which is assumed to be the oldest.
+    pub(crate) fn update_idle(&mut self, id: EndpointId, became_idle: bool) {
+        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.settings.connections_reported) else {
+            return;
+        };
+        if became_idle {
+            e.idle_since.push(self.now);
+        } else if !e.idle_since.is_empty() {
+            e.idle_since.remove(0);
         }
     }
 
-    /// A line for the operator about a destination.
-    pub(crate) fn log(&mut self, dest: DestinationId, what: &str) {
-        self.out.push(Action::Log(format!("destination {} {what}", dest.0)));
+    /// Logs a line about a destination.
+    pub(crate) fn log(&mut self, dest: DestinationId, text: &str) {
+        self.actions.push(Action::Log(format!("destination {} {text}", dest.0)));
     }
 
-    /// Destinations with messages that wait.
+    /// Returns the destinations with queued messages.
     pub(crate) fn waiting(&self) -> impl Iterator<Item = (DestinationId, &Dest)> {
         self.queued.iter().map(|id| (*id, &self.dests[id])).filter(|(_, d)| !d.queue.is_empty())
     }
 
-    /// Enters other settings, unless they do not fit what is held.
-    pub(crate) fn set_terms(&mut self, set: &Settings) {
-        let fits = set.kinds.len() == self.set.kinds.len()
-            && set.tenant_allowances.len() == self.set.tenant_allowances.len();
-        let known = self.held.values().all(|h| h.class < set.classes.len());
-        if !fits || !known || set.check().is_err() {
+    /// Replaces the settings, unless the new ones are invalid or do not fit the held messages.
+    pub(crate) fn apply_settings(&mut self, new: &Settings) {
+        let fits = new.kinds.len() == self.settings.kinds.len()
+            && new.tenant_allowances.len() == self.settings.tenant_allowances.len();
+        let classes_known = self.held.values().all(|h| h.class < new.classes.len());
+        if !fits || !classes_known || new.check().is_err() {
             return;
         }
-        // A place may stand for another class from now on.
-        let changed = |c: &usize| set.classes.get(*c) != self.set.classes.get(*c);
+        // A position may mean another class from now on.
+        let is_changed = |c: &usize| new.classes.get(*c) != self.settings.classes.get(*c);
         for e in self.endpoints.values_mut() {
-            e.rests.retain(|c, _| !c.as_ref().is_some_and(changed));
+            e.backoffs.retain(|c, _| !c.as_ref().is_some_and(is_changed));
         }
-        self.set = set.clone();
+        self.settings = new.clone();
     }
 
-    /// Enters what the list says; gives the routes that it names.
-    pub(crate) fn enter(&mut self, news: &ListUpdate) -> Vec<RouteId> {
+    /// Applies an update of the endpoint list and returns the routes that it names.
+    pub(crate) fn apply_list(&mut self, update: &ListUpdate) -> Vec<RouteId> {
         let mut routes = Vec::new();
-        let list = match news {
+        let list = match update {
             ListUpdate::Changes(list) => list,
             ListUpdate::Whole(list) | ListUpdate::Restored(list) => {
-                let named: BTreeSet<EndpointId> = list.iter().map(|n| n.endpoint).collect();
+                let named: BTreeSet<EndpointId> = list.iter().map(|e| e.endpoint).collect();
                 for (id, e) in self.endpoints.iter_mut().filter(|(id, _)| !named.contains(id)) {
                     (e.listed, e.live) = (false, false);
                     self.unlisted.endpoints.insert(*id);
@@ -324,35 +379,35 @@
             ListUpdate::Unavailable => return routes,
         };
         for entry in list {
-            routes.extend(self.enter_one(entry));
+            routes.extend(self.apply_entry(entry));
         }
-        if !matches!(news, ListUpdate::Changes(_)) || list.iter().any(|n| n.phase != Phase::Live) {
-            self.drop_endpoints();
+        if !matches!(update, ListUpdate::Changes(_)) || list.iter().any(|e| e.phase != Phase::Live) {
+            self.drop_unlisted_endpoints();
         }
         routes
     }
 
-    fn enter_one(&mut self, n: &ListEntry) -> Option<RouteId> {
-        let kind = self.set.kinds.get(n.kind as usize)?;
-        let fresh = || Endpoint { dest: n.dest, ..Endpoint::default() };
-        let e = self.endpoints.entry(n.endpoint).or_insert_with(fresh);
-        (e.listed, e.zone, e.kind) = (n.phase == Phase::Live, n.zone, n.kind as usize);
-        e.live = e.listed && !self.taken_out.contains(&n.endpoint);
+    fn apply_entry(&mut self, entry: &ListEntry) -> Option<RouteId> {
+        let kind = self.settings.kinds.get(entry.kind as usize)?;
+        let fresh = || Endpoint { dest: entry.dest, ..Endpoint::default() };
+        let e = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
+        (e.listed, e.zone, e.kind) = (entry.phase == Phase::Live, entry.zone, entry.kind as usize);
+        e.live = e.listed && !self.out_of_service.contains(&entry.endpoint);
         if e.listed {
-            self.unlisted.endpoints.remove(&n.endpoint);
+            self.unlisted.endpoints.remove(&entry.endpoint);
         } else {
-            self.unlisted.endpoints.insert(n.endpoint);
+            self.unlisted.endpoints.insert(entry.endpoint);
         }
         let d = self.dests.entry(e.dest).or_default();
         (d.per_endpoint, d.max_bundle, d.kind) = (kind.per_endpoint, kind.max_bundle as usize, e.kind);
-        if !d.endpoints.contains(&n.endpoint) {
-            d.endpoints.push(n.endpoint);
+        if !d.endpoints.contains(&entry.endpoint) {
+            d.endpoints.push(entry.endpoint);
         }
         self.unlisted.dests.remove(&e.dest);
-        Some((e.dest, kind.per_endpoint.then_some(n.endpoint)))
+        Some((e.dest, kind.per_endpoint.then_some(entry.endpoint)))
     }
 
-    /// Puts a message into its destination's queue, also where no list names that.
+    /// Queues a message for its destination, even if no list names the destination.
     pub(crate) fn enqueue(&mut self, dest: DestinationId, id: MessageId) -> &mut Dest {
         self.queued.insert(dest);
         let d = self.dests.entry(dest).or_default();
@@ -363,13 +418,14 @@
         d
     }
 
-    /// Drops endpoints that the list does not have as live, unless something is out there or operators took
-    /// them out.
-    fn drop_endpoints(&mut self) {
-        let (endpoints, taken_out) = (&self.endpoints, &self.taken_out);
-        let goes = |id: &EndpointId| endpoints[id].out == 0 && !taken_out.contains(id);
-        let gone: Vec<EndpointId> = self.unlisted.endpoints.iter().copied().filter(goes).collect();
-        for id in gone {
+    /// Drops endpoints that are not live on the list, unless calls to them are in flight or they are out of
+    /// service.
+    fn drop_unlisted_endpoints(&mut self) {
+        let (endpoints, taken_out) = (&self.endpoints, &self.out_of_service);
+        let is_removable = |id: &EndpointId| endpoints[id].in_flight == 0 && !taken_out.contains(id);
+        let removable: Vec<EndpointId> =
+            self.unlisted.endpoints.iter().copied().filter(is_removable).collect();
+        for id in removable {
             self.unlisted.endpoints.remove(&id);
             let Some(e) = self.endpoints.remove(&id) else { continue };
             self.unlisted.routes.insert((e.dest, Some(id)));
@@ -381,81 +437,83 @@
         }
     }
 
-    /// Forgets destinations and routes that the list names no more, once nothing is left of them: a wait, and
-    /// what is known of an outage, outlive a short absence.
+    /// Drops destinations and routes that the list no longer names, unless they were in use within `span`:
+    /// waits and outages are remembered over a short absence.
     pub(crate) fn forget_unlisted(&mut self, span: Micros) {
         let now = self.now;
-        let stays = |d: &Dest| !d.queue.is_empty() || d.rate_at + span > now;
+        let is_in_use = |d: &Dest| !d.queue.is_empty() || d.rate_updated + span > now;
         let (dests, queued) = (&mut self.dests, &self.queued);
         let routes = &mut self.unlisted.routes;
         self.unlisted.dests.retain(|id| {
             let Some(d) = dests.get(id).filter(|d| d.endpoints.is_empty()) else { return false };
-            let kept = stays(d) || queued.contains(id);
-            if !kept {
+            let keep = is_in_use(d) || queued.contains(id);
+            if !keep {
                 dests.remove(id);
                 routes.insert((*id, None));
             }
-            kept
+            keep
         });
-        let known = &self.endpoints;
-        let all = &mut self.routes;
+        let endpoints = &self.endpoints;
+        let all_routes = &mut self.routes;
         self.unlisted.routes.retain(|route| {
-            let named = route.1.map_or_else(|| dests.contains_key(&route.0), |e| known.contains_key(&e));
-            let Some(r) = all.get(route).filter(|_| !named) else { return false };
-            let kept = r.out > 0 || r.last_ok.max(r.rest_until) + span > now;
-            if !kept {
-                all.remove(route);
+            let is_known =
+                route.1.map_or_else(|| dests.contains_key(&route.0), |e| endpoints.contains_key(&e));
+            let Some(r) = all_routes.get(route).filter(|_| !is_known) else { return false };
+            let keep = r.in_flight > 0 || r.last_served.max(r.paused_until) + span > now;
+            if !keep {
+                all_routes.remove(route);
             }
-            kept
+            keep
         });
     }
 
-    /// Enters that operators took an endpoint out, or put it back; gives whether that is news, and whether
-    /// another endpoint of its route is in service.
-    pub(crate) fn set_out(&mut self, id: EndpointId, out: bool) -> (bool, bool) {
-        let news = if out { self.taken_out.insert(id) } else { self.taken_out.remove(&id) };
-        let Some(e) = self.endpoints.get_mut(&id) else { return (news, false) };
-        e.live = e.listed && !out;
+    /// Records that operators took an endpoint out of service or returned it. Returns whether this changes
+    /// the mark, and whether another endpoint of its route is live.
+    pub(crate) fn mark_service(&mut self, id: EndpointId, out_of_service: bool) -> (bool, bool) {
+        let changed =
+            if out_of_service { self.out_of_service.insert(id) } else { self.out_of_service.remove(&id) };
+        let Some(e) = self.endpoints.get_mut(&id) else { return (changed, false) };
+        e.live = e.listed && !out_of_service;
         let (dest, per_endpoint) = (e.dest, self.dests.get(&e.dest).is_some_and(|d| d.per_endpoint));
-        let other = |(o, e): (&EndpointId, &Endpoint)| *o != id && e.dest == dest && e.live;
-        (news, !per_endpoint && self.endpoints.iter().any(other))
+        let is_other = |(o, e): (&EndpointId, &Endpoint)| *o != id && e.dest == dest && e.live;
+        (changed, !per_endpoint && self.endpoints.iter().any(is_other))
     }
 
-    /// Enters what share a zone is sent, and whether it is tried.
+    /// Sets the share of a zone and whether it is probed.
     pub(crate) fn set_zone(&mut self, zone: u32, share: f64, probe: bool, exempt: &[DestinationId]) {
         let share = if share.is_finite() { share.clamp(0.0, 1.0) } else { 1.0 };
-        let lean = self.leans.entry(zone).or_insert_with(Lean::whole);
-        lean.turn(share, exempt);
+        let zone_share = self.zone_shares.entry(zone).or_insert_with(ZoneShare::full);
+        zone_share.change(share, exempt);
         if probe {
-            let there = self.endpoints.values().filter(|e| e.live && e.zone == zone);
-            lean.try_all(there.map(|e| e.dest));
-        } else if lean.is_whole() {
-            self.leans.remove(&zone);
+            let live = self.endpoints.values().filter(|e| e.live && e.zone == zone);
+            zone_share.probe_all(live.map(|e| e.dest));
+        } else if zone_share.is_full() {
+            self.zone_shares.remove(&zone);
         }
     }
 
-    /// A message came in: zones that are sent a part of their share gain of it.
+    /// Accrues the credit of zones with a reduced share for a new message.
     pub(crate) fn accrue_zones(&mut self, dest: DestinationId) {
         let Some(d) = self.dests.get(&dest) else { return };
         let live = || d.endpoints.iter().filter_map(|e| self.endpoints.get(e)).filter(|e| e.live);
         let all = live().count().max(1) as f64;
-        for (zone, lean) in &mut self.leans {
-            let there = live().filter(|e| e.zone == *zone).count();
-            if there > 0 {
-                lean.arrived(dest, there as f64 / all, || self.rng.f64());
+        for (zone, zone_share) in &mut self.zone_shares {
+            let in_zone = live().filter(|e| e.zone == *zone).count();
+            if in_zone > 0 {
+                zone_share.record_arrival(dest, in_zone as f64 / all, || self.rng.f64());
             }
         }
     }
 
-    /// A message is over: it leaves what waits, and is forgotten once no attempt of it is out.
+    /// Marks a message as done: it leaves the queue, and is dropped once no attempt of it is in flight.
     pub(crate) fn finish(&mut self, id: MessageId) {
         let Some(h) = self.held.get_mut(&id) else { return };
         if !h.done {
             h.done = true;
-            self.live -= 1;
+            self.open_count -= 1;
             self.dests.entry(h.dest).and_modify(|d| d.queue.retain(|&q| q != id));
         }
-        if h.out == 0 {
+        if h.in_flight == 0 {
             if let Some(k) = h.key.as_ref().and_then(|k| self.keys.get_mut(k)) {
                 k.0.retain(|&q| q != id);
             }
@@ -464,101 +522,110 @@
     }
 }
 
-/// What comes in is averaged over this long, in seconds: as a few messages of a thin stream take.
-const FLOW_SPAN: f64 = 20.0;
-/// So many calls count as much as what was known before of how late calls fare: one, since routes differ.
+/// The time constant in seconds of the average rate of incoming messages. It covers a few messages of a
+/// sparse stream.
+const ARRIVAL_SPAN_S: f64 = 20.0;
+/// The weight in calls of the prior in the life tables: only one, since routes differ.
 const PRIOR_WEIGHT: f64 = 1.0;
-/// Older calls than so many count half, so that a change of the network shows.
-const MEMORY: f64 = 32.0;
+/// The number of calls after which older ones lose half their weight, so that network changes show.
+const MAX_WEIGHT: f64 = 32.0;
 
-impl Late {
-    pub fn enter(&mut self, lost: bool, stage: usize, by: f64) {
+impl LifeTable {
+    /// Adds `by` calls that reached a stage.
+    pub fn add_reached(&mut self, lost: bool, stage: usize, count: f64) {
         let cell = &mut self.0[usize::from(lost)][stage];
-        cell.0 = (cell.0 + by).max(0.0);
-        if cell.0 > MEMORY {
+        cell.0 = (cell.0 + count).max(0.0);
+        if cell.0 > MAX_WEIGHT {
             *cell = (cell.0 / 2.0, cell.1 / 2.0);
         }
     }
 
-    /// The share of those that came to an age which were answered in it, where `prior` was known before.
-    pub fn share(&self, lost: usize, stage: usize, prior: f64) -> f64 {
-        let (came, answered) = self.0[lost][stage];
-        (answered + PRIOR_WEIGHT * prior) / (came + PRIOR_WEIGHT)
+    /// Returns the share of the calls that reached a stage which were answered in it, smoothed towards
+    /// `prior`.
+    pub fn answer_share(&self, lost: usize, stage: usize, prior: f64) -> f64 {
+        let (reached, answered) = self.0[lost][stage];
+        (answered + PRIOR_WEIGHT * prior) / (reached + PRIOR_WEIGHT)
     }
 
-    fn answered(&mut self, lost: bool, stage: usize) {
+    /// Adds a call that was answered in a stage.
+    fn add_answered(&mut self, lost: bool, stage: usize) {
         let cell = &mut self.0[usize::from(lost)][stage];
         cell.1 = (cell.1 + 1.0).min(cell.0);
     }
 
-    /// A call turned out to be lost at its present age.
-    pub fn lose(&mut self, stage: usize) {
+    /// Moves a call that has reached `stage` stages to the calls whose answers are presumed lost.
+    pub fn mark_lost(&mut self, stage: usize) {
         if stage > 0 {
-            self.enter(false, stage - 1, -1.0);
-            self.enter(true, stage - 1, 1.0);
+            self.add_reached(false, stage - 1, -1.0);
+            self.add_reached(true, stage - 1, 1.0);
         }
     }
 
-    /// How a call ended; what was called off tells nothing of its last age.
-    pub fn end(&mut self, c: &Call, outcome: Outcome) {
-        match (c.stage, outcome) {
+    /// Records how a call ended. A cancelled call is removed from its last stage, about which it shows
+    /// nothing.
+    pub fn record_end(&mut self, call: &Call, outcome: Outcome) {
+        match (call.late_stage, outcome) {
             (0, _) => {}
             (n, Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt) => {
-                self.answered(c.lost, n - 1)
+                self.add_answered(call.lost, n - 1)
+            }
+            (n, Outcome::Cancelled | Outcome::Moot | Outcome::NotSent) => {
+                self.add_reached(call.lost, n - 1, -1.0)
             }
-            (n, Outcome::Cancelled | Outcome::Moot | Outcome::NotSent) => self.enter(c.lost, n - 1, -1.0),
             _ => {}
         }
     }
 }
 
 impl Held {
-    /// Attempts made, as far as they count.
-    pub fn tries(&self) -> usize {
+    /// Returns the number of attempts that count.
+    pub fn attempt_count(&self) -> usize {
         self.attempts.len().saturating_sub(self.unsent as usize)
     }
 
-    /// What the settings say that the message earns if served at `t`.
-    pub fn worth(&self, set: &Settings, t: Micros) -> f64 {
-        let c = &set.classes[self.class];
-        let full = c.worth * if self.over_share { set.over_share_worth } else { 1.0 };
-        if t >= self.expires || t <= self.aim {
+    /// Returns the worth of the message if it is served at `t`.
+    pub fn worth_at(&self, settings: &Settings, t: Micros) -> f64 {
+        let class = &settings.classes[self.class];
+        let full = class.worth * if self.over_share { settings.over_share_worth } else { 1.0 };
+        if t >= self.expires || t <= self.due {
             return if t >= self.expires { 0.0 } else { full };
         }
-        let late = (t - self.aim) as f64;
-        full * match set.worth_decay {
-            WorthDecay::Halving => (-late / c.target_time as f64).exp2().max(c.late_share),
+        let late = (t - self.due) as f64;
+        full * match settings.worth_decay {
+            WorthDecay::Halving => (-late / class.target_time as f64).exp2().max(class.late_share),
             WorthDecay::Linear => {
-                1.0 - (1.0 - c.late_share) * (late / (c.deadline - c.target_time).max(1) as f64).min(1.0)
+                1.0 - (1.0 - class.late_share)
+                    * (late / (class.deadline - class.target_time).max(1) as f64).min(1.0)
             }
         }
     }
 }
 
 impl Dest {
-    /// How long a connection may have been idle to be used again.
-    pub fn trusted(&self, now: Micros) -> Micros {
-        if now < self.idle_safe.1 { self.idle_safe.0 } else { Micros::MAX }
+    /// Returns how long a connection may have been idle to be used.
+    pub fn max_idle(&self, now: Micros) -> Micros {
+        if now < self.trusted_idle.1 { self.trusted_idle.0 } else { Micros::MAX }
     }
 
-    /// The rate of what comes in for a route just now, messages a second.
-    pub fn flow(&self, now: Micros) -> f64 {
-        let age = now.saturating_sub(self.rate_at) as f64 / 1e6;
-        self.rate * (-age / FLOW_SPAN).exp() * self.part()
+    /// Returns the current rate of incoming messages for one route, per second.
+    pub fn arrival_rate(&self, now: Micros) -> f64 {
+        let age_s = now.saturating_sub(self.rate_updated) as f64 / 1e6;
+        self.average_rate * (-age_s / ARRIVAL_SPAN_S).exp() * self.route_share()
     }
 
-    /// A message came in.
-    pub fn arrived(&mut self, now: Micros) {
-        (self.rate, self.rate_at) = (self.flow(now) / self.part() + 1.0 / FLOW_SPAN, now);
+    /// Counts an incoming message.
+    pub fn record_arrival(&mut self, now: Micros) {
+        (self.average_rate, self.rate_updated) =
+            (self.arrival_rate(now) / self.route_share() + 1.0 / ARRIVAL_SPAN_S, now);
     }
 
-    /// A route's part of what comes in.
-    pub fn part(&self) -> f64 {
+    /// Returns the share of the incoming messages that falls to one route.
+    pub fn route_share(&self) -> f64 {
         if self.per_endpoint { 1.0 / self.endpoints.len().max(1) as f64 } else { 1.0 }
     }
 }
 
-/// A random generator is kept by its state, which is its seed.
+/// Serializes a random generator as its seed, which is its whole state.
 pub mod seed {
     use serde::{Deserialize, Deserializer, Serializer};
 
--- a/crates/policy/src/state/tests.rs
+++ b/crates/policy/src/state/tests.rs
@@ -1,14 +1,14 @@
-//! The encoded form of a state and of the events that are handed over with it, held against stored bytes.
+//! Compares the encoded form of a state, and of the events that are handed over with it, with stored bytes.
 
 use super::*;
 
-/// What stands in `form.bin` at [`crate::STATE_FORM`].
+/// The content of `form.bin`, of which [`crate::STATE_FORM`] is the hash.
 const STORED: &[u8] = include_bytes!("form.bin");
-/// The number of the form in `form.bin`, as recordings and hand-overs name it.
+/// The number of the form in `form.bin`, which recordings and hand-overs carry.
 const NUMBER: u64 = 0xc682_af35_e168_3869;
 
-/// One value of each variant. A variant without a value fails to compile.
-macro_rules! every {
+/// Returns one value of each variant. A variant without a value fails to compile.
+macro_rules! each_variant {
     ($type:ty: $($variant:pat => $value:expr),+ $(,)?) => {{
         let _ = |value: $type| match value { $($variant => ()),+ };
         vec![$($value),+]
@@ -16,7 +16,7 @@
 }
 
 fn outcomes() -> Vec<Outcome> {
-    every!(Outcome:
+    each_variant!(Outcome:
         Outcome::Served => Outcome::Served,
         Outcome::Failed => Outcome::Failed,
         Outcome::Full { wait: _ } => Outcome::Full { wait: Some(301) },
@@ -31,7 +31,7 @@
 }
 
 fn guards() -> Vec<Guard> {
-    every!(Guard:
+    each_variant!(Guard:
         Guard::Order => Guard::Order,
         Guard::Slots => Guard::Slots,
         Guard::Share => Guard::Share,
@@ -54,12 +54,12 @@
 }
 
 fn settings(list: ListMode, worth_decay: WorthDecay) -> Settings {
-    let effects = every!(Effect:
+    let effects = each_variant!(Effect:
         Effect::Idempotent => Effect::Idempotent,
         Effect::Deduplicated => Effect::Deduplicated,
         Effect::AtMostOnce => Effect::AtMostOnce,
     );
-    let groups = every!(DedupScope:
+    let groups = each_variant!(DedupScope:
         DedupScope::All => DedupScope::All,
         DedupScope::Zone => DedupScope::Zone,
         DedupScope::Endpoint => DedupScope::Endpoint,
@@ -121,7 +121,7 @@
 }
 
 fn entries() -> Vec<ListEntry> {
-    let phases = every!(Phase:
+    let phases = each_variant!(Phase:
         Phase::Live => Phase::Live,
         Phase::Draining => Phase::Draining,
         Phase::Gone => Phase::Gone,
@@ -137,7 +137,7 @@
 }
 
 fn events() -> Vec<Event> {
-    let lists = every!(ListUpdate:
+    let lists = each_variant!(ListUpdate:
         ListUpdate::Changes(_) => ListUpdate::Changes(entries()),
         ListUpdate::Whole(_) => ListUpdate::Whole(entries()),
         ListUpdate::Restored(_) => ListUpdate::Restored(entries()),
@@ -150,7 +150,7 @@
         is_final: true,
         allowance: Some(Allowance { left: 0.75, limit: 5.5 }),
     };
-    let mut events = every!(Event:
+    let mut events = each_variant!(Event:
         Event::Taken(_) => Event::Taken(message()),
         Event::Resumed { message: _, attempts: _, ran_ago: _ } =>
             Event::Resumed { message: message(), attempts: 523, ran_ago: Some((524, EndpointId(525))) },
@@ -175,7 +175,7 @@
 }
 
 fn actions() -> Vec<Action> {
-    every!(Action:
+    each_variant!(Action:
         Action::Send { id: _, endpoint: _, timeout: _, start_within: _, proven_only: _ } => Action::Send {
             id: MessageId(541),
             endpoint: EndpointId(542),
@@ -202,11 +202,11 @@
         dest: DestinationId(602),
         key: Some("held".into()),
         over_share: true,
-        aim: 603,
+        due: 603,
         expires: 604,
         attempts: vec![605, 606],
         unsent: 607,
-        out: 608,
+        in_flight: 608,
         ran_at: Some((609, EndpointId(611))),
         congested: true,
         done: false,
@@ -219,77 +219,83 @@
         route: (DestinationId(621), Some(EndpointId(622))),
         endpoint: EndpointId(623),
         sent: 624,
-        overdue: 625,
-        until: 626,
-        late: 627,
-        stage: 628,
+        overdue_at: 625,
+        timeout_at: 626,
+        late_after: 627,
+        late_stage: 628,
         idle: 629,
         open: 631,
-        judged: true,
-        cut: false,
-        chance: true,
-        called_off: false,
-        unheard: 632,
+        evaluated: true,
+        has_cut: false,
+        random_failure: true,
+        cancelled: false,
+        unproven: 632,
         lost: true,
     }
 }
 
-fn late(from: f64) -> Late {
+fn late(from: f64) -> LifeTable {
     let mut next = from;
     let mut count = || {
         next += 1.0;
         next
     };
-    Late(std::array::from_fn(|_| std::array::from_fn(|_| (count(), count()))))
+    LifeTable(std::array::from_fn(|_| std::array::from_fn(|_| (count(), count()))))
 }
 
-fn route(health: Health, cut_by: Outcome) -> Route {
+fn route(health: Breaker, cut_by: Outcome) -> Route {
     let mut latency = Latency::default();
     latency.observe(70_000);
     latency.observe(20_000);
-    let mut breaks = Breaks::default();
-    breaks.broke();
-    let mut rate = Rate::default();
+    let mut connection_failures = ConnectionFailures::default();
+    connection_failures.record_failure();
+    let mut rate = AdaptiveRate::default();
     for call in 0..5 {
-        rate.admitted(1_000_000 + call * 200_000);
+        rate.record_admitted(1_000_000 + call * 200_000);
     }
-    rate.refused(2_000_000, 1_900_000);
-    rate.sent(2_100_000);
+    rate.record_refused(2_000_000, 1_900_000);
+    rate.record_sent(2_100_000);
     Route {
         window: 7.5,
         last_cut: Some(701),
         cut_by: Some(cut_by),
         pace: 0.8125,
-        full_told: 702,
-        wait_known: 703,
-        wait_from: Some(704),
-        rest_until: 705,
-        told_until: 706,
+        refusal_note_at: 702,
+        known_wait_until: 703,
+        wait_reporter: Some(704),
+        paused_until: 705,
+        wait_until: 706,
         latency,
-        breaks,
+        connection_failures,
         rate,
-        health,
-        last_ok: 707,
-        fails: 708,
-        failed_at: 709,
+        breaker: health,
+        last_served: 707,
+        failures: 708,
+        last_failure: 709,
         errors: 711,
-        fulls: 712,
+        refusals: 712,
         credit: 1.5,
-        credit_at: 713,
-        heard: Some((714, 715)),
-        told: 716,
-        out: 717,
+        credit_updated: 713,
+        outage_report: Some((714, 715)),
+        last_note: 716,
+        in_flight: 717,
         lost: 718,
-        late: late(720.0),
+        life_table: late(720.0),
     }
 }
 
 fn routes() -> BTreeMap<RouteId, Route> {
-    let healths = every!(Health:
-        Health::Closed => Health::Closed,
-        Health::Open { since: _, until: _, failed: _, trial: _, ramp: _ } =>
-            Health::Open { since: 751, until: 752, failed: true, trial: Some(753), ramp: Some((754, 755)) },
-        Health::Ramp { since: _, gap: _ } => Health::Ramp { since: 756, gap: 757 },
+    let healths = each_variant!(Breaker:
+        Breaker::Closed => Breaker::Closed,
+        Breaker::Open { since: _, until: _, failed: _, probe: _, slow_start: _ } =>
+            Breaker::Open {
+                since: 751,
+                until: 752,
+                failed: true,
+                probe: Some(753),
+                slow_start: Some((754, 755)),
+            },
+        Breaker::SlowStart { since: _, gap: _ } => Breaker::SlowStart { since: 756, gap: 757 },
     );
     let routes = healths.into_iter().zip(outcomes().into_iter().cycle().skip(2));
     let ids = (761..).map(|n| (DestinationId(n), Some(EndpointId(n + 10))));
@@ -303,15 +309,15 @@
         kind: 803,
         live: true,
         listed: false,
-        cold_until: 804,
-        out: 805,
-        unheard: 806,
-        idle: vec![807, 808],
-        used: 809,
-        gap: 811,
-        answered: 812,
-        no_room: 813,
-        rests: BTreeMap::from([(None, (814, 815)), (Some(816), (817, 818))]),
+        warm_up_until: 804,
+        in_flight: 805,
+        unproven: 806,
+        idle_since: vec![807, 808],
+        last_used: 809,
+        use_gap: 811,
+        last_answer: 812,
+        refused_at: 813,
+        backoffs: BTreeMap::from([(None, (814, 815)), (Some(816), (817, 818))]),
     }
 }
 
@@ -322,34 +328,34 @@
         kind: 822,
         endpoints: vec![EndpointId(823)],
         queue: vec![MessageId(824), MessageId(825)],
-        idle_safe: (826, 827),
-        rate: 8.5,
-        rate_at: 828,
+        trusted_idle: (826, 827),
+        average_rate: 8.5,
+        rate_updated: 828,
     }
 }
 
-fn lean() -> Lean {
-    let mut lean = Lean::whole();
-    lean.turn(0.5, &[DestinationId(831)]);
-    lean.arrived(DestinationId(832), 0.5, || 0.25);
-    lean.try_all([DestinationId(833)].into_iter());
-    lean
+fn zone_share() -> ZoneShare {
+    let mut zone_share = ZoneShare::full();
+    zone_share.change(0.5, &[DestinationId(831)]);
+    zone_share.record_arrival(DestinationId(832), 0.5, || 0.25);
+    zone_share.probe_all([DestinationId(833)].into_iter());
+    zone_share
 }
 
-/// A state with something in each field. A field that is not named here fails to compile.
+/// Returns a state with a distinct value in each field. A field that is not named here fails to compile.
 fn sender(list: ListMode, worth_decay: WorthDecay) -> Sender {
     Sender {
-        set: settings(list, worth_decay),
+        settings: settings(list, worth_decay),
         rng: fastrand::Rng::with_seed(901),
         now: 902,
         held: BTreeMap::from([(MessageId(903), held())]),
-        live: 904,
+        open_count: 904,
         calls: BTreeMap::from([(905, call())]),
         next_call: 906,
         routes: routes(),
         endpoints: BTreeMap::from([(EndpointId(907), endpoint())]),
         dests: BTreeMap::from([(DestinationId(908), dest())]),
-        taken_out: BTreeSet::from([EndpointId(909)]),
+        out_of_service: BTreeSet::from([EndpointId(909)]),
         queued: BTreeSet::from([DestinationId(911)]),
         unlisted: Unlisted {
             endpoints: BTreeSet::from([EndpointId(912)]),
@@ -357,25 +363,26 @@
             routes: BTreeSet::from([(DestinationId(914), None)]),
         },
         keys: BTreeMap::from([("key".into(), (VecDeque::from([MessageId(915), MessageId(916)]), 917))]),
-        idle_safe: (918, 919),
-        scarce: vec![921, 922],
-        tenants: vec![(9.5, 923), (9.75, 924)],
-        out: actions(),
+        trusted_idle: (918, 919),
+        scarce_until: vec![921, 922],
+        tenant_buckets: vec![(9.5, 923), (9.75, 924)],
+        actions: actions(),
         watch_at: 925,
-        wake: Some(926),
-        late: late(930.0),
-        passed: BTreeSet::from([DestinationId(927)]),
-        leans: BTreeMap::from([(928, lean())]),
+        wake_at: Some(926),
+        life_table: late(930.0),
+        sent_this_turn: BTreeSet::from([DestinationId(927)]),
+        zone_shares: BTreeMap::from([(928, zone_share())]),
     }
 }
 
-/// Two states, so that each variant of the settings is there, and what is handed over or recorded with them.
+/// Encodes two states, which cover each variant of the settings, and what is handed over or recorded with
+/// them.
 fn encoded() -> Vec<u8> {
-    let lists = every!(ListMode:
+    let lists = each_variant!(ListMode:
         ListMode::Push => ListMode::Push,
         ListMode::Ask => ListMode::Ask,
     );
-    let fades = every!(WorthDecay:
+    let fades = each_variant!(WorthDecay:
         WorthDecay::Linear => WorthDecay::Linear,
         WorthDecay::Halving => WorthDecay::Halving,
     );
@@ -384,16 +391,16 @@
     postcard::to_allocvec(&(states, events(), holds)).expect("plain data")
 }
 
-/// A build reads the state of another one where both name the same number. A changed field, order of fields
-/// or variant would be read as something else: it changes these bytes, and with them the number.
+/// A build reads the state of another one if both have the same number. A changed field, order of fields or
+/// variant would be misread; it changes these bytes and thereby the number.
 ///
-/// After a change that is meant, `STATE_FORM_FILE=src/state/form.bin` writes the bytes anew, and the number
-/// that the next run prints belongs into [`NUMBER`].
+/// After an intended change, `STATE_FORM_FILE=src/state/form.bin` writes the new bytes, and the number that
+/// the next run prints is copied to [`NUMBER`].
 #[test]
-fn the_encoded_form_of_a_state_is_the_one_that_its_number_names() {
+fn the_encoded_form_of_a_state_matches_its_number() {
     let bytes = encoded();
     if let Ok(file) = std::env::var("STATE_FORM_FILE") {
-        std::fs::write(file, &bytes).expect("a file that can be written");
+        std::fs::write(file, &bytes).expect("a writable file");
     }
     let differs = bytes.iter().zip(STORED).position(|(now, stored)| now != stored);
     assert_eq!((bytes.len(), differs), (STORED.len(), None), "the form of the state has changed");
@@ -401,7 +408,7 @@
 }
 
 #[test]
-fn a_state_is_read_again_as_it_was_written() {
+fn the_stored_state_survives_a_round_trip() {
     type All = (Vec<Sender>, Vec<Event>, Vec<Hold>);
     let all: All = postcard::from_bytes(STORED).expect("the stored form");
     assert!(all.1 == events() && all.2.len() == guards().len());
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests share: settings, and a caller that feeds one sender and keeps what it did.
+//! Shared test support: settings, and a caller that drives one sender and records its actions.
 #![allow(dead_code)]
 
 use notchpoint_policy::*;
@@ -84,33 +84,34 @@
     pub timeout: Micros,
 }
 
-/// A caller's side: the clock, what is out, and all that was said.
+/// A test rig: the caller of one sender, with its clock, the attempts in flight and all actions so far.
 pub struct Rig {
     pub sender: Sender,
     pub now: Micros,
     pub in_flight: Vec<InFlight>,
     pub actions: Vec<(Micros, Action)>,
+    /// The number of attempts of each message.
     pub attempts: std::collections::BTreeMap<u64, u32>,
     pub wakes: Vec<Micros>,
     next: u64,
 }
 
 impl Rig {
-    /// One destination, number 1, of the kind given, with so many endpoints from 0 on.
+    /// Creates a rig with destination 1 of the given kind, whose endpoints are numbered from 0.
     pub fn new(settings: Settings, kind: u32, endpoints: u32) -> Self {
         Self::seeded(settings, kind, endpoints, 7)
     }
 
     pub fn seeded(settings: Settings, kind: u32, endpoints: u32, seed: u64) -> Self {
-        let sender = Sender::new(settings, seed).expect("sound settings");
+        let sender = Sender::new(settings, seed).expect("valid settings");
         let (in_flight, actions, wakes, attempts) = Default::default();
         let mut rig = Self { sender, now: 100 * SEC, in_flight, actions, attempts, wakes, next: 1 };
-        let known = (0..endpoints).map(|e| entry(e, 1, kind, Phase::Live)).collect();
-        rig.feed(&[Event::List(ListUpdate::Restored(known))]);
+        let entries = (0..endpoints).map(|e| entry(e, 1, kind, Phase::Live)).collect();
+        rig.feed(&[Event::List(ListUpdate::Restored(entries))]);
         rig
     }
 
-    /// Lets time pass until a call is out, some seconds at most.
+    /// Advances the clock until an attempt is in flight, by ten seconds at most.
     pub fn advance_until_sent(&mut self) {
         for _ in 0..200 {
             if !self.in_flight.is_empty() {
@@ -118,13 +119,14 @@
             }
             self.advance(50 * MS);
         }
-        panic!("nothing is sent");
+        panic!("nothing was sent");
     }
 
     pub fn list(&mut self, entries: Vec<ListEntry>) {
         self.feed(&[Event::List(ListUpdate::Changes(entries))]);
     }
 
+    /// Passes events to the sender and records its actions.
     pub fn feed(&mut self, events: &[Event]) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.handle(self.now, events, &mut actions);
@@ -150,7 +152,7 @@
         actions
     }
 
-    /// Lets time pass, waking the sender when it asked to be, and at the end.
+    /// Advances the clock, waking the sender when it requested that, and at the end.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         while let Some(&at) = self.wakes.iter().filter(|&&w| w > self.now && w <= end).min() {
@@ -173,6 +175,7 @@
         self.submit_to(class, 1, None, 20 * SEC)
     }
 
+    /// Submits `count` idempotent messages.
     pub fn submit_many(&mut self, count: u32) {
         for _ in 0..count {
             self.submit(IDEMPOTENT);
@@ -195,24 +198,24 @@
         outcome: Outcome,
         allowance: Option<Allowance>,
     ) -> Vec<Action> {
-        let at = self.in_flight.iter().position(|o| o.id == id).expect("the message is out");
+        let at = self.in_flight.iter().position(|o| o.id == id).expect("the message is in flight");
         let attempt = self.in_flight.remove(at).attempt;
         let is_final = outcome == Outcome::Served;
         self.feed(&[Event::Ended { id: MessageId(id), attempt, outcome, is_final, allowance }])
     }
 
-    /// Ends all that is out just now in the same way.
+    /// Ends all attempts that are in flight now with the same outcome.
     pub fn end_all(&mut self, outcome: Outcome) {
         for o in self.in_flight.clone() {
             self.end(o.id, outcome);
         }
     }
 
-    /// Serves so many of what is out, each after a tenth of a second.
+    /// Ends `count` attempts as served, one every 100 ms.
     pub fn serve(&mut self, count: u32) {
         for _ in 0..count {
             self.advance(100 * MS);
-            let id = self.in_flight.first().expect("something is out").id;
+            let id = self.in_flight.first().expect("an attempt is in flight").id;
             self.end(id, Outcome::Served);
         }
     }
@@ -229,15 +232,16 @@
         self.actions.iter().any(|(_, a)| matches!(a, Action::Fail { id: i } if i.0 == id))
     }
 
+    /// Returns how many final actions the sender took for a message.
     pub fn answer_count(&self, id: u64) -> usize {
-        let one = |a: &Action| {
+        let is_final = |a: &Action| {
             matches!(a, Action::Fail { id: i } if i.0 == id)
                 || matches!(a, Action::Refuse { id: i, .. } if i.0 == id)
         };
-        self.actions.iter().filter(|(_, a)| one(a)).count()
+        self.actions.iter().filter(|(_, a)| is_final(a)).count()
     }
 
-    pub fn log_has(&self, what: &str) -> bool {
-        self.actions.iter().any(|(_, a)| matches!(a, Action::Log(l) if l.contains(what)))
+    pub fn log_has(&self, text: &str) -> bool {
+        self.actions.iter().any(|(_, a)| matches!(a, Action::Log(l) if l.contains(text)))
     }
 }
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -1,5 +1,5 @@
-//! Arbitrary legal sequences of events, and an independent checker of the rules. Outcomes are scripted by the
-//! sequence; there is no model of a server.
+//! Arbitrary valid sequences of events and an independent checker of the rules. The sequence determines the
+//! outcomes; no server is simulated.
 #![allow(dead_code)]
 
 use super::common::{MS, SEC, entry};
@@ -9,7 +9,7 @@
 
 #[derive(Clone, Debug)]
 pub enum Step {
-    Take {
+    Submit {
         class: u32,
         dest: u64,
         key: u8,
@@ -27,16 +27,16 @@
         endpoint: u32,
         phase: u8,
     },
-    /// A note from another sender, maybe cut short, repeated or of no known form.
+    /// A note from another sender, possibly truncated, repeated or malformed.
     Note {
         from: u32,
-        word: u8,
+        code: u8,
         dest: u64,
         endpoint: u64,
         length: usize,
         times: usize,
     },
-    Pass {
+    Advance {
         ms: u64,
     },
 }
@@ -44,21 +44,21 @@
 pub fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
         4 => (0..4u32, 1..5u64, 0..3u8, 50..20_000u64)
-            .prop_map(|(class, dest, key, expires)| Step::Take { class, dest, key, expires }),
+            .prop_map(|(class, dest, key, expires)| Step::Submit { class, dest, key, expires }),
         4 => (any::<usize>(), 0..8u8, 0..3_000u64)
             .prop_map(|(pick, outcome, wait)| Step::End { pick, outcome, wait }),
         1 => any::<usize>().prop_map(|pick| Step::Withdraw { pick }),
         1 => (0..8u32, 0..3u8).prop_map(|(endpoint, phase)| Step::List { endpoint, phase }),
         1 => (0..9u32, 0..6u8, 0..6u64, 0..9u64, 0..24usize, 1..4usize).prop_map(
-            |(from, word, dest, endpoint, length, times)| {
-                Step::Note { from, word, dest, endpoint, length, times }
+            |(from, code, dest, endpoint, length, times)| {
+                Step::Note { from, code, dest, endpoint, length, times }
             }),
-        3 => (1..1_500u64).prop_map(|ms| Step::Pass { ms }),
+        3 => (1..1_500u64).prop_map(|ms| Step::Advance { ms }),
     ]
 }
 
 #[derive(Clone, Debug)]
-pub struct Try {
+pub struct Attempt {
     endpoint: u32,
     at: Micros,
     timeout: Micros,
@@ -66,34 +66,35 @@
 }
 
 #[derive(Debug)]
-pub struct Told {
+pub struct Submitted {
     class: u32,
     dest: u64,
     key: Option<u8>,
     expires: Micros,
     order: usize,
-    tries: Vec<Try>,
-    pub over: bool,
+    attempts: Vec<Attempt>,
+    pub done: bool,
 }
 
-/// Knows the rules and what happened, and nothing of how the sender decides.
+/// Checks the rules against the events and actions, without knowledge of how the sender decides.
 pub struct Checker {
     set: Settings,
     sender: Sender,
     now: Micros,
-    pub told: BTreeMap<u64, Told>,
+    pub messages: BTreeMap<u64, Submitted>,
     live: BTreeSet<u32>,
     waits: BTreeMap<(u64, u32), Micros>,
     key_rest: BTreeMap<u8, Micros>,
     wakes: BTreeSet<Micros>,
     pub trace: Vec<String>,
-    /// Who looks on: the clock, the events and actions of a turn, and the sender behind it.
-    pub watch: Option<Watch>,
+    /// An observer of each turn, which receives the clock, the events, the actions and the sender.
+    pub observer: Option<Observer>,
 }
 
-pub type Watch = Box<dyn FnMut(Micros, &[Event], &[Action], &Sender)>;
+pub type Observer = Box<dyn FnMut(Micros, &[Event], &[Action], &Sender)>;
 
-/// Destination d has endpoints 2d-2 and 2d-1; its kind is d modulo the kinds.
+/// Returns the destination of an endpoint. Destination d has the endpoints 2d-2 and 2d-1, and its kind is d
+/// modulo the number of kinds.
 pub fn owner(endpoint: u32) -> u64 {
     u64::from(endpoint / 2) + 1
 }
@@ -108,15 +109,15 @@
 
 impl Checker {
     pub fn new(set: Settings, seed: u64) -> Self {
-        Self::watched(set, seed, None)
+        Self::observed(set, seed, None)
     }
 
-    pub fn watched(set: Settings, seed: u64, watch: Option<Watch>) -> Self {
-        let sender = Sender::new(set.clone(), seed).expect("sound settings");
+    pub fn observed(set: Settings, seed: u64, observer: Option<Observer>) -> Self {
+        let sender = Sender::new(set.clone(), seed).expect("valid settings");
         let all = (0..8).map(|e| entry(e, owner(e), kind(owner(e), &set), Phase::Live)).collect();
-        let (told, waits, key_rest, wakes, trace) = Default::default();
+        let (messages, waits, key_rest, wakes, trace) = Default::default();
         let (now, live) = (50 * SEC, (0..8).collect());
-        let mut c = Self { set, sender, now, told, live, waits, key_rest, wakes, trace, watch };
+        let mut c = Self { set, sender, now, messages, live, waits, key_rest, wakes, trace, observer };
         c.feed(&[Event::List(ListUpdate::Restored(all))]);
         c
     }
@@ -130,8 +131,8 @@
     pub fn feed(&mut self, events: &[Event]) {
         let mut actions = Vec::new();
         self.sender.handle(self.now, events, &mut actions);
-        if let Some(watch) = &mut self.watch {
-            watch(self.now, events, &actions, &self.sender);
+        if let Some(observer) = &mut self.observer {
+            observer(self.now, events, &actions, &self.sender);
         }
         let mut calls: BTreeSet<(Micros, u32, usize)> = BTreeSet::new();
         for a in &actions {
@@ -141,21 +142,21 @@
                 Action::Refuse { id, .. } => self.answer(id.0, true),
                 Action::Fail { id } => self.answer(id.0, false),
                 Action::WakeAt(at) => {
-                    assert!(*at > self.now, "a wake in the past");
+                    assert!(*at > self.now, "a wake-up in the past");
                     self.wakes.insert(*at);
                 }
                 Action::Cancel { id, attempt } => {
-                    assert!(self.set.may_cancel && (*attempt as usize) < self.told[&id.0].tries.len());
+                    assert!(self.set.may_cancel && (*attempt as usize) < self.messages[&id.0].attempts.len());
                 }
                 Action::Probe { .. } => assert!(self.set.may_probe),
                 Action::Note { .. } => assert!(self.set.may_send_notes),
                 _ => {}
             }
         }
-        // Slots: messages of one turn to one endpoint of a bundling kind share a call.
+        // Messages of one turn to one endpoint share a call, and thus a slot, if the kind allows bundles.
         let (mut singles, mut per_dest) = (0, BTreeMap::<u64, usize>::new());
-        for (id, t) in &self.told {
-            for y in t.tries.iter().filter(|y| y.outcome.is_none()) {
+        for (id, t) in &self.messages {
+            for y in t.attempts.iter().filter(|y| y.outcome.is_none()) {
                 let bundles = self.set.kinds[kind(t.dest, &self.set) as usize].max_bundle > 1;
                 let tag = if bundles { usize::MAX } else { *id as usize };
                 if calls.insert((y.at, y.endpoint, tag)) {
@@ -166,81 +167,84 @@
         }
         assert!(singles <= self.set.slots as usize, "more calls than slots");
         let ceiling = (self.set.slots as f64 * 0.75).floor().max(1.0) as usize;
-        assert!(per_dest.values().all(|&n| n <= ceiling), "a destination over its share of the slots");
-        for (id, t) in &self.told {
-            assert!(t.over || self.now <= t.expires + 20 * MS, "message {id} was not answered in time");
+        assert!(per_dest.values().all(|&n| n <= ceiling), "a destination exceeds its share of the slots");
+        for (id, t) in &self.messages {
+            assert!(t.done || self.now <= t.expires + 20 * MS, "message {id} has no final status in time");
         }
     }
 
     fn send(&mut self, id: u64, endpoint: u32, timeout: Micros) {
-        let t = &self.told[&id];
-        assert!(!t.over, "sent after its end");
-        assert!(timeout > 0 && self.now < t.expires, "sent when its time was up");
+        let t = &self.messages[&id];
+        assert!(!t.done, "sent after its final status");
+        assert!(timeout > 0 && self.now < t.expires, "sent after its deadline");
         assert_eq!(owner(endpoint), t.dest, "sent to another destination");
-        assert!(self.live.contains(&endpoint), "sent to an endpoint that drains or is gone");
-        assert!(t.tries.len() < self.set.max_attempts as usize, "too many attempts");
-        assert!(t.tries.iter().all(|y| y.outcome.is_some()), "two attempts out");
+        assert!(self.live.contains(&endpoint), "sent to an endpoint that is draining or removed");
+        assert!(t.attempts.len() < self.set.max_attempts as usize, "too many attempts");
+        assert!(t.attempts.iter().all(|y| y.outcome.is_some()), "two attempts in flight");
         let class = &self.set.classes[t.class as usize];
-        let ran: Vec<&Try> = t.tries.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
+        let ran: Vec<&Attempt> = t.attempts.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
         match class.effect {
             Effect::Idempotent => {}
             Effect::AtMostOnce => {
-                assert!(ran.is_empty(), "an unsafe message that may have run is sent again")
+                assert!(ran.is_empty(), "an at-most-once message that may have run is sent again")
             }
             Effect::Deduplicated => {
                 if let Some(first) = ran.iter().map(|y| y.at).min() {
-                    assert!(self.now < first + class.dedup_window, "sent beyond the memory span");
+                    assert!(self.now < first + class.dedup_window, "sent after the deduplication window");
                 }
                 let zone = |e: u32| e % 2;
                 if class.dedup_scope == DedupScope::Zone {
-                    assert!(ran.iter().all(|y| zone(y.endpoint) == zone(endpoint)), "sent outside its group");
+                    assert!(
+                        ran.iter().all(|y| zone(y.endpoint) == zone(endpoint)),
+                        "sent outside its deduplication scope"
+                    );
                 }
             }
         }
         if let Some(k) = t.key {
-            let before = |o: &&Told| o.key == Some(k) && o.order < t.order;
-            for o in self.told.values().filter(before) {
-                assert!(o.over && o.tries.iter().all(|y| y.outcome.is_some()), "out of order");
+            let before = |o: &&Submitted| o.key == Some(k) && o.order < t.order;
+            for o in self.messages.values().filter(before) {
+                assert!(o.done && o.attempts.iter().all(|y| y.outcome.is_some()), "out of order");
             }
-            let own_rest = t.tries.iter().any(|y| y.outcome.is_some());
-            let rest = self.key_rest.get(&k).copied().unwrap_or(0);
-            assert!(own_rest || self.now >= rest, "the key rests");
+            let has_earlier_attempt = t.attempts.iter().any(|y| y.outcome.is_some());
+            let blocked_until = self.key_rest.get(&k).copied().unwrap_or(0);
+            assert!(has_earlier_attempt || self.now >= blocked_until, "sent while its key is blocked");
         }
         let wait = self.waits.get(&self.route(endpoint)).copied().unwrap_or(0);
-        assert!(self.now >= wait, "sent before the wait was over");
-        let t = Try { endpoint, at: self.now, timeout, outcome: None };
-        self.told.get_mut(&id).expect("known").tries.push(t);
+        assert!(self.now >= wait, "sent before the requested wait was over");
+        let t = Attempt { endpoint, at: self.now, timeout, outcome: None };
+        self.messages.get_mut(&id).expect("known").attempts.push(t);
     }
 
     fn answer(&mut self, id: u64, refusal: bool) {
-        let t = self.told.get_mut(&id).expect("known");
-        assert!(!t.over, "answered twice");
-        t.over = true;
+        let t = self.messages.get_mut(&id).expect("known");
+        assert!(!t.done, "two final statuses");
+        t.done = true;
         if !refusal {
             return;
         }
         let class = &self.set.classes[t.class as usize];
-        let clean = t.tries.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
+        let clean = t.attempts.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
         let allowed = match class.effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => clean,
             Effect::Deduplicated => clean || class.dedup_scope == DedupScope::All,
         };
-        assert!(allowed, "refused what may have run");
+        assert!(allowed, "refused a message that may have run");
     }
 
-    /// Ends an attempt and tells the sender.
+    /// Ends an attempt and reports that to the sender.
     pub fn end(&mut self, id: u64, n: usize, outcome: Outcome) {
         let now = self.now;
-        let t = self.told.get_mut(&id).expect("known");
-        t.tries[n].outcome = Some(outcome);
-        t.over |= outcome == Outcome::Served;
-        let (is_final, endpoint, key) = (t.over, t.tries[n].endpoint, t.key);
+        let t = self.messages.get_mut(&id).expect("known");
+        t.attempts[n].outcome = Some(outcome);
+        t.done |= outcome == Outcome::Served;
+        let (is_final, endpoint, key) = (t.done, t.attempts[n].endpoint, t.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
             && let Some(k) = key
         {
-            let rest = self.key_rest.entry(k).or_default();
-            *rest = (*rest).max(now + self.set.key_rest);
+            let blocked_until = self.key_rest.entry(k).or_default();
+            *blocked_until = (*blocked_until).max(now + self.set.key_rest);
         }
         if let Outcome::Full { wait: Some(w) } = outcome {
             let route = self.route(endpoint);
@@ -252,17 +256,17 @@
     }
 
     pub fn outstanding(&self) -> Vec<(u64, usize)> {
-        let open = |t: &Told| t.tries.iter().position(|y| y.outcome.is_none());
-        self.told.iter().filter_map(|(&id, t)| open(t).map(|n| (id, n))).collect()
+        let open = |t: &Submitted| t.attempts.iter().position(|y| y.outcome.is_none());
+        self.messages.iter().filter_map(|(&id, t)| open(t).map(|n| (id, n))).collect()
     }
 
-    /// Lets time pass: time-outs and wakes come when they are due.
+    /// Advances the clock; time-outs and wake-ups happen when they are due.
     pub fn advance(&mut self, span: Micros) {
         let end = self.now + span;
         loop {
             let out = self.outstanding();
             let due = |&(id, n): &(u64, usize)| {
-                let (t, y) = (&self.told[&id], &self.told[&id].tries[n]);
+                let (t, y) = (&self.messages[&id], &self.messages[&id].attempts[n]);
                 ((y.at + y.timeout).min(t.expires), id, n)
             };
             let time_out = out.iter().map(due).min().filter(|d| d.0 <= end);
@@ -285,12 +289,15 @@
 
     pub fn step(&mut self, step: &Step) {
         match *step {
-            Step::Take { class, dest, key, expires } => {
-                let (order, id) = (self.told.len(), self.told.len() as u64 + 1);
+            Step::Submit { class, dest, key, expires } => {
+                let (order, id) = (self.messages.len(), self.messages.len() as u64 + 1);
                 let in_order = self.set.classes[class as usize].in_order;
                 let (key, expires_in) = (in_order.then_some(key), expires * MS);
                 let expires = self.now + expires_in;
-                self.told.insert(id, Told { class, dest, key, expires, order, tries: vec![], over: false });
+                self.messages.insert(
+                    id,
+                    Submitted { class, dest, key, expires, order, attempts: vec![], done: false },
+                );
                 let key = key.map(|k| k.to_string().into_boxed_str());
                 let (id, dest, tenant) = (MessageId(id), DestinationId(dest), None);
                 let is_retry = false;
@@ -314,12 +321,13 @@
                 self.end(id, n, outcome);
             }
             Step::Withdraw { pick } => {
-                let open: Vec<u64> = self.told.iter().filter(|(_, t)| !t.over).map(|(&id, _)| id).collect();
+                let open: Vec<u64> =
+                    self.messages.iter().filter(|(_, t)| !t.done).map(|(&id, _)| id).collect();
                 if open.is_empty() {
                     return;
                 }
                 let id = open[pick % open.len()];
-                self.told.get_mut(&id).expect("known").over = true;
+                self.messages.get_mut(&id).expect("known").done = true;
                 self.feed(&[Event::Withdrawn(MessageId(id))]);
             }
             Step::List { endpoint, phase } => {
@@ -332,17 +340,17 @@
                 let e = entry(endpoint, owner(endpoint), kind(owner(endpoint), &self.set), phase);
                 self.feed(&[Event::List(ListUpdate::Changes(vec![e]))]);
             }
-            Step::Note { from, word, dest, endpoint, length, times } => {
-                let mut body = vec![0xd1, word];
+            Step::Note { from, code, dest, endpoint, length, times } => {
+                let mut body = vec![0xd1, code];
                 body.extend(dest.to_le_bytes());
-                // Of the length of a whole note for a route per_endpoint, for a destination, or neither.
+                // The length is that of a note about an endpoint, about a destination, or neither.
                 body.extend(endpoint.to_le_bytes());
                 body.truncate(if length > 18 { 10 } else { length });
                 for from in (from..).take(times) {
                     self.feed(&[Event::Note { from, body: body.clone() }]);
                 }
             }
-            Step::Pass { ms } => self.advance(ms * MS),
+            Step::Advance { ms } => self.advance(ms * MS),
         }
     }
 }
--- a/crates/policy/tests/breaks.rs
+++ b/crates/policy/tests/failed_connections.rs
@@ -1,16 +1,16 @@
-//! What broken connections and rests do to a destination: chance is no congestion, one moment is one event,
-//! and there is always a next trial.
+//! Tests of failed connections and backoffs: random failures are no congestion, simultaneous failures count
+//! once, and there is always a next call.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 use proptest::prelude::*;
 
-/// Calls that fill the window, each served after 100 ms, but each `every`-th broken; gives the calls out on
-/// average over the last ten seconds.
-fn load(every: u32, seconds: u32) -> f64 {
+/// Keeps the window full with calls that are served after 100 ms, of which every `every`-th is reset, and
+/// returns the mean number of calls in flight over the last ten seconds.
+fn mean_in_flight(every: u32, seconds: u32) -> f64 {
     let mut rig = Rig::new(settings(), 0, 2);
-    let (mut ended, mut sum, mut looks) = (0, 0.0, 0.0);
+    let (mut ended, mut sum, mut samples) = (0, 0.0, 0.0);
     for step in 0..seconds * 10 {
         while rig.sender.waiting_count() < 20 {
             rig.submit(IDEMPOTENT);
@@ -21,43 +21,48 @@
         }
         rig.advance(100 * MS);
         if step + 100 >= seconds * 10 {
-            (sum, looks) = (sum + rig.in_flight.len() as f64, looks + 1.0);
+            (sum, samples) = (sum + rig.in_flight.len() as f64, samples + 1.0);
         }
     }
-    sum / looks
+    sum / samples
 }
 
 #[test]
-fn two_per_cent_random_resets_at_full_load_leave_the_window() {
-    // Guards against a window at its floor because the network resets a connection now and then.
-    let out = load(50, 60);
-    assert!(out > 9.0, "{out} calls out of twelve");
+fn two_per_cent_random_resets_at_full_load_keep_the_window_open() {
+    // Guards against a window at its floor because the network resets a connection occasionally.
+    let in_flight = mean_in_flight(50, 60);
+    assert!(in_flight > 9.0, "{in_flight} of twelve calls in flight");
 }
 
 #[test]
-fn an_endpoint_that_resets_every_third_request_is_eased() {
-    let out = load(3, 60);
-    assert!(out < 4.0, "{out} calls out");
+fn resets_of_every_third_call_reduce_the_window() {
+    let in_flight = mean_in_flight(3, 60);
+    assert!(in_flight < 4.0, "{in_flight} calls in flight");
 }
 
 #[test]
-fn ten_calls_that_one_crash_resets_are_one_event() {
+fn calls_that_one_crash_resets_cut_the_window_once() {
     let mut rig = Rig::new(Settings { slots: 24, ..settings() }, 0, 2);
     rig.submit_many(80);
     rig.serve(24);
     rig.advance(50 * MS);
-    let out = rig.in_flight.len();
-    assert!(out >= 10, "{out}");
+    let in_flight = rig.in_flight.len();
+    assert!(in_flight >= 10, "{in_flight}");
     for o in rig.in_flight.clone() {
         rig.end(o.id, Outcome::Reset);
     }
     let window = rig.sender.route_views(None)[0].window;
-    assert!(window >= out as f64 / 2.0, "{window} after {out} calls out, {:?}", rig.sender.route_views(None));
+    assert!(
+        window >= in_flight as f64 / 2.0,
+        "{window} after {in_flight} calls in flight, {:?}",
+        rig.sender.route_views(None)
+    );
 }
 
 #[test]
-fn a_lost_answer_at_the_floor_renews_nothing() {
-    // Guards against a window at one call for good: one lost answer every few seconds renewed the cooldown.
+fn a_lost_answer_at_the_least_window_does_not_restart_the_cooldown() {
+    // Guards against a window that stays at one call because lost answers every few seconds restart the
+    // cooldown.
     let mut rig = Rig::new(settings(), 0, 1);
     rig.submit_many(2);
     rig.serve(2);
@@ -67,7 +72,7 @@
     rig.end(cut, Outcome::TimedOut);
     assert_eq!(rig.sender.route_views(None)[0].window, 1.0);
     let from = rig.now;
-    // For eight seconds every other call times out. Then the first ones served count.
+    // For eight seconds every other call times out. After that served calls raise the window.
     while rig.now < from + 8 * SEC {
         for outcome in [Outcome::TimedOut, Outcome::Served] {
             rig.advance(500 * MS);
@@ -80,7 +85,7 @@
     }
     rig.submit_many(4);
     rig.advance(2 * SEC);
-    // Its failures were an outage, so it is in slow start, and calls are some way apart.
+    // The failures count as an outage, so the destination is in slow start and calls are sparse.
     for _ in 0..3 {
         rig.advance_until_sent();
         rig.serve(1);
@@ -89,8 +94,8 @@
 }
 
 #[test]
-fn both_endpoints_die_in_one_moment_and_one_is_back_after_half_a_second() {
-    // Guards against both resting for eight seconds, since each broken call doubled a rest.
+fn one_of_two_failed_endpoints_is_used_soon_after_its_return() {
+    // Guards against backoffs of eight seconds at both endpoints because each failed call doubled them.
     let mut rig = Rig::new(settings(), 0, 2);
     rig.submit_many(60);
     rig.serve(20);
@@ -98,21 +103,22 @@
         rig.end(o.id, Outcome::Reset);
     }
     rig.advance(500 * MS);
-    let (back, from) = (1, rig.now);
+    let (returned, from) = (1, rig.now);
     while rig.now < from + 4 * SEC {
         for o in rig.in_flight.clone() {
-            let sound = o.endpoint == back;
-            rig.end(o.id, if sound { Outcome::Served } else { Outcome::ConnectFailed });
+            let serves = o.endpoint == returned;
+            rig.end(o.id, if serves { Outcome::Served } else { Outcome::ConnectFailed });
         }
         rig.advance(50 * MS);
     }
-    let served = rig.sender.route_views(None)[0].hold.is_none();
-    assert!(served && rig.sender.waiting_count() < 40, "{} wait", rig.sender.waiting_count());
+    let is_free = rig.sender.route_views(None)[0].hold.is_none();
+    assert!(is_free && rig.sender.waiting_count() < 40, "{} wait", rig.sender.waiting_count());
 }
 
 #[test]
-fn where_all_endpoints_rest_trials_go_on() {
-    // Guards against a destination that nobody tries for the eight seconds that both of its endpoints rest.
+fn probes_continue_while_all_endpoints_are_in_backoff() {
+    // Guards against a destination that receives no call for the eight seconds in which both endpoints are
+    // in backoff.
     let mut rig = Rig::new(Settings { max_attempts: 1_000, ..settings() }, 0, 2);
     for _ in 0..8 {
         rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
@@ -125,12 +131,12 @@
             (longest, last) = (longest.max(rig.now - last), rig.now);
         }
     }
-    assert!(longest < 3 * SEC, "nothing was tried for {} ms", longest / MS);
+    assert!(longest < 3 * SEC, "no call for {} ms", longest / MS);
 }
 
 #[test]
-fn an_endpoint_that_fails_one_class_is_tried_ever_more_rarely_with_it() {
-    // Guards against its rest being cut to one second: a message has few attempts, and each trial costs one.
+fn an_endpoint_that_fails_one_class_gets_fewer_and_fewer_calls_of_that_class() {
+    // Guards against a constant backoff of one second: a message has few attempts, and each retry costs one.
     let mut rig = Rig::new(Settings { max_attempts: 100, ..settings() }, 0, 1);
     let failing = rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
     for _ in 0..150 {
@@ -140,33 +146,33 @@
         }
         rig.advance(100 * MS);
     }
-    let tries = rig.attempts[&failing];
-    assert!((4..=8).contains(&tries), "{tries} tries in 15 s");
+    let attempts = rig.attempts[&failing];
+    assert!((4..=8).contains(&attempts), "{attempts} attempts in 15 s");
 }
 
-/// A trial comes so soon, whatever happened: the longest wait for a breaker's trial, for a rest after
-/// refusals and for credit, one behind the other.
+/// The longest time without a call: the longest waits for a breaker's probe, for the backoff after refusals
+/// and for credit, one after the other.
 const BOUND: Micros = 9 * SEC;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
-    /// The randomised search: after any course of outcomes, a destination with a live endpoint and a safe
-    /// message that may be sent gets a call within the bound.
+    /// After any sequence of outcomes, a destination with a live endpoint and an idempotent message that may
+    /// be sent receives a call within the bound.
     #[test]
-    fn there_is_always_a_next_trial(
+    fn there_is_always_a_next_call(
         steps in prop::collection::vec((0u8..8, 0u64..700), 1..120),
         endpoints in 1u32..4,
         per_endpoint in any::<bool>(),
     ) {
         let set = Settings { max_attempts: 1_000, ..settings() };
         let mut rig = Rig::new(set, u32::from(per_endpoint), endpoints);
-        for (what, ms) in steps {
+        for (event, ms) in steps {
             rig.advance(ms * MS);
             if rig.sender.waiting_count() < 8 {
                 rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
             }
-            let outcome = match what {
+            let outcome = match event {
                 0 | 1 => Outcome::Served,
                 2 => Outcome::Reset,
                 3 => Outcome::ConnectFailed,
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -1,58 +1,61 @@
-//! Many senders, few slots, thin traffic: what one sender may do is bounded by what all together do.
+//! Tests of many senders with few slots and sparse traffic, whose calls add up at the destinations.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 
-fn thin(senders: u32) -> Settings {
+fn sparse(senders: u32) -> Settings {
     Settings { slots: 3, senders, overload_factor: 2.0, warm_up: 10 * SEC, start_capacity: 0.2, ..settings() }
 }
 
-/// Many senders before destination 1, which refuses connections until `back` and serves from then on. Each
-/// has its part of what comes in, seven messages a second.
+/// Many senders for destination 1, which refuses connections until `return_at` and serves from then on.
+/// Together they receive seven messages per second.
 struct Fleet {
     senders: u64,
     seed: u64,
-    back: Micros,
-    /// Played for so long after that.
+    return_at: Micros,
+    /// The simulated time after the return.
     after: Micros,
-    /// One of so many begins anew two seconds after the return, and knows nothing of the outage; 0 for none.
-    restarted: u64,
-    /// For its last twenty seconds down it turns calls away, and tells all to wait until it is back.
-    waits: bool,
-    /// Senders write notes to each other, and each that hears one loses so many of a hundred.
+    /// One of this many senders restarts two seconds after the return, without knowledge of the outage; 0
+    /// for none.
+    restart_one_of: u64,
+    /// In the last twenty seconds of the outage the destination refuses calls and asks to wait until it
+    /// returns.
+    asks_to_wait: bool,
+    /// The percentage of notes that each receiver loses; `None` if the senders exchange no notes.
     lost: Option<u64>,
 }
 
 impl Fleet {
     fn of(senders: u64, seed: u64) -> Self {
-        // Each has had a message, and seen the outage, before it ends.
-        let back = 30 * SEC + senders * SEC / 7;
-        Self { senders, seed, back, after: 10 * SEC, restarted: 0, waits: false, lost: None }
+        // Each sender has had a message and detected the outage before the return.
+        let return_at = 30 * SEC + senders * SEC / 7;
+        Self { senders, seed, return_at, after: 10 * SEC, restart_one_of: 0, asks_to_wait: false, lost: None }
     }
 
-    /// The moments of all calls but those of senders that began anew, from the return on: before it they are
-    /// below nought.
-    fn play(&self) -> Vec<i64> {
+    /// Simulates the senders and returns the times of all calls except those of restarted senders, relative
+    /// to the return; times before it are negative.
+    fn run(&self) -> Vec<i64> {
         let gap = self.senders * SEC / 7;
-        let set = || Settings { may_send_notes: self.lost.is_some(), ..thin(self.senders as u32) };
-        let seeded = |n: u64, life: u64| Rig::seeded(set(), 0, 1, self.seed * 1_000 + 2 * n + life);
+        let settings = || Settings { may_send_notes: self.lost.is_some(), ..sparse(self.senders as u32) };
+        let new_rig =
+            |n: u64, restarts: u64| Rig::seeded(settings(), 0, 1, self.seed * 1_000 + 2 * n + restarts);
         let mut rigs: Vec<(Rig, Micros, bool)> =
-            (0..self.senders).map(|n| (seeded(n, 0), gap * n / self.senders, false)).collect();
-        let mut dice = fastrand::Rng::with_seed(self.seed);
+            (0..self.senders).map(|n| (new_rig(n, 0), gap * n / self.senders, false)).collect();
+        let mut random = fastrand::Rng::with_seed(self.seed);
         let (mut calls, mut notes) = (Vec::new(), Vec::<(u32, Vec<u8>)>::new());
         let mut now = 0;
-        while now < self.back + self.after {
+        while now < self.return_at + self.after {
             now += 50 * MS;
-            let (heard, up) = (std::mem::take(&mut notes), now >= self.back);
-            for (n, (rig, next, anew)) in rigs.iter_mut().enumerate() {
-                let restarts = self.restarted > 0 && (n as u64).is_multiple_of(self.restarted);
-                if restarts && !*anew && now >= self.back + 2 * SEC {
-                    (*rig, *anew) = (seeded(n as u64, 1), true);
+            let (received, is_up) = (std::mem::take(&mut notes), now >= self.return_at);
+            for (n, (rig, next, has_restarted)) in rigs.iter_mut().enumerate() {
+                let is_restarted = self.restart_one_of > 0 && (n as u64).is_multiple_of(self.restart_one_of);
+                if is_restarted && !*has_restarted && now >= self.return_at + 2 * SEC {
+                    (*rig, *has_restarted) = (new_rig(n as u64, 1), true);
                     rig.now += now - 50 * MS;
                 }
-                for (from, body) in heard.iter().filter(|(from, _)| *from != n as u32) {
-                    if dice.u64(..100) >= self.lost.unwrap_or(0) {
+                for (from, body) in received.iter().filter(|(from, _)| *from != n as u32) {
+                    if random.u64(..100) >= self.lost.unwrap_or(0) {
                         note(rig, *from, body);
                     }
                 }
@@ -62,15 +65,15 @@
                     *next += gap;
                 }
                 for o in rig.in_flight.clone() {
-                    if !*anew {
-                        calls.push(now as i64 - self.back as i64);
+                    if !*has_restarted {
+                        calls.push(now as i64 - self.return_at as i64);
                     }
-                    let told = self.waits && now + 20 * SEC >= self.back;
+                    let asks_to_wait = self.asks_to_wait && now + 20 * SEC >= self.return_at;
                     rig.end(
                         o.id,
-                        match (up, told) {
+                        match (is_up, asks_to_wait) {
                             (true, _) => Outcome::Served,
-                            (false, true) => Outcome::Full { wait: Some(self.back - now) },
+                            (false, true) => Outcome::Full { wait: Some(self.return_at - now) },
                             (false, false) => Outcome::ConnectFailed,
                         },
                     );
@@ -83,47 +86,53 @@
     }
 }
 
-/// Calls a second between two moments.
+/// Returns the calls per second between two times.
 fn rate(calls: &[i64], from: Micros, to: Micros) -> f64 {
     let n = calls.iter().filter(|&&t| t >= from as i64 && t < to as i64).count();
     n as f64 / ((to - from) as f64 / SEC as f64)
 }
 
 #[test]
-fn hundreds_of_senders_together_do_not_push_a_returning_destination() {
-    // Seven messages a second come in; the destination can do ten a second when warm, two when it comes back.
+fn many_senders_together_do_not_overload_a_returning_destination() {
+    // Seven messages per second arrive; the destination serves ten per second when warm and two at its
+    // return.
     for (lost, least) in [(None, 9.0), (Some(0), 12.0), (Some(50), 12.0)] {
-        let fleet = Fleet { back: 30 * SEC, after: 30 * SEC, lost, ..Fleet::of(100, 1) };
-        let calls = fleet.play();
-        let before: Vec<i64> = calls.iter().map(|t| t + fleet.back as i64).collect();
-        let seen = rate(&before, 0, 10 * SEC);
-        // Who has heard of it sends no more than trials.
-        assert_eq!(seen > 5.0, lost.is_none(), "who has seen nothing fail sends: {seen}, notes {lost:?}");
+        let fleet = Fleet { return_at: 30 * SEC, after: 30 * SEC, lost, ..Fleet::of(100, 1) };
+        let calls = fleet.run();
+        let before: Vec<i64> = calls.iter().map(|t| t + fleet.return_at as i64).collect();
+        let call_rate = rate(&before, 0, 10 * SEC);
+        // Senders that have received notes send only probes.
+        assert_eq!(
+            call_rate > 5.0,
+            lost.is_none(),
+            "{call_rate} calls per second in the outage, notes {lost:?}"
+        );
         for second in 0..4 {
             let from = second * SEC;
-            // Twice what it can do within two seconds pushes it over; some slack for chance.
-            let can = 10.0 * (0.2 + 0.8 * second as f64 / 10.0);
+            // Twice its capacity within two seconds overloads it; the bound leaves some slack for chance.
+            let capacity = 10.0 * (0.2 + 0.8 * second as f64 / 10.0);
             let came = rate(&calls, from, from + 2 * SEC);
-            assert!(came < 2.0 * can * 1.5, "second {second}: {came}, notes {lost:?}");
+            assert!(came < 2.0 * capacity * 1.5, "second {second}: {came}, notes {lost:?}");
         }
-        assert!(rate(&calls, 0, 10 * SEC) > 1.0, "it comes back all the same");
-        // What was held meanwhile is not left to run out: more goes than the seven a second that come in.
-        // Where senders tell each other, nearly all that the destination can do meanwhile; where each has
-        // to find out by a trial of its own, and these may not push it over, no more than has been found by
-        // then.
-        let ramp = rate(&calls, 4 * SEC, 14 * SEC);
+        assert!(rate(&calls, 0, 10 * SEC) > 1.0, "calls resume");
+        // Held messages are sent before they expire: more than the seven per second that arrive. With notes
+        // the senders use nearly the whole capacity of the destination. Without notes each sender has to
+        // detect the return by a probe of its own, and probes must not overload the destination, so less is
+        // used.
+        let slow_start = rate(&calls, 4 * SEC, 14 * SEC);
         assert!(
-            ramp > least,
-            "a destination that refused nothing is used by what it can do: {ramp}, notes {lost:?}"
+            slow_start > least,
+            "a destination without refusals is used up to its capacity: {slow_start}, notes {lost:?}"
         );
-        assert!(rate(&calls, 20 * SEC, 30 * SEC) > 4.0, "and is used again in full");
+        assert!(rate(&calls, 20 * SEC, 30 * SEC) > 4.0, "it is fully used again");
     }
 }
 
 #[test]
-fn a_cold_destination_gets_what_it_can_bear_from_all_senders_together() {
-    // Beyond what the settings allow in a window, only twice its root and two are chance.
-    let set = thin(1);
+fn many_senders_together_do_not_overload_a_destination_in_slow_start() {
+    // The bound exceeds the calls that the settings allow in a window by twice their square root plus two,
+    // for chance.
+    let set = sparse(1);
     let window = set.overload_after;
     for (senders, seeds) in [(10, 1..=6), (20, 1..=6), (30, 1..=6), (100, 1..=2), (300, 1..=1)] {
         let cases = [
@@ -135,22 +144,22 @@
             (0, false, Some(50)),
             (3, true, Some(50)),
         ];
-        for (restarted, waits, lost) in cases {
+        for (restart_one_of, asks_to_wait, lost) in cases {
             for seed in seeds.clone() {
-                let calls = Fleet { restarted, waits, lost, ..Fleet::of(senders, seed) }.play();
+                let calls = Fleet { restart_one_of, asks_to_wait, lost, ..Fleet::of(senders, seed) }.run();
                 for from in (0..8 * SEC).step_by(100_000) {
                     let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
-                    // Ten a second when warm; what it can do grows evenly meanwhile.
+                    // It serves ten per second when warm; its capacity grows linearly meanwhile.
                     let warm = (from as f64 / set.warm_up as f64).min(1.0);
-                    let can = 10.0 * (set.start_capacity + (1.0 - set.start_capacity) * warm);
-                    let n = set.overload_factor * can * window as f64 / SEC as f64;
-                    let most = n + 2.0 * n.sqrt() + 2.0;
+                    let capacity = 10.0 * (set.start_capacity + (1.0 - set.start_capacity) * warm);
+                    let allowed = set.overload_factor * capacity * window as f64 / SEC as f64;
+                    let max = allowed + 2.0 * allowed.sqrt() + 2.0;
                     let ms = from / MS;
                     assert!(
-                        came <= most,
-                        "{senders} senders, seed {seed}, one of {restarted} anew, waits {waits}, notes \
-                         {lost:?}: {came} calls from {ms} ms on, where {n:.1} are allowed and {most:.1} are \
-                         chance"
+                        came <= max,
+                        "{senders} senders, seed {seed}, restarts {restart_one_of}, waits {asks_to_wait}, \
+                         notes {lost:?}: {came} calls from {ms} ms on, where {allowed:.1} are allowed and \
+                         {max:.1} may occur by chance"
                     );
                 }
             }
@@ -158,37 +167,38 @@
     }
 }
 
-/// Calls that a cold destination bears in a window in which the settings allow so many.
-fn borne(allowed: f64) -> f64 {
-    let times = if allowed < 30.0 { 3.0 } else { 2.0 };
-    allowed + times * allowed.sqrt() + times
+/// Returns the calls that a destination in slow start tolerates in a window in which the settings allow
+/// `allowed`.
+fn tolerated(allowed: f64) -> f64 {
+    let factor = if allowed < 30.0 { 3.0 } else { 2.0 };
+    allowed + factor * allowed.sqrt() + factor
 }
 
 #[test]
-fn a_cold_destination_gets_what_it_can_bear_from_one_sender_and_from_a_few() {
-    let set = thin(1);
+fn few_senders_do_not_overload_a_destination_in_slow_start() {
+    let set = sparse(1);
     let window = set.overload_after;
     let mut worst = (0.0, String::new());
     for senders in [1, 2, 3, 5, 8] {
-        for (restarted, waits, lost) in
+        for (restart_one_of, asks_to_wait, lost) in
             [(0, false, None), (0, true, None), (2, false, Some(0)), (0, true, Some(50))]
         {
-            // What the destination can do for the seven that come in: plenty, and hardly more.
+            // The destination serves many more than the seven calls per second that arrive, or hardly more.
             for (seed, warm_rate) in (1..=6).flat_map(|seed| [10.0, 8.4, 7.0].map(|rate| (seed, rate))) {
-                let calls = Fleet { restarted, waits, lost, ..Fleet::of(senders, seed) }.play();
+                let calls = Fleet { restart_one_of, asks_to_wait, lost, ..Fleet::of(senders, seed) }.run();
                 for from in (0..8 * SEC).step_by(100_000) {
                     let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
                     let warm = (from as f64 / set.warm_up as f64).min(1.0);
-                    let can = warm_rate * (set.start_capacity + (1.0 - set.start_capacity) * warm);
-                    let most = borne(set.overload_factor * can * window as f64 / SEC as f64);
-                    if came / most > worst.0 {
+                    let capacity = warm_rate * (set.start_capacity + (1.0 - set.start_capacity) * warm);
+                    let max = tolerated(set.overload_factor * capacity * window as f64 / SEC as f64);
+                    if came / max > worst.0 {
                         let ms = from / MS;
                         worst = (
-                            came / most,
+                            came / max,
                             format!(
-                                "{senders} senders, seed {seed}, {warm_rate} a second when warm, one of \
-                                 {restarted} anew, waits {waits}, notes {lost:?}: {came} calls from {ms} ms \
-                                 on, where {most:.1} are borne"
+                                "{senders} senders, seed {seed}, {warm_rate} per second when warm, restarts \
+                                 {restart_one_of}, waits {asks_to_wait}, notes {lost:?}: {came} calls from \
+                                 {ms} ms on, where {max:.1} are tolerated"
                             ),
                         );
                     }
@@ -200,10 +210,11 @@
 }
 
 #[test]
-fn a_destination_that_refused_before_its_outage_is_begun_with_more_slowly() {
-    // Two messages a second, more than are let through: calls in the six seconds after it is back.
+fn a_destination_that_refused_before_its_outage_gets_fewer_calls_at_first() {
+    // Two messages per second arrive, more than are sent. The calls in the six seconds after the return are
+    // counted.
     let calls = |refused: bool| {
-        let mut rig = Rig::new(Settings { max_held: 2000, ..thin(2) }, 0, 1);
+        let mut rig = Rig::new(Settings { max_held: 2000, ..sparse(2) }, 0, 1);
         for n in 0..60 {
             rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
             rig.end_all(if refused && n == 30 { Outcome::Full { wait: None } } else { Outcome::Served });
@@ -221,8 +232,8 @@
         }
         counted
     };
-    let (sound, full) = (calls(false), calls(true));
-    assert!(sound > full, "{sound} and {full}");
+    let (without_refusal, with_refusal) = (calls(false), calls(true));
+    assert!(without_refusal > with_refusal, "{without_refusal} and {with_refusal}");
 }
 
 fn note(rig: &mut Rig, from: u32, body: &[u8]) -> Vec<Action> {
@@ -234,9 +245,9 @@
     rig.actions.iter().filter_map(|(_, a)| one(a)).collect()
 }
 
-/// A sender's own words: that destination 1 fails, and that it serves again.
-fn words() -> [Vec<u8>; 2] {
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
+/// Returns a sender's notes that destination 1 fails and that it serves again.
+fn down_and_up_notes() -> [Vec<u8>; 2] {
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
     for _ in 0..2 {
         rig.submit(IDEMPOTENT);
         rig.end_all(Outcome::TimedOut);
@@ -245,21 +256,21 @@
     rig.submit_many(20);
     rig.advance(20 * SEC);
     rig.end_all(Outcome::Served);
-    let said = notes(&rig);
-    assert_eq!(said.len(), 2, "one word of each, not one for each call: {said:?}");
-    [said[0].clone(), said[1].clone()]
+    let sent = notes(&rig);
+    assert_eq!(sent.len(), 2, "one note of each kind, not one for each call: {sent:?}");
+    [sent[0].clone(), sent[1].clone()]
 }
 
 #[test]
-fn two_senders_word_opens_the_breaker_and_one_served_call_ends_it() {
-    let [down, up] = words();
-    let set = || Settings { may_send_notes: true, ..thin(9) };
+fn notes_of_two_senders_open_the_breaker_and_one_of_a_served_call_closes_it() {
+    let [down, up] = down_and_up_notes();
+    let set = || Settings { may_send_notes: true, ..sparse(9) };
     let mut rig = Rig::new(set(), 0, 1);
     note(&mut rig, 1, &down);
     note(&mut rig, 1, &down);
     let one = rig.submit(IDEMPOTENT);
-    assert!(rig.is_in_flight(one), "one sender's word, even said twice, holds nothing back");
-    // A trial is let through now and then, by chance: of many senders most hold back.
+    assert!(rig.is_in_flight(one), "notes of one sender, even two of them, do not open the breaker");
+    // Some senders send a probe at once, by chance; most of them hold the message.
     let mut held = 0;
     for seed in 0..40 {
         let mut rig = Rig::seeded(set(), 0, 1, seed);
@@ -270,18 +281,18 @@
             held += 1;
             note(&mut rig, 3, &up);
             rig.advance(10 * MS);
-            assert!(rig.is_in_flight(one), "back within three seconds: a false alarm, no ramp");
+            assert!(rig.is_in_flight(one), "served within three seconds: a false alarm without a slow start");
         }
     }
-    assert!(held >= 28, "a heard-of outage counts like a seen one: {held} of 40 held back");
+    assert!(held >= 28, "a reported outage counts like an observed one: {held} of 40 held");
 }
 
 #[test]
-fn who_finds_an_outage_late_does_not_take_it_for_a_short_one() {
-    // Each of many senders sees little of a destination, so it fails for seconds before the first of its
-    // calls does. Sent at once, what they all hold pushes it over.
-    let [_, up] = words();
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
+fn an_outage_that_is_detected_late_does_not_count_as_short() {
+    // Each of many senders makes few calls, so a destination may be down for seconds before the first call
+    // of a sender fails. Guards against all of them sending their held messages at once and overloading it.
+    let [_, up] = down_and_up_notes();
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
     rig.submit(IDEMPOTENT);
     rig.advance(50 * MS);
     rig.end_all(Outcome::Served);
@@ -291,7 +302,7 @@
         rig.end_all(Outcome::ConnectFailed);
         rig.advance(100 * MS);
     }
-    assert!(rig.log_has("held back"), "it knows of the outage");
+    assert!(rig.log_has("paused"), "it has detected the outage");
     rig.end_all(Outcome::ConnectFailed);
     note(&mut rig, 3, &up);
     let mut sent = rig.in_flight.len();
@@ -300,20 +311,20 @@
         rig.advance(20 * MS);
         sent += rig.in_flight.len();
     }
-    assert!(sent <= 2, "{sent} calls in the first moment");
+    assert!(sent <= 2, "{sent} calls at the start");
 }
 
 #[test]
-fn a_moment_of_silence_does_not_end_a_slow_start() {
-    // What partners see: a destination that came back cold answers slowly for a moment, and 2.7 s after its
-    // return it gets 164 calls for 96 that it bears, from all senders alike. Seen by the soak (seed 2111 with
-    // hand-overs and 60 troubles, in each of five plays; endpoint 4 is back at 9.0 s and slow from 9.7 to
-    // 11.3 s). Why: a silent call held the route back, and the next one that was served ended what held it
-    // back and the ramp before that with it. The rig's list of callers showed all senders with 10 to 15 calls
-    // each at the moment in which the endpoint was quick again.
-    let [_, up] = words();
+fn a_short_silence_does_not_end_a_slow_start() {
+    // Guards against an overloaded destination: one in slow start answered slowly for a short time, and 2.7
+    // s after its return it got 164 calls where it tolerates 96, from all senders alike. A silent call
+    // opened the breaker, and the next served call closed it and ended the slow start as well. The soak
+    // showed this (seed 2111 with hand-overs and 60 troubles, in each of five runs; endpoint 4 returned at
+    // 9.0 s and was slow from 9.7 to 11.3 s), with 10 to 15 calls of each sender when the endpoint was fast
+    // again.
+    let [_, up] = down_and_up_notes();
     for by_note in [false, true] {
-        let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
+        let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
         rig.submit(IDEMPOTENT);
         rig.advance(50 * MS);
         rig.end_all(Outcome::Served);
@@ -324,10 +335,10 @@
         }
         rig.advance_until_sent();
         rig.end_all(Outcome::Served);
-        // It is back, and cold. The next call is answered late.
+        // The destination has returned and is in slow start. The next call is answered late.
         rig.advance_until_sent();
         rig.advance(1_200 * MS);
-        assert!(rig.log_has("silent"), "it is held back again");
+        assert!(rig.log_has("no answer"), "the breaker is open again");
         if by_note {
             note(&mut rig, 3, &up);
         }
@@ -337,14 +348,14 @@
             rig.advance(20 * MS);
             sent += rig.in_flight.len();
         }
-        assert!(sent <= 2, "by a note: {by_note}; {sent} calls in the first moment");
+        assert!(sent <= 2, "by a note: {by_note}; {sent} calls at the start");
     }
 }
 
 #[test]
-fn without_leave_notes_are_neither_written_nor_heeded() {
-    let [down, _] = words();
-    let mut rig = Rig::new(thin(9), 0, 1);
+fn notes_that_are_not_allowed_are_neither_sent_nor_processed() {
+    let [down, _] = down_and_up_notes();
+    let mut rig = Rig::new(sparse(9), 0, 1);
     note(&mut rig, 1, &down);
     note(&mut rig, 2, &down);
     let one = rig.submit(IDEMPOTENT);
@@ -357,19 +368,19 @@
 }
 
 #[test]
-fn what_is_no_note_or_speaks_of_the_unknown_is_passed_over() {
-    let [down, up] = words();
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(9) }, 0, 1);
-    for word in [down, up] {
-        for length in 0..word.len() {
-            note(&mut rig, 1, &word[..length]);
-            note(&mut rig, 2, &word[..length]);
+fn malformed_notes_and_notes_about_unknown_routes_are_ignored() {
+    let [down, up] = down_and_up_notes();
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
+    for valid in [down, up] {
+        for length in 0..valid.len() {
+            note(&mut rig, 1, &valid[..length]);
+            note(&mut rig, 2, &valid[..length]);
         }
-        for byte in 0..word.len() {
-            let mut other = word.clone();
-            other[byte] ^= 0x55;
-            note(&mut rig, 1, &other);
-            note(&mut rig, 2, &other);
+        for byte in 0..valid.len() {
+            let mut changed = valid.clone();
+            changed[byte] ^= 0x55;
+            note(&mut rig, 1, &changed);
+            note(&mut rig, 2, &changed);
         }
     }
     note(&mut rig, 1, &[0xff; 256]);
@@ -378,10 +389,10 @@
 }
 
 #[test]
-fn a_drowned_limit_is_left_alone_until_it_serves() {
-    // Refusals that told a wait, one after the other: ever fewer tries, though each wait is short.
-    let tries = |outcome: Outcome| {
-        let mut rig = Rig::new(thin(100), 0, 1);
+fn an_overwhelmed_limit_gets_fewer_and_fewer_calls_until_it_serves() {
+    // A series of refusals reduces the calls although each requested wait is short.
+    let count_calls = |outcome: Outcome| {
+        let mut rig = Rig::new(sparse(100), 0, 1);
         let mut calls = 0;
         for second in 0..120 {
             if second % 5 == 0 {
@@ -393,14 +404,15 @@
         }
         calls
     };
-    let (drowned, sound) = (tries(Outcome::Full { wait: Some(100 * MS) }), tries(Outcome::Served));
-    assert!(sound >= 23, "{sound}");
-    assert!(drowned <= 15, "{drowned} tries at a limit that lets nothing through");
+    let (overwhelmed, healthy) =
+        (count_calls(Outcome::Full { wait: Some(100 * MS) }), count_calls(Outcome::Served));
+    assert!(healthy >= 23, "{healthy}");
+    assert!(overwhelmed <= 15, "{overwhelmed} calls at a limit that admits nothing");
 }
 
 #[test]
-fn a_silent_call_on_an_idle_connection_blames_the_connection() {
-    let mut rig = Rig::new(thin(9), 0, 1);
+fn a_silent_call_on_an_idle_connection_is_attributed_to_the_connection() {
+    let mut rig = Rig::new(sparse(9), 0, 1);
     for _ in 0..4 {
         let id = rig.submit(IDEMPOTENT);
         rig.advance(100 * MS);
@@ -409,12 +421,12 @@
     rig.advance(2 * SEC);
     let lost = rig.submit(AT_MOST_ONCE);
     rig.advance(800 * MS);
-    assert!(rig.is_in_flight(lost) && !rig.log_has("silent"), "the destination is not held back");
+    assert!(rig.is_in_flight(lost) && !rig.log_has("no answer"), "the breaker is closed");
     rig.end(lost, Outcome::TimedOut);
     rig.submit_many(1);
     rig.end_all(Outcome::Served);
     rig.advance(2 * SEC);
-    // The next one on a connection that has idled as long goes on a fresh one.
+    // The next call uses a new connection instead of one that has been idle for as long.
     let at = rig.actions.len();
     rig.submit(AT_MOST_ONCE);
     let since: Vec<&Action> = rig.actions[at..].iter().map(|(_, a)| a).collect();
@@ -422,8 +434,8 @@
 }
 
 #[test]
-fn scarce_connections_are_not_kept_idle() {
-    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, ..thin(100) }, 0, 1);
+fn idle_connections_are_closed_while_connections_are_scarce() {
+    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, ..sparse(100) }, 0, 1);
     let closes =
         |rig: &Rig| rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
     let id = rig.submit(IDEMPOTENT);
@@ -443,9 +455,9 @@
 }
 
 #[test]
-fn a_destination_back_from_an_outage_is_not_taken_for_one_short_of_connections() {
+fn refusals_during_an_outage_do_not_count_as_scarce_connections() {
     let mut rig = Rig::new(
-        Settings { conn_idle: 10 * SEC, may_send_notes: true, connect_timeout: SEC, ..thin(100) },
+        Settings { conn_idle: 10 * SEC, may_send_notes: true, connect_timeout: SEC, ..sparse(100) },
         0,
         1,
     );
@@ -456,12 +468,12 @@
     }
     let refused = rig.submit(IDEMPOTENT);
     rig.end(refused, Outcome::ConnectFailed);
-    // It refuses connections for five seconds, and is seen to for the last time just before it is back.
+    // It refuses connections for five seconds; the last refusal comes just before it returns.
     for _ in 0..10 {
         rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
         rig.advance(450 * MS);
         rig.end_all(Outcome::ConnectFailed);
-        // What goes out right behind a refusal is refused at once, too.
+        // A call right after a refusal is refused at once, too.
         rig.advance(50 * MS);
         rig.end_all(Outcome::ConnectFailed);
     }
@@ -475,14 +487,14 @@
     }
     assert!(rig.log_has("answers again"));
     let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
-    assert_eq!(closes, 0, "connections are kept: the outage is over");
-    assert_eq!(notes(&rig).len(), before + 1, "all are told that it is up, and nothing else");
+    assert_eq!(closes, 0, "connections are kept, since the outage is over");
+    assert_eq!(notes(&rig).len(), before + 1, "only the note that it serves again is sent");
 }
 
 #[test]
-fn what_an_outage_refused_is_forgotten_when_others_say_that_it_is_over() {
-    let [down, up] = words();
-    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, may_send_notes: true, ..thin(100) }, 0, 1);
+fn refusals_in_an_outage_are_forgotten_when_another_sender_reports_its_end() {
+    let [down, up] = down_and_up_notes();
+    let mut rig = Rig::new(Settings { conn_idle: 10 * SEC, may_send_notes: true, ..sparse(100) }, 0, 1);
     rig.submit(IDEMPOTENT);
     rig.advance(50 * MS);
     rig.end_all(Outcome::Served);
@@ -505,79 +517,79 @@
         rig.end_all(Outcome::Served);
     }
     let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
-    assert_eq!((closes, notes(&rig).len()), (0, before), "no connections were short");
+    assert_eq!((closes, notes(&rig).len()), (0, before), "connections were not scarce");
 }
 
-/// What a sender writes when it is told to wait for so long.
-fn told_to_wait(wait: Micros) -> Vec<Vec<u8>> {
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(100) }, 0, 1);
+/// Returns the notes that a sender sends when a destination asks it to wait.
+fn notes_after_wait(wait: Micros) -> Vec<Vec<u8>> {
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(100) }, 0, 1);
     let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(wait) });
-    waits(&rig)
+    wait_notes(&rig)
 }
 
-/// The notes of a wait that it wrote; they alone are this long.
-fn waits(rig: &Rig) -> Vec<Vec<u8>> {
+/// Returns the notes of waits that a sender sent; only they have this length.
+fn wait_notes(rig: &Rig) -> Vec<Vec<u8>> {
     notes(rig).into_iter().filter(|body| body.len() == 14).collect()
 }
 
 #[test]
-fn a_wait_told_to_one_sender_is_kept_by_all() {
-    let [word] = &told_to_wait(3 * SEC)[..] else { panic!("one note") };
-    // A hundred senders with a message each a second: only those that were told or heard nothing call.
+fn a_wait_that_one_sender_reports_is_respected_by_all() {
+    let [wait_note] = &notes_after_wait(3 * SEC)[..] else { panic!("one note") };
+    // A hundred senders receive the note and then a message each.
     let mut first: Vec<Micros> = Vec::new();
     for seed in 0..100 {
-        let mut rig = Rig::seeded(Settings { may_send_notes: true, ..thin(100) }, 0, 1, seed);
-        note(&mut rig, 1, word);
-        let heard = rig.now;
+        let mut rig = Rig::seeded(Settings { may_send_notes: true, ..sparse(100) }, 0, 1, seed);
+        note(&mut rig, 1, wait_note);
+        let received_at = rig.now;
         rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
-        while rig.in_flight.is_empty() && rig.now < heard + 20 * SEC {
+        while rig.in_flight.is_empty() && rig.now < received_at + 20 * SEC {
             rig.advance(10 * MS);
         }
-        first.push(rig.now - heard);
+        first.push(rig.now - received_at);
     }
-    assert!(first.iter().all(|&t| t >= 3 * SEC), "none calls while it lasts");
-    assert!(first.iter().all(|&t| t < 8 * SEC), "all call again");
+    assert!(first.iter().all(|&t| t >= 3 * SEC), "no sender calls during the wait");
+    assert!(first.iter().all(|&t| t < 8 * SEC), "all senders call after it");
     let busiest = (0..80).map(|n| first.iter().filter(|&&t| t / (100 * MS) == n).count()).max();
     assert!(
         busiest.is_some_and(|n| n < 30),
-        "they begin again per_endpoint: {busiest:?} in a tenth of a second"
+        "the first calls are spread: {busiest:?} in a tenth of a second"
     );
 }
 
 #[test]
-fn a_wait_is_passed_on_once_and_only_where_it_is_news() {
-    assert_eq!(told_to_wait(100 * MS).len(), 0, "over before the note is there");
-    let [word] = &told_to_wait(3 * SEC)[..] else { panic!("one note") };
-    let mut rig = Rig::new(Settings { may_send_notes: true, slots: 16, ..thin(100) }, 0, 1);
-    let out = rig.submit(IDEMPOTENT);
-    note(&mut rig, 1, word);
-    rig.end(out, Outcome::Full { wait: Some(3 * SEC) });
-    assert!(waits(&rig).is_empty(), "all know");
+fn a_wait_is_reported_once_and_only_if_it_is_new() {
+    assert_eq!(notes_after_wait(100 * MS).len(), 0, "it ends before the note arrives");
+    let [wait_note] = &notes_after_wait(3 * SEC)[..] else { panic!("one note") };
+    let mut rig = Rig::new(Settings { may_send_notes: true, slots: 16, ..sparse(100) }, 0, 1);
+    let id = rig.submit(IDEMPOTENT);
+    note(&mut rig, 1, wait_note);
+    rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
+    assert!(wait_notes(&rig).is_empty(), "all senders know it");
     rig.advance(8 * SEC);
-    let again = rig.in_flight.first().map(|o| o.id).expect("it calls again");
-    rig.end(again, Outcome::Full { wait: Some(3 * SEC) });
-    assert_eq!(waits(&rig).len(), 1, "a new wait is news");
-    // One sender alone writes nothing.
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(1) }, 0, 1);
+    let next = rig.in_flight.first().map(|o| o.id).expect("it calls again");
+    rig.end(next, Outcome::Full { wait: Some(3 * SEC) });
+    assert_eq!(wait_notes(&rig).len(), 1, "a new wait is reported");
+    // A single sender sends no notes.
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(1) }, 0, 1);
     let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
     assert!(notes(&rig).is_empty());
 }
 
 #[test]
-fn a_wait_heard_of_is_not_believed_for_ever() {
-    let [word] = &told_to_wait(100_000 * SEC)[..] else { panic!("one note") };
-    let mut rig = Rig::new(Settings { may_send_notes: true, ..thin(100) }, 0, 1);
-    note(&mut rig, 4, word);
+fn a_reported_wait_is_respected_for_a_limited_time() {
+    let [wait_note] = &notes_after_wait(100_000 * SEC)[..] else { panic!("one note") };
+    let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(100) }, 0, 1);
+    note(&mut rig, 4, wait_note);
     rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
     for _ in 0..16 {
-        // Said again and again by a sender that is wrong.
-        note(&mut rig, 4, word);
+        // A faulty sender repeats the note.
+        note(&mut rig, 4, wait_note);
         rig.advance(500 * MS);
     }
-    assert_eq!(rig.in_flight.len(), 1, "it finds out for itself");
-    // What it was told itself it keeps to the end.
+    assert_eq!(rig.in_flight.len(), 1, "it calls to check");
+    // A wait that the destination requested from this sender is respected to its end.
     let id = rig.in_flight[0].id;
     rig.end(id, Outcome::Full { wait: Some(30 * SEC) });
     rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
@@ -586,27 +598,27 @@
 }
 
 #[test]
-fn a_stuck_call_at_one_destination_leaves_two_slots_useful() {
-    let mut rig = Rig::new(Settings { slots: 2, ..thin(9) }, 0, 1);
+fn a_hung_call_at_one_destination_leaves_the_other_slot_free() {
+    let mut rig = Rig::new(Settings { slots: 2, ..sparse(9) }, 0, 1);
     rig.list((1..5).map(|e| entry(e, u64::from(e) + 1, 0, Phase::Live)).collect());
-    let stuck = rig.submit_to(AT_MOST_ONCE, 1, None, 20 * SEC);
+    let hung = rig.submit_to(AT_MOST_ONCE, 1, None, 20 * SEC);
     let mut served = 0;
     for n in 0..20 {
         rig.submit_to(IDEMPOTENT, 2 + n % 4, None, 20 * SEC);
         rig.advance(200 * MS);
-        for o in rig.in_flight.clone().iter().filter(|o| o.id != stuck) {
+        for o in rig.in_flight.clone().iter().filter(|o| o.id != hung) {
             served += 1;
             rig.end(o.id, Outcome::Served);
         }
     }
     assert!(served >= 19, "{served}");
-    // A destination gets one of two slots at most, so the other stays for the rest.
-    assert!(rig.is_in_flight(stuck));
+    // A destination may occupy one of two slots at most, so the other slot remains for other destinations.
+    assert!(rig.is_in_flight(hung));
 }
 
 #[test]
-fn endpoints_replaced_in_bulk_are_left_at_once_and_the_new_ones_used() {
-    let mut rig = Rig::new(thin(9), 0, 3);
+fn replaced_endpoints_get_no_further_calls_and_new_ones_are_used_at_once() {
+    let mut rig = Rig::new(sparse(9), 0, 3);
     let gone = (0..3).map(|e| entry(e, 1, 0, Phase::Draining));
     rig.list(gone.chain((10..13).map(|e| entry(e, 1, 0, Phase::Live))).collect());
     for _ in 0..12 {
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -1,4 +1,4 @@
-//! Arbitrary legal sequences of events against an independent checker of the rules.
+//! Arbitrary valid sequences of events against an independent checker of the rules.
 
 mod common;
 #[path = "common/world.rs"]
@@ -13,24 +13,24 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(11), ..ProptestConfig::default() })]
 
     #[test]
-    fn the_rules_hold_whatever_happens(
+    fn the_rules_hold_for_any_sequence_of_events(
         steps in prop::collection::vec(step(), 1..120),
         slots in 1..9u32,
         max_held in 4..40u32,
-        narrow in any::<bool>(),
+        zone_scope in any::<bool>(),
         may_cancel in any::<bool>(),
         may_send_notes in any::<bool>(),
     ) {
         let mut set = Settings { slots, max_held, may_cancel, may_send_notes, senders: 9, ..settings() };
-        set.classes[1].dedup_scope = if narrow { DedupScope::Zone } else { DedupScope::All };
+        set.classes[1].dedup_scope = if zone_scope { DedupScope::Zone } else { DedupScope::All };
         let mut c = Checker::new(set, 3);
         steps.iter().for_each(|s| c.step(s));
         c.advance(60 * SEC);
-        prop_assert!(c.told.values().all(|t| t.over), "a message was lost");
+        prop_assert!(c.messages.values().all(|t| t.done), "a message was lost");
     }
 
     #[test]
-    fn equal_events_give_equal_actions_and_instances_do_not_meet(
+    fn equal_events_give_equal_actions_and_instances_are_independent(
         steps in prop::collection::vec(step(), 1..80),
         others in prop::collection::vec(step(), 1..80),
     ) {
--- a/crates/policy/tests/rate.rs
+++ b/crates/policy/tests/rate.rs
@@ -1,31 +1,41 @@
-//! Limits by rate that a destination tells nobody of: they are learned from refusals, and paced under.
+//! Tests of rate limits that a destination does not announce: the sender learns them from refusals and paces
+//! its calls under them.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 
-/// A destination behind one limit by rate, and one by concurrency, for several senders with all the work they
-/// want.
+/// A destination behind a rate limit and a concurrency limit, and several senders that always have messages
+/// for it.
 struct World {
     rigs: Vec<Rig>,
     per_s: f64,
     depth: f64,
     tokens: f64,
-    at_once: usize,
-    /// Calls that are served: the sender, the message, when its answer comes.
-    serving: Vec<(usize, u64, Micros, Outcome)>,
+    max_concurrent: usize,
+    /// The calls in flight: the sender, the message, when its answer arrives, and its outcome.
+    calls: Vec<(usize, u64, Micros, Outcome)>,
     served: u32,
     refused: u32,
 }
 
 impl World {
-    fn new(senders: u32, per_s: f64, at_once: usize) -> Self {
+    fn new(senders: u32, per_s: f64, max_concurrent: usize) -> Self {
         let set = Settings { max_attempts: 1_000, senders, ..settings() };
         let rigs = (0..u64::from(senders)).map(|n| Rig::seeded(set.clone(), 0, 1, n + 1)).collect();
-        Self { rigs, per_s, depth: 2.0, tokens: 2.0, at_once, serving: Vec::new(), served: 0, refused: 0 }
+        Self {
+            rigs,
+            per_s,
+            depth: 2.0,
+            tokens: 2.0,
+            max_concurrent,
+            calls: Vec::new(),
+            served: 0,
+            refused: 0,
+        }
     }
 
-    /// Plays so long; gives the calls served a second, and the share refused.
+    /// Runs for a time and returns the calls served per second and the share of refused calls.
     fn run(&mut self, span: Micros) -> (f64, f64) {
         (self.served, self.refused) = (0, 0);
         let step = 10 * MS;
@@ -37,18 +47,19 @@
                 }
                 rig.advance(step);
                 for o in rig.in_flight.clone() {
-                    if self.serving.iter().any(|s| (s.0, s.1) == (n, o.id)) {
+                    if self.calls.iter().any(|s| (s.0, s.1) == (n, o.id)) {
                         continue;
                     }
-                    let busy = self.serving.iter().filter(|s| s.3 == Outcome::Served).count();
-                    let room = self.tokens >= 1.0 && busy < self.at_once;
-                    self.tokens -= f64::from(u8::from(room));
-                    let full = Outcome::Full { wait: None };
-                    let (takes, outcome) = if room { (100 * MS, Outcome::Served) } else { (20 * MS, full) };
-                    self.serving.push((n, o.id, rig.now + takes, outcome));
+                    let busy = self.calls.iter().filter(|s| s.3 == Outcome::Served).count();
+                    let is_admitted = self.tokens >= 1.0 && busy < self.max_concurrent;
+                    self.tokens -= f64::from(u8::from(is_admitted));
+                    let refusal = Outcome::Full { wait: None };
+                    let (duration, outcome) =
+                        if is_admitted { (100 * MS, Outcome::Served) } else { (20 * MS, refusal) };
+                    self.calls.push((n, o.id, rig.now + duration, outcome));
                 }
                 let now = rig.now;
-                for (_, id, _, outcome) in self.serving.extract_if(.., |s| s.0 == n && s.2 <= now) {
+                for (_, id, _, outcome) in self.calls.extract_if(.., |s| s.0 == n && s.2 <= now) {
                     *(if outcome == Outcome::Served { &mut self.served } else { &mut self.refused }) += 1;
                     rig.end(id, outcome);
                 }
@@ -60,14 +71,13 @@
 }
 
 #[test]
-fn a_limit_by_rate_that_senders_share_is_not_asked_over_and_over() {
-    // Guards against a rest of a quarter of a second, over and over, before a limit of one call a second for
-    // each.
+fn a_shared_rate_limit_is_used_with_few_refusals() {
+    // Guards against retries every quarter of a second at a limit of one call per second for each sender.
     let mut w = World::new(3, 3.0, 100);
     w.run(20 * SEC);
     let (served, refused) = w.run(60 * SEC);
     assert!(served > 2.0 && refused < 0.35, "{served:.2} a second, {refused:.2} refused");
-    // It steps down, and up again.
+    // The limit is lowered and raised.
     w.per_s = 1.5;
     w.run(15 * SEC);
     let (served, refused) = w.run(60 * SEC);
@@ -79,16 +89,16 @@
 }
 
 #[test]
-fn a_limit_by_concurrency_and_one_by_rate_at_once() {
+fn a_concurrency_limit_and_a_rate_limit_are_used_together() {
     let mut w = World::new(2, 12.0, 1);
     w.run(20 * SEC);
     let (served, refused) = w.run(60 * SEC);
-    // One call of a tenth of a second at once: ten a second at most, and less by chance.
+    // One concurrent call of a tenth of a second allows ten per second at most, and fewer on average.
     assert!(served > 4.0 && refused < 0.4, "{served:.2} a second, {refused:.2} refused");
 }
 
 #[test]
-fn a_destination_without_a_limit_gets_all_there_is() {
+fn a_destination_without_a_limit_gets_all_messages() {
     let mut w = World::new(1, 1e9, 1_000);
     w.depth = 1e9;
     let (served, refused) = w.run(20 * SEC);
@@ -96,9 +106,9 @@
 }
 
 #[test]
-fn a_time_out_of_a_call_with_less_time_than_usual_answers_take_says_nothing() {
-    // Guards against a window cut, an endpoint at rest and a breaker open since a message came with no time
-    // left.
+fn a_time_out_shorter_than_the_usual_latency_is_no_sign_of_congestion() {
+    // Guards against a cut window, an endpoint in backoff and an open breaker because a message had hardly
+    // any time left.
     let mut rig = Rig::new(settings(), 0, 2);
     rig.submit_many(40);
     rig.serve(20);
@@ -113,5 +123,5 @@
     }
     let view = &rig.sender.route_views(None)[0];
     assert!(view.window >= before, "{} of {before}", view.window);
-    assert!(!rig.log_has("held back"));
+    assert!(!rig.log_has("paused"));
 }
