--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -1,17 +1,17 @@
-//! The six rules, one by one.
+//! Tests of the six rules, one by one.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 
 #[test]
-fn every_message_is_answered_before_its_time_is_up() {
+fn every_message_gets_a_final_status_before_its_deadline() {
     let mut rig = Rig::new(settings(), 0, 1);
     let ids: Vec<u64> = (0..3)
         .flat_map(|c| [rig.submit_to(c, 1, None, 3 * SEC), rig.submit_to(c, 9, None, 3 * SEC)])
         .collect();
     let start = rig.now;
-    // Whatever is sent gets no answer but its time-out; destination 9 has no endpoint.
+    // All attempts time out; destination 9 has no endpoint.
     for _ in 0..700 {
         rig.advance(5 * MS);
         let due: Vec<u64> =
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn nothing_is_owed_for_what_the_client_withdrew() {
+fn a_withdrawn_message_gets_no_final_status() {
     let mut rig = Rig::new(settings(), 0, 1);
     let (a, b) = (rig.submit(IDEMPOTENT), rig.submit(IDEMPOTENT));
     rig.feed(&[Event::Withdrawn(MessageId(a)), Event::Withdrawn(MessageId(b))]);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_may_have_run_is_neither_sent_nor_refused() {
+fn an_at_most_once_message_that_may_have_run_is_neither_sent_nor_refused() {
     for outcome in [Outcome::TimedOut, Outcome::Failed, Outcome::Reset, Outcome::Cancelled] {
         let mut rig = Rig::new(settings(), 0, 1);
         let id = rig.submit(AT_MOST_ONCE);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn an_unsafe_message_that_never_ran_is_sent_again() {
+fn an_at_most_once_message_that_never_ran_is_sent_again() {
     for outcome in [Outcome::Full { wait: None }, Outcome::ConnectFailed, Outcome::Moot, Outcome::NotSent] {
         let mut rig = Rig::new(settings(), 0, 1);
         let id = rig.submit(AT_MOST_ONCE);
@@ -61,14 +61,14 @@
 }
 
 #[test]
-fn a_keyed_message_goes_again_only_within_the_memory_of_its_first_run() {
+fn a_deduplicated_message_is_repeated_only_within_the_window_of_its_first_attempt() {
     let mut rig = Rig::new(settings(), 0, 1);
     let id = rig.submit(DEDUPLICATED);
     rig.advance(2 * SEC);
     rig.end(id, Outcome::Reset);
     rig.advance(500 * MS);
     assert_eq!(rig.attempts[&id], 2);
-    // Refused now: the memory still runs from the first attempt, which may have run.
+    // The second attempt is refused: the window still starts at the first one, which may have run.
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
     rig.advance(30 * SEC);
     assert_eq!(rig.attempts[&id], 2);
@@ -76,10 +76,10 @@
 }
 
 #[test]
-fn a_narrow_group_binds_the_repeat_to_its_zone_and_bars_refusal() {
+fn a_zone_wide_deduplication_scope_restricts_repeats_to_the_zone_and_prevents_refusal() {
     let mut set = settings();
     set.classes[1].dedup_scope = DedupScope::Zone;
-    // Endpoints 0 and 2 share a zone, 1 is in the other.
+    // Endpoints 0 and 2 are in one zone, endpoint 1 is in the other.
     let mut rig = Rig::new(set, 0, 3);
     let id = rig.submit(DEDUPLICATED);
     let first = rig.in_flight[0].endpoint;
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn a_draining_endpoint_gets_nothing_new_and_its_messages_wait() {
+fn a_draining_or_removed_endpoint_gets_no_new_call_and_its_messages_wait() {
     for phase in [Phase::Draining, Phase::Gone] {
         let mut rig = Rig::new(settings(), 0, 1);
         rig.list(vec![entry(0, 1, 0, phase)]);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn what_a_whole_list_leaves_out_is_gone() {
+fn endpoints_missing_from_a_whole_list_are_removed() {
     let mut rig = Rig::new(settings(), 0, 2);
     rig.feed(&[Event::List(ListUpdate::Whole(vec![entry(1, 1, 0, Phase::Live)]))]);
     let id = rig.submit(IDEMPOTENT);
@@ -129,18 +129,18 @@
 }
 
 #[test]
-fn a_told_wait_binds_the_destination_for_all_messages() {
+fn a_requested_wait_applies_to_all_messages_for_the_destination() {
     let mut rig = Rig::new(settings(), 0, 2);
     let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
-    let told = rig.now;
+    let refused_at = rig.now;
     rig.submit_many(3);
     rig.advance(10 * SEC);
-    assert!(!rig.in_flight.is_empty() && rig.in_flight.iter().all(|o| o.at >= told + 3 * SEC));
+    assert!(!rig.in_flight.is_empty() && rig.in_flight.iter().all(|o| o.at >= refused_at + 3 * SEC));
 }
 
 #[test]
-fn a_told_wait_binds_only_the_route_where_routes_are_apart() {
+fn a_requested_wait_applies_to_one_endpoint_if_each_is_a_route() {
     let mut rig = Rig::new(settings(), 1, 2);
     let id = rig.submit(IDEMPOTENT);
     let route = rig.in_flight[0].endpoint;
@@ -149,19 +149,19 @@
 }
 
 #[test]
-fn a_wait_told_behind_a_time_out_in_the_same_bundle_counts() {
+fn a_wait_counts_after_a_time_out_in_the_same_bundle() {
     let mut rig = Rig::new(settings(), 2, 1);
     let (a, b) = (rig.message(IDEMPOTENT, 1, None, 20 * SEC), rig.message(IDEMPOTENT, 1, None, 20 * SEC));
     rig.feed(&[a.1, b.1]);
     rig.end(a.0, Outcome::TimedOut);
     rig.end(b.0, Outcome::Full { wait: Some(4 * SEC) });
-    let told = rig.now;
+    let refused_at = rig.now;
     rig.advance(15 * SEC);
-    assert!(!rig.in_flight.is_empty() && rig.in_flight.iter().all(|o| o.at >= told + 4 * SEC));
+    assert!(!rig.in_flight.is_empty() && rig.in_flight.iter().all(|o| o.at >= refused_at + 4 * SEC));
 }
 
 #[test]
-fn messages_of_one_key_go_one_at_a_time_in_order() {
+fn messages_with_one_key_are_sent_one_at_a_time_in_order() {
     let mut rig = Rig::new(settings(), 0, 1);
     rig.submit_many(8);
     rig.serve(8);
@@ -174,13 +174,13 @@
 }
 
 #[test]
-fn a_key_rests_after_an_attempt_that_may_still_run_even_if_its_message_is_over() {
+fn a_key_is_blocked_after_an_attempt_that_may_still_run_even_if_its_message_is_done() {
     let mut rig = Rig::new(settings(), 0, 1);
     let a = rig.submit_to(ORDERED, 1, Some("k"), 20 * SEC);
     let b = rig.submit_to(ORDERED, 1, Some("k"), 20 * SEC);
     rig.feed(&[Event::Withdrawn(MessageId(a))]);
     rig.advance(100 * MS);
-    assert!(!rig.is_in_flight(b), "an attempt of the first is still out");
+    assert!(!rig.is_in_flight(b), "an attempt of the first message is still in flight");
     rig.end(a, Outcome::TimedOut);
     let ended = rig.now;
     rig.advance(4 * SEC);
@@ -188,26 +188,26 @@
 }
 
 #[test]
-fn after_an_outage_the_backlog_comes_back_slowly() {
+fn after_an_outage_the_backlog_is_sent_slowly() {
     let mut rig = Rig::new(settings(), 0, 1);
     rig.submit_many(40);
     rig.serve(40);
     rig.submit_many(60);
-    // Down for eight seconds: each call fails at once.
+    // The destination is down for eight seconds: each call fails at once.
     let down = rig.now;
-    let mut tries = 0;
+    let mut calls = 0;
     while rig.now < down + 8 * SEC {
         rig.advance(50 * MS);
         for o in rig.in_flight.clone() {
-            tries += 1;
+            calls += 1;
             rig.end(o.id, Outcome::ConnectFailed);
         }
     }
-    assert!(tries < 30, "{tries} calls at a dead destination");
-    // Back: in the next two seconds far less than the rate served before.
-    let back = rig.now;
+    assert!(calls < 30, "{calls} calls to a destination that is down");
+    // After its return it gets far fewer calls in the next four seconds than it served before.
+    let returned = rig.now;
     let mut sent = 0;
-    while rig.now < back + 4 * SEC {
+    while rig.now < returned + 4 * SEC {
         rig.advance(50 * MS);
         for o in rig.in_flight.clone() {
             sent += 1;
@@ -218,8 +218,8 @@
 }
 
 #[test]
-fn what_an_earlier_process_may_have_run_binds_the_next() {
-    let earlier = |class: u32, attempts: u32, ran_ago: Option<(Micros, EndpointId)>| {
+fn attempts_of_an_earlier_process_restrict_the_next() {
+    let resume = |class: u32, attempts: u32, ran_ago: Option<(Micros, EndpointId)>| {
         let mut rig = Rig::new(settings(), 0, 1);
         let (id, event) = rig.message(class, 1, None, 20 * SEC);
         let Event::Taken(message) = event else { panic!("{event:?}") };
@@ -227,11 +227,12 @@
         (rig, id)
     };
     let ran_ago = Some((SEC, EndpointId(0)));
-    // An unsafe one that may have run is given up at once; one that never ran goes again, as safe ones do.
-    let (rig, id) = earlier(AT_MOST_ONCE, 1, ran_ago);
+    // An at-most-once message that may have run is given up at once. One that never ran is sent again, as are
+    // idempotent messages.
+    let (rig, id) = resume(AT_MOST_ONCE, 1, ran_ago);
     assert!(rig.failed(id) && rig.in_flight.is_empty());
     for (class, ran_ago) in [(AT_MOST_ONCE, None), (IDEMPOTENT, ran_ago)] {
-        let (mut rig, id) = earlier(class, 1, ran_ago);
+        let (mut rig, id) = resume(class, 1, ran_ago);
         assert!(rig.is_in_flight(id));
         rig.feed(&[Event::Ended {
             id: MessageId(id),
@@ -243,39 +244,39 @@
         rig.advance(30 * SEC);
         assert_eq!(rig.answer_count(id), 0);
     }
-    // A keyed one goes again only while its first attempt is remembered.
-    let (rig, id) = earlier(DEDUPLICATED, 1, ran_ago);
+    // A deduplicated message is sent again only within the window of its first attempt.
+    let (rig, id) = resume(DEDUPLICATED, 1, ran_ago);
     assert!(rig.is_in_flight(id));
-    let (rig, id) = earlier(DEDUPLICATED, 1, Some((6 * SEC, EndpointId(0))));
+    let (rig, id) = resume(DEDUPLICATED, 1, Some((6 * SEC, EndpointId(0))));
     assert!(rig.in_flight.is_empty() && rig.answer_count(id) == 1);
-    // Attempts count over the whole life.
-    let (rig, id) = earlier(IDEMPOTENT, settings().max_attempts, ran_ago);
+    // Attempts of all processes count.
+    let (rig, id) = resume(IDEMPOTENT, settings().max_attempts, ran_ago);
     assert!(rig.in_flight.is_empty() && rig.answer_count(id) == 1);
 }
 
 #[test]
-fn a_repeat_may_begin_only_as_long_as_it_arrives_while_its_first_run_is_known() {
-    // Between the decision and the first byte may lie a connection that comes up late, with a window of 1 s.
+fn a_repeat_may_start_only_if_it_arrives_within_the_deduplication_window() {
+    // A connection that is established late may delay the first byte; the window is 1 s.
     let mut set = settings();
     set.classes[DEDUPLICATED as usize].dedup_window = SEC;
     let mut rig = Rig::new(set, 0, 1);
-    let within = |rig: &Rig| {
-        let sends = rig.actions.iter().filter_map(|(at, a)| match a {
+    let sends = |rig: &Rig| {
+        let all = rig.actions.iter().filter_map(|(at, a)| match a {
             Action::Send { start_within, .. } => Some((*at, *start_within)),
             _ => None,
         });
-        sends.collect::<Vec<_>>()
+        all.collect::<Vec<_>>()
     };
     let id = rig.submit_to(DEDUPLICATED, 1, None, 20 * SEC);
-    let first = within(&rig)[0];
-    assert_eq!(first.1, 20 * SEC, "the first one for as long as its message lives");
+    let first = sends(&rig)[0];
+    assert_eq!(first.1, 20 * SEC, "the first attempt may start until the message expires");
     rig.end(id, Outcome::Reset);
     rig.advance(400 * MS);
-    let all = within(&rig);
-    assert_eq!(all.len(), 2, "it is tried again");
-    let (at, most) = all[1];
-    // The sender may be held up for 150 ms between its look at the clock and the first byte.
-    let begins = at + most + 150 * MS;
-    assert!(begins < first.0 + SEC, "{} after the first", begins - first.0);
-    assert!(most > 0);
+    let all = sends(&rig);
+    assert_eq!(all.len(), 2, "it is sent again");
+    let (at, start_within) = all[1];
+    // The sender may stall for 150 ms between reading the clock and writing the first byte.
+    let start = at + start_within + 150 * MS;
+    assert!(start < first.0 + SEC, "{} after the first", start - first.0);
+    assert!(start_within > 0);
 }
--- a/crates/policy/tests/service.rs
+++ b/crates/policy/tests/service.rs
@@ -1,4 +1,4 @@
-//! Endpoints that operators take out of service, and put back.
+//! Tests of endpoints that operators take out of service and return.
 
 mod common;
 use common::*;
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn nothing_goes_to_an_endpoint_that_is_out_whatever_the_list_says() {
+fn an_endpoint_out_of_service_gets_nothing_whatever_the_list_says() {
     let mut rig = Rig::new(settings(), 0, 1);
     service(&mut rig, 0, true);
     let id = rig.submit(IDEMPOTENT);
@@ -22,12 +22,12 @@
         ListUpdate::Whole(live()),
         ListUpdate::Unavailable,
     ];
-    for news in lists {
-        rig.feed(&[Event::List(news)]);
+    for update in lists {
+        rig.feed(&[Event::List(update)]);
         rig.advance(SEC);
         assert!(!rig.is_in_flight(id) && rig.answer_count(id) == 0);
     }
-    // Twice out is once out.
+    // A second mark changes nothing.
     service(&mut rig, 0, true);
     service(&mut rig, 0, false);
     rig.advance(SEC);
@@ -35,7 +35,7 @@
 }
 
 #[test]
-fn one_that_is_put_back_while_the_list_has_it_draining_waits_for_the_list() {
+fn a_returned_endpoint_that_the_list_has_as_draining_waits_for_the_list() {
     let mut rig = Rig::new(settings(), 0, 1);
     service(&mut rig, 0, true);
     rig.list(vec![entry(0, 1, 0, Phase::Draining)]);
@@ -49,8 +49,8 @@
 }
 
 #[test]
-fn a_mark_told_before_the_list_holds_for_what_the_list_brings() {
-    // As after a restart: marks come from the store, and the list behind them.
+fn a_mark_set_before_the_list_arrives_applies_to_its_endpoints() {
+    // After a restart the marks are loaded from the store before the list arrives.
     let mut rig = Rig::new(settings(), 0, 0);
     service(&mut rig, 0, true);
     rig.feed(&[Event::List(ListUpdate::Restored(vec![entry(0, 1, 0, Phase::Live)]))]);
@@ -59,7 +59,7 @@
     assert!(!rig.is_in_flight(id));
 }
 
-/// How many of a stream of 10 messages a second are sent in the first second after this.
+/// Submits 10 messages in a second and returns how many attempts are made meanwhile.
 fn sent_in_a_second(rig: &mut Rig) -> usize {
     let before = rig.attempts.values().sum::<u32>();
     for _ in 0..10 {
@@ -71,27 +71,27 @@
 }
 
 #[test]
-fn a_destination_whose_endpoint_returns_is_cold() {
+fn a_destination_whose_endpoint_returns_is_in_slow_start() {
     for kind in [0, 1] {
         let mut rig = Rig::new(settings(), kind, 1);
         for _ in 0..20 {
             sent_in_a_second(&mut rig);
         }
-        assert!(sent_in_a_second(&mut rig) >= 9, "warm, all goes");
+        assert!(sent_in_a_second(&mut rig) >= 9, "all messages are sent before");
         service(&mut rig, 0, true);
         rig.advance(SEC);
         service(&mut rig, 0, false);
         let first = sent_in_a_second(&mut rig);
-        assert!((1..=5).contains(&first), "kind {kind}: {first} at once after the return");
+        assert!((1..=5).contains(&first), "kind {kind}: {first} in the first second after the return");
         for _ in 0..12 {
             sent_in_a_second(&mut rig);
         }
-        assert!(sent_in_a_second(&mut rig) >= 9, "it is warm again");
+        assert!(sent_in_a_second(&mut rig) >= 9, "all messages are sent after the slow start");
     }
 }
 
 #[test]
-fn one_of_several_that_returns_gets_one_call_at_a_time_until_it_is_warm() {
+fn a_returning_endpoint_beside_others_gets_one_call_at_a_time_until_it_is_warm() {
     let mut rig = Rig::new(settings(), 0, 2);
     for _ in 0..20 {
         sent_in_a_second(&mut rig);
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -1,45 +1,45 @@
-//! The shape of a recorded stall: a sender with few slots, whose calls now and then get no answer although
-//! their destinations are well. Unsafe ones among them may wait for their whole deadline, and a call of
-//! several messages holds its slot until the last of them has ended.
+//! Tests that reproduce a recorded stall: a sender with few slots, some of whose calls get no answer
+//! although the destinations are healthy. At-most-once messages may wait for their whole deadline, and a
+//! call with several messages holds its slot until the last of them has ended.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 use std::collections::BTreeMap;
 
-/// A call takes so long where it is answered.
-const TAKES: Micros = 100 * MS;
+/// The duration of a call that is answered.
+const CALL_TIME: Micros = 100 * MS;
 const TICK: Micros = 5 * MS;
 
-/// Whether an answer comes, and a call's messages with attempt and time-out.
+/// Whether the call is answered, and its messages with the number and the time-out of their attempts.
 type Call = (bool, Vec<(MessageId, u32, Micros)>);
 
 struct World {
     sender: Sender,
     now: Micros,
-    /// Calls by endpoint and moment.
+    /// The calls in flight by endpoint and time of sending.
     calls: BTreeMap<(EndpointId, Micros), Call>,
     attempts: BTreeMap<MessageId, u32>,
     events: Vec<Event>,
-    made: u64,
-    next: u64,
-    /// Of so many calls one gets no answer; 0 for none.
-    lost_of: u64,
+    call_count: u64,
+    next_id: u64,
+    /// One of this many calls gets no answer; 0 for none.
+    lost_one_of: u64,
     served: u64,
     failed: u64,
     refused: u64,
-    /// Slots held by calls without an answer, summed over the ticks.
-    held_for_nothing: u64,
+    /// The slots held by calls without an answer, summed over the ticks.
+    wasted_slots: u64,
     ticks: u64,
 }
 
 impl World {
-    fn new(lost_of: u64, may_cancel: bool) -> Self {
+    fn new(lost_one_of: u64, may_cancel: bool) -> Self {
         let mut set = Settings { slots: 7, max_held: 600, senders: 2, may_cancel, ..settings() };
         set.classes[AT_MOST_ONCE as usize].worth = 3.0;
         set.classes[IDEMPOTENT as usize] =
             Class { target_time: SEC, deadline: 6 * SEC, ..set.classes[IDEMPOTENT as usize].clone() };
-        let sender = Sender::new(set, 5).expect("sound");
+        let sender = Sender::new(set, 5).expect("valid settings");
         let (calls, attempts, events) = Default::default();
         let mut w = Self {
             sender,
@@ -47,27 +47,28 @@
             calls,
             attempts,
             events,
-            made: 0,
-            next: 1,
-            lost_of,
+            call_count: 0,
+            next_id: 1,
+            lost_one_of,
             served: 0,
             failed: 0,
             refused: 0,
-            held_for_nothing: 0,
+            wasted_slots: 0,
             ticks: 0,
         };
-        // Three destinations take five messages in a call, three others one.
+        // Three destinations accept five messages per call, three others one.
         let list = (0..12).map(|e| entry(e, u64::from(e) / 2, if e < 6 { 2 } else { 0 }, Phase::Live));
         w.events.push(Event::List(ListUpdate::Restored(list.collect())));
         w
     }
 
     fn submit(&mut self) {
-        let (id, class) = (MessageId(self.next), if self.next % 5 < 3 { IDEMPOTENT } else { AT_MOST_ONCE });
-        // Most go to those that take many at once.
-        let dest = DestinationId([0, 1, 2, 0, 1, 2, 3, 4, 5][(self.next % 9) as usize]);
+        let (id, class) =
+            (MessageId(self.next_id), if self.next_id % 5 < 3 { IDEMPOTENT } else { AT_MOST_ONCE });
+        // Most messages go to the destinations that accept bundles.
+        let dest = DestinationId([0, 1, 2, 0, 1, 2, 3, 4, 5][(self.next_id % 9) as usize]);
         let expires_in = if class == IDEMPOTENT { 6 * SEC } else { 20 * SEC };
-        self.next += 1;
+        self.next_id += 1;
         let (tenant, key, is_retry) = (None, None, false);
         self.events.push(Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in }));
     }
@@ -82,7 +83,7 @@
         let now = self.now;
         let mut ends = Vec::new();
         for ((_, at), (answered, messages)) in &mut self.calls {
-            if *answered && now >= at + TAKES {
+            if *answered && now >= at + CALL_TIME {
                 ends.extend(messages.drain(..).map(|m| (m.0, m.1, Outcome::Served)));
             }
             let timed_out = messages.extract_if(.., |m| now >= at + m.2);
@@ -91,7 +92,7 @@
         self.calls.retain(|_, c| !c.1.is_empty());
         ends.into_iter().for_each(|(id, attempt, outcome)| self.end(id, attempt, outcome));
         self.ticks += 1;
-        self.held_for_nothing += self.calls.values().filter(|c| !c.0).count() as u64;
+        self.wasted_slots += self.calls.values().filter(|c| !c.0).count() as u64;
         let (events, mut actions) = (std::mem::take(&mut self.events), Vec::new());
         self.sender.handle(now, &events, &mut actions);
         for a in actions {
@@ -100,9 +101,9 @@
                     let n = self.attempts.entry(id).or_default();
                     let attempt = std::mem::replace(n, *n + 1);
                     if !self.calls.contains_key(&(endpoint, now)) {
-                        self.made += 1;
+                        self.call_count += 1;
                     }
-                    let answered = self.lost_of == 0 || !self.made.is_multiple_of(self.lost_of);
+                    let answered = self.lost_one_of == 0 || !self.call_count.is_multiple_of(self.lost_one_of);
                     let call = self.calls.entry((endpoint, now)).or_insert((answered, Vec::new()));
                     call.1.push((id, attempt, timeout));
                 }
@@ -122,11 +123,11 @@
         self.now += TICK;
     }
 
-    /// So many messages a second for so long.
+    /// Submits `rate` messages per second for some seconds.
     fn run(&mut self, rate: u64, seconds: u64) {
         for n in 0..seconds * SEC / TICK {
-            let due = |n: u64| n * rate * TICK / SEC;
-            for _ in due(n)..due(n + 1) {
+            let submitted = |n: u64| n * rate * TICK / SEC;
+            for _ in submitted(n)..submitted(n + 1) {
                 self.submit();
             }
             self.tick();
@@ -136,29 +137,29 @@
 
 #[test]
 fn lost_answers_do_not_stall_a_sender_with_few_slots() {
-    let mut sound = World::new(0, true);
-    sound.run(90, 30);
+    let mut healthy = World::new(0, true);
+    healthy.run(90, 30);
     assert!(
-        sound.served * 100 >= sound.next * 90,
-        "the load is bearable: {} of {}",
-        sound.served,
-        sound.next
+        healthy.served * 100 >= healthy.next_id * 90,
+        "the load is feasible: {} of {}",
+        healthy.served,
+        healthy.next_id
     );
     let mut w = World::new(20, true);
     w.run(90, 30);
-    let held = w.held_for_nothing as f64 / w.ticks as f64;
-    let shares = [w.served, w.failed, w.refused].map(|n| n as f64 / w.next as f64);
-    assert!(shares[0] >= 0.8, "served, failed, refused {shares:?}; {held:.2} slots held for nothing");
-    assert!(held <= 2.0, "{held:.2} of 7 slots held for nothing in the mean");
+    let held = w.wasted_slots as f64 / w.ticks as f64;
+    let shares = [w.served, w.failed, w.refused].map(|n| n as f64 / w.next_id as f64);
+    assert!(shares[0] >= 0.8, "served, failed, refused {shares:?}; {held:.2} slots wasted");
+    assert!(held <= 2.0, "{held:.2} of 7 slots wasted in the mean");
 }
 
 #[test]
-fn all_messages_of_a_call_are_called_off_together() {
-    // Guards against a call that counts as gone and holds its slot for as long as one of its messages lives.
+fn all_messages_of_a_call_are_cancelled_together() {
+    // Guards against a call that counts as cancelled but holds its slot until one of its messages expires.
     let mut w = World::new(4, true);
     w.run(90, 5);
     let mut before: BTreeMap<_, usize> = BTreeMap::new();
-    let mut called_off = 0;
+    let mut cancelled = 0;
     for n in 0..2_000 {
         if n % 2 == 0 {
             w.submit();
@@ -169,23 +170,23 @@
         for (key, n) in &before {
             let now = w.calls.get(key).map_or(0, |c| c.1.len());
             assert!(now == 0 || now >= *n, "of {n} messages in a call {now} are left");
-            called_off += usize::from(*n > 1 && now == 0);
+            cancelled += usize::from(*n > 1 && now == 0);
         }
     }
-    assert!(called_off > 0, "no call of several messages ended");
+    assert!(cancelled > 0, "no call of several messages ended");
 }
 
 #[test]
-fn a_late_unsafe_call_is_left_alone_while_slots_are_free() {
+fn a_late_at_most_once_call_is_not_cancelled_while_slots_are_free() {
     let mut w = World::new(10, true);
-    // Five messages a second need a slot or two.
+    // Five messages per second need one or two slots.
     w.run(5, 12);
-    assert_eq!(w.failed, 0, "given up though nobody needed the slot");
+    assert_eq!(w.failed, 0, "given up although no message needed the slot");
 }
 
 #[test]
-fn nothing_is_called_off_where_that_is_forbidden() {
+fn nothing_is_cancelled_if_cancelling_is_not_allowed() {
     let mut w = World::new(20, false);
     w.run(90, 10);
-    assert!(w.held_for_nothing > 0 && w.failed == 0);
+    assert!(w.wasted_slots > 0 && w.failed == 0);
 }
--- a/crates/policy/tests/window.rs
+++ b/crates/policy/tests/window.rs
@@ -1,10 +1,10 @@
-//! The window's arithmetic, seen through how many calls are out at once.
+//! Tests of the window through the number of calls in flight.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 
-/// Window after so many served calls, with more waiting than it lets out.
+/// Returns a rig with more messages than the window admits.
 fn rig_with_backlog(slots: u32) -> Rig {
     let mut rig = Rig::new(Settings { slots, ..settings() }, 0, 1);
     rig.submit_many(60);
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn it_starts_at_one_and_grows_by_half_a_call() {
+fn the_window_starts_at_one_and_grows_by_half_a_call() {
     let mut rig = rig_with_backlog(16);
     assert_eq!(rig.in_flight.len(), 1);
     rig.serve(1);
@@ -24,26 +24,26 @@
 }
 
 #[test]
-fn three_quarters_of_the_slots_are_the_ceiling_and_one_call_the_least() {
-    for (slots, most) in [(16, 12), (4, 3), (2, 1), (1, 1)] {
+fn the_window_is_limited_to_three_quarters_of_the_slots_and_at_least_one_call() {
+    for (slots, max) in [(16, 12), (4, 3), (2, 1), (1, 1)] {
         let mut rig = rig_with_backlog(slots);
         rig.submit_many(100);
         for _ in 0..10 {
             rig.advance(100 * MS);
             rig.in_flight.clone().iter().for_each(|o| drop(rig.end(o.id, Outcome::Served)));
         }
-        assert_eq!(rig.in_flight.len(), most, "{slots} slots");
+        assert_eq!(rig.in_flight.len(), max, "{slots} slots");
     }
 }
 
 #[test]
-fn refusal_halves_it_and_growth_rests_for_the_cooldown() {
+fn a_refusal_halves_the_window_and_the_cooldown_stops_growth() {
     let mut rig = rig_with_backlog(16);
     rig.serve(14);
     assert_eq!(rig.in_flight.len(), 8);
     let id = rig.in_flight[0].id;
     rig.end(id, Outcome::Full { wait: None });
-    assert_eq!(rig.in_flight.len(), 7, "cuts stop no running call");
+    assert_eq!(rig.in_flight.len(), 7, "a cut does not stop calls in flight");
     rig.serve(10);
     assert_eq!(rig.in_flight.len(), 4, "no growth within the cooldown");
     for _ in 0..17 {
@@ -56,11 +56,11 @@
 }
 
 #[test]
-fn only_the_first_congestion_of_a_message_cuts() {
+fn only_the_first_congestion_of_a_message_cuts_the_window() {
     let mut rig = Rig::new(settings(), 0, 1);
     rig.submit_many(14);
     rig.serve(14);
-    // Alone now, one message is refused again and again: one cut, from 8 to 4.
+    // The only message is refused repeatedly: one cut, from 8 to 4.
     let id = rig.submit(IDEMPOTENT);
     for _ in 0..3 {
         rig.end(id, Outcome::Full { wait: Some(100 * MS) });
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn plain_errors_leave_it() {
+fn plain_errors_do_not_cut_the_window() {
     let mut rig = rig_with_backlog(16);
     rig.serve(6);
     assert_eq!(rig.in_flight.len(), 4);
@@ -82,8 +82,8 @@
 }
 
 #[test]
-fn spoilt_answers_leave_it_and_open_no_breaker() {
-    // Guards against taking answers that cannot be read for a sign of load or of an outage: the calls ran.
+fn spoilt_answers_neither_cut_the_window_nor_open_the_breaker() {
+    // Guards against treating unreadable answers as a sign of load or of an outage: the calls ran.
     let mut rig = rig_with_backlog(16);
     rig.serve(6);
     for _ in 0..8 {
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn little_allowance_left_holds_growth_unless_there_is_no_limit() {
+fn a_low_remaining_allowance_stops_growth_unless_there_is_no_limit() {
     for (limit, calls) in [(5.0, 1), (0.0, 3)] {
         let mut rig = rig_with_backlog(16);
         for _ in 0..4 {
@@ -107,13 +107,13 @@
 }
 
 #[test]
-fn routes_apart_have_windows_of_their_own_under_one_cap() {
+fn endpoint_routes_have_their_own_windows_under_one_limit() {
     let mut rig = Rig::new(Settings { slots: 4, ..settings() }, 1, 4);
     rig.submit_many(20);
     assert_eq!(rig.in_flight.len(), 3);
     let mut used: Vec<u32> = rig.in_flight.iter().map(|o| o.endpoint).collect();
     used.dedup();
-    assert_eq!(used.len(), 3, "one call a route");
+    assert_eq!(used.len(), 3, "one call per route");
 }
 
 #[test]
--- a/crates/policy/tests/zone.rs
+++ b/crates/policy/tests/zone.rs
@@ -1,137 +1,137 @@
-//! Zones that the fleet has left, tries, or comes back to. Endpoint 0 stands in zone 0, as the sender does,
-//! endpoint 1 in zone 1.
+//! Tests of zones that the fleet has evacuated, probes, or returns to. The sender and endpoint 0 are in zone
+//! 0, endpoint 1 is in zone 1.
 
 mod common;
 use common::*;
 use notchpoint_policy::*;
 
-fn zone(rig: &mut Rig, zone: u32, share: f64, probe: bool) {
+fn set_zone(rig: &mut Rig, zone: u32, share: f64, probe: bool) {
     rig.feed(&[Event::Zone { zone, share, probe, exempt: Vec::new() }]);
 }
 
-/// How many of so many messages, one after another, go to this endpoint.
-fn sent(rig: &mut Rig, endpoint: u32, messages: usize) -> usize {
-    let one = |rig: &mut Rig| {
+/// Submits messages one after another and returns how many of them are sent to `endpoint`.
+fn count_sent(rig: &mut Rig, endpoint: u32, messages: usize) -> usize {
+    let submit_one = |rig: &mut Rig| {
         rig.submit(IDEMPOTENT);
         rig.advance(50 * MS);
-        let out = rig.in_flight.first().copied().expect("it is out");
-        rig.end(out.id, Outcome::Served);
-        usize::from(out.endpoint == endpoint)
+        let attempt = rig.in_flight.first().copied().expect("it is in flight");
+        rig.end(attempt.id, Outcome::Served);
+        usize::from(attempt.endpoint == endpoint)
     };
-    (0..messages).map(|_| one(rig)).sum()
+    (0..messages).map(|_| submit_one(rig)).sum()
 }
 
 #[test]
-fn nothing_goes_to_a_zone_that_is_left_while_the_destination_has_endpoints_elsewhere() {
+fn an_evacuated_zone_gets_nothing_while_the_destination_has_endpoints_elsewhere() {
     let mut rig = Rig::new(settings(), 0, 2);
-    assert_eq!(sent(&mut rig, 0, 20), 20, "its own zone comes first");
-    zone(&mut rig, 0, 0.0, false);
-    assert_eq!(sent(&mut rig, 0, 20), 0);
-    zone(&mut rig, 0, 1.0, false);
-    assert_eq!(sent(&mut rig, 0, 20), 20);
+    assert_eq!(count_sent(&mut rig, 0, 20), 20, "its own zone comes first");
+    set_zone(&mut rig, 0, 0.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 20), 0);
+    set_zone(&mut rig, 0, 1.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 20), 20);
 }
 
 #[test]
-fn a_destination_with_endpoints_nowhere_else_or_none_that_lives_is_not_concerned() {
+fn a_destination_without_live_endpoints_in_other_zones_is_not_affected() {
     let mut rig = Rig::new(settings(), 0, 1);
-    zone(&mut rig, 0, 0.0, false);
-    assert_eq!(sent(&mut rig, 0, 5), 5);
+    set_zone(&mut rig, 0, 0.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 5), 5);
     let mut rig = Rig::new(settings(), 0, 2);
-    zone(&mut rig, 0, 0.0, false);
+    set_zone(&mut rig, 0, 0.0, false);
     rig.list(vec![entry(1, 1, 0, Phase::Draining)]);
-    assert_eq!(sent(&mut rig, 0, 5), 5);
-    // And with all zones left, as if none were: somebody may know better than the fleet.
+    assert_eq!(count_sent(&mut rig, 0, 5), 5);
+    // If all zones are evacuated, their endpoints are used as if none were: the fleet may be wrong.
     let mut rig = Rig::new(settings(), 0, 2);
-    zone(&mut rig, 0, 0.0, false);
-    zone(&mut rig, 1, 0.0, false);
-    assert_eq!(sent(&mut rig, 0, 5), 5);
+    set_zone(&mut rig, 0, 0.0, false);
+    set_zone(&mut rig, 1, 0.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 5), 5);
 }
 
 #[test]
-fn a_destination_that_serves_there_all_the_same_is_not_concerned() {
+fn an_exempt_destination_is_not_affected() {
     let mut rig = Rig::new(settings(), 0, 2);
     let exempt = vec![DestinationId(1)];
     rig.feed(&[Event::Zone { zone: 0, share: 0.0, probe: false, exempt }]);
-    assert_eq!(sent(&mut rig, 0, 20), 20);
-    zone(&mut rig, 0, 0.0, false);
-    assert_eq!(sent(&mut rig, 0, 20), 0);
+    assert_eq!(count_sent(&mut rig, 0, 20), 20);
+    set_zone(&mut rig, 0, 0.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 20), 0);
 }
 
 #[test]
-fn an_endpoint_that_rests_is_used_where_only_a_zone_that_is_left_has_another() {
+fn an_endpoint_in_backoff_is_used_if_the_other_one_is_in_an_evacuated_zone() {
     let mut rig = Rig::new(settings(), 0, 2);
-    zone(&mut rig, 0, 0.0, false);
+    set_zone(&mut rig, 0, 0.0, false);
     let id = rig.submit(IDEMPOTENT);
     assert_eq!(rig.in_flight[0].endpoint, 1);
     rig.end(id, Outcome::Reset);
     rig.advance(300 * MS);
-    assert_eq!(rig.in_flight.first().map(|o| o.endpoint), Some(1), "its rest is a preference");
+    assert_eq!(rig.in_flight.first().map(|o| o.endpoint), Some(1), "a backoff is a preference");
 }
 
 #[test]
-fn a_zone_that_is_returned_to_gets_its_share_and_is_the_first_choice_for_that() {
+fn a_zone_in_return_gets_its_share_before_others() {
     for (share, least, most) in [(0.1, 10, 30), (0.25, 35, 65), (0.5, 80, 120)] {
-        // Zone 1 is not this sender's own: without the share nothing would go there.
+        // Zone 1 is not the sender's zone: without the share nothing would be sent there.
         let mut rig = Rig::new(settings(), 0, 2);
-        zone(&mut rig, 1, share, false);
-        let there = sent(&mut rig, 1, 400);
-        assert!((least..=most).contains(&there), "{there} of 400 at {share} of a half");
+        set_zone(&mut rig, 1, share, false);
+        let in_zone = count_sent(&mut rig, 1, 400);
+        assert!((least..=most).contains(&in_zone), "{in_zone} of 400 at {share} of a half");
     }
 }
 
 #[test]
-fn of_many_senders_that_come_back_at_once_few_begin_at_once() {
-    let begin = |seed| {
+fn few_of_many_returning_senders_send_their_first_call_at_once() {
+    let first_calls = |seed| {
         let mut rig = Rig::seeded(settings(), 0, 2, seed);
-        zone(&mut rig, 1, 0.0, false);
-        zone(&mut rig, 1, 0.2, false);
-        sent(&mut rig, 1, 1)
+        set_zone(&mut rig, 1, 0.0, false);
+        set_zone(&mut rig, 1, 0.2, false);
+        count_sent(&mut rig, 1, 1)
     };
-    let at_once: usize = (0..300).map(begin).sum();
+    let at_once: usize = (0..300).map(first_calls).sum();
     assert!((10..=50).contains(&at_once), "{at_once} of 300 at a tenth");
 }
 
 #[test]
-fn who_tries_sends_one_message_that_may_be_repeated_to_each_destination_and_no_more() {
+fn a_probe_sends_one_idempotent_message_to_each_destination() {
     let mut rig = Rig::new(settings(), 0, 2);
-    zone(&mut rig, 0, 0.0, false);
+    set_zone(&mut rig, 0, 0.0, false);
     rig.feed(&[Event::List(ListUpdate::Changes(vec![
         entry(2, 2, 0, Phase::Live),
         entry(3, 2, 0, Phase::Live),
     ]))]);
-    // Messages that wait for the window: what may be repeated goes first where a zone is tried.
+    // Of the messages that wait for the window, an idempotent one is preferred as the probe of a zone.
     let first = rig.submit(AT_MOST_ONCE);
-    let unsafe_one = rig.submit(AT_MOST_ONCE);
-    let safe = rig.submit(IDEMPOTENT);
-    zone(&mut rig, 0, 0.0, true);
+    let at_most_once = rig.submit(AT_MOST_ONCE);
+    let idempotent = rig.submit(IDEMPOTENT);
+    set_zone(&mut rig, 0, 0.0, true);
     rig.end(first, Outcome::Served);
-    let tried: Vec<InFlight> = rig.in_flight.iter().filter(|o| o.endpoint == 0).copied().collect();
-    assert_eq!(tried.iter().map(|o| o.id).collect::<Vec<_>>(), [safe], "{:?}", rig.in_flight);
-    rig.end(safe, Outcome::Served);
-    assert!(rig.is_in_flight(unsafe_one));
-    rig.end(unsafe_one, Outcome::Served);
-    assert_eq!(sent(&mut rig, 0, 10), 0, "once");
+    let probes: Vec<InFlight> = rig.in_flight.iter().filter(|o| o.endpoint == 0).copied().collect();
+    assert_eq!(probes.iter().map(|o| o.id).collect::<Vec<_>>(), [idempotent], "{:?}", rig.in_flight);
+    rig.end(idempotent, Outcome::Served);
+    assert!(rig.is_in_flight(at_most_once));
+    rig.end(at_most_once, Outcome::Served);
+    assert_eq!(count_sent(&mut rig, 0, 10), 0, "probed once");
     let other = rig.submit_to(IDEMPOTENT, 2, None, 20 * SEC);
     assert_eq!(
         rig.in_flight.iter().find(|o| o.id == other).map(|o| o.endpoint),
         Some(2),
-        "the other destination"
+        "the other destination is probed, too"
     );
-    // Doubted by others, and tried from here: its share stays whole.
+    // A probe of a zone that keeps its whole share.
     let mut rig = Rig::new(settings(), 0, 2);
-    sent(&mut rig, 0, 2);
-    zone(&mut rig, 1, 1.0, true);
-    assert_eq!(sent(&mut rig, 1, 10), 1);
+    count_sent(&mut rig, 0, 2);
+    set_zone(&mut rig, 1, 1.0, true);
+    assert_eq!(count_sent(&mut rig, 1, 10), 1);
 }
 
 #[test]
-fn shares_that_make_no_sense_are_taken_as_none_at_all_or_the_whole() {
+fn invalid_shares_count_as_nothing_or_as_the_whole() {
     let mut rig = Rig::new(settings(), 0, 2);
-    zone(&mut rig, 0, f64::NAN, false);
-    assert_eq!(sent(&mut rig, 0, 5), 5);
-    zone(&mut rig, 0, -1.0, false);
-    assert_eq!(sent(&mut rig, 0, 5), 0);
-    zone(&mut rig, 7, 0.0, true);
-    zone(&mut rig, 0, 9.0, false);
-    assert_eq!(sent(&mut rig, 0, 5), 5);
+    set_zone(&mut rig, 0, f64::NAN, false);
+    assert_eq!(count_sent(&mut rig, 0, 5), 5);
+    set_zone(&mut rig, 0, -1.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 5), 0);
+    set_zone(&mut rig, 7, 0.0, true);
+    set_zone(&mut rig, 0, 9.0, false);
+    assert_eq!(count_sent(&mut rig, 0, 5), 5);
 }
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -43,7 +43,7 @@
     let watch = move |at: Micros, events: &[Event], actions: &[Action], sender: &Sender| {
         recorder.borrow_mut().turn(at, UNIX + at - 50 * SEC, events, actions, sender).expect("recorded");
     };
-    let mut world = Checker::watched(set.clone(), SEED, Some(Box::new(watch)));
+    let mut world = Checker::observed(set.clone(), SEED, Some(Box::new(watch)));
     steps.iter().for_each(|s| world.step(s));
     world.advance(60 * SEC);
     world
@@ -69,9 +69,14 @@
 fn long_steps() -> Vec<Step> {
     let mut steps = Vec::new();
     for n in 0..120u64 {
-        steps.push(Step::Take { class: (n % 4) as u32, dest: 1 + n % 4, key: (n % 3) as u8, expires: 9_000 });
+        steps.push(Step::Submit {
+            class: (n % 4) as u32,
+            dest: 1 + n % 4,
+            key: (n % 3) as u8,
+            expires: 9_000,
+        });
         steps.push(Step::End { pick: n as usize, outcome: (n % 8) as u8, wait: 300 * (n % 5) });
-        steps.push(Step::Pass { ms: 10 + 90 * (n % 4) });
+        steps.push(Step::Advance { ms: 10 + 90 * (n % 4) });
     }
     steps
 }
