--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -1,10 +1,10 @@
-//! Connections and calls to endpoints: what a call came to, and whether it can have run.
+//! Connections and calls to endpoints: how each call ended, and whether it can have run.
 
 mod answer;
 mod call;
 mod error;
 mod exchange;
-mod passing;
+mod handover;
 mod pool;
 mod progress;
 
@@ -18,14 +18,14 @@
 use crate::settings::descriptors::DescriptorBudget;
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, Verdict};
-use answer::Answer;
-pub use answer::End;
+pub use answer::AttemptEnd;
+use answer::CallResult;
 use bytes::Bytes;
-use call::{Call, take};
+use call::{Call, remove_matching};
 use error::CallError;
 use notchpoint_policy::*;
 use notchpoint_seam::Network;
-use pool::{Connection, Idle};
+use pool::{Connection, IdleConnection};
 use std::cell::{Cell, RefCell};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,93 +35,96 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender, unbounded_channel};
 use tokio::time::{Instant, sleep_until};
 
-/// An idle connection is dropped after this share of the time after which its endpoint may close it: the
-/// rest covers the way there, so that no request meets a closing connection.
+/// An idle connection is dropped after this share of the time after which its endpoint may close it. The
+/// rest covers the network delay, so that no request meets a closing connection.
 const IDLE_SHARE: f64 = 0.8;
-/// A destination whose last endpoint left the list is known for so long: a replacement may be under way.
-const LATELY: Duration = Duration::from_secs(60);
-const SWEEP: Duration = Duration::from_millis(500);
-/// An answer that comes so shortly before the end of a message's time may have been written after it: a
+/// A destination whose last endpoint left the list stays known for this time: a replacement may follow.
+const DESTINATION_RETENTION: Duration = Duration::from_secs(60);
+const SWEEP_INTERVAL: Duration = Duration::from_millis(500);
+/// A response that arrives less than this before a message's deadline may have been written after it: the
 /// client's time began a little before its message was read here.
-const TURN: Duration = Duration::from_millis(10);
-/// The same where the process was held up before it read the message: an answer that comes in this time
-/// before the end is taken for one, and its message is ended by a notice all the same, which does no harm.
-const DOUBT: Duration = Duration::from_millis(170);
-/// No message lives longer.
-const FOREVER: Duration = Duration::from_secs(365 * 24 * 60 * 60);
+const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
+/// The same if the process was delayed before it read the message. A response that arrives less than this
+/// before the deadline counts as a delivery, and a notice is sent for its message all the same, which does no
+/// harm.
+const UNCERTAINTY_MARGIN: Duration = Duration::from_millis(170);
+/// No message has a longer time to its deadline.
+const MAX_LIFETIME: Duration = Duration::from_secs(365 * 24 * 60 * 60);
 
 /// A message in a call.
 #[derive(Clone, Debug)]
-pub struct Item {
+pub struct CallItem {
     pub id: MessageId,
     pub attempt: u32,
     pub timeout: Duration,
-    /// Its first byte may be written for so long.
-    pub within: Duration,
-    /// Not on a connection that has not carried an answer.
+    /// Time from the start of the call in which its first byte may be written.
+    pub start_within: Duration,
+    /// The attempt may only use a connection that has carried a response.
     pub proven_only: bool,
     pub idempotency_key: String,
     pub body: Bytes,
 }
 
-/// An endpoint as the list has it.
+/// An endpoint as the list describes it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Target {
     pub address: SocketAddr,
     pub dest: DestinationId,
     pub live: bool,
-    pub apart: bool,
-    /// Messages in one call at most.
-    pub bundle: usize,
+    /// The endpoint is a route of its own, apart from the other endpoints of its destination.
+    pub per_endpoint: bool,
+    /// Most messages in one call.
+    pub max_bundle: usize,
 }
 
 impl Target {
     fn route(&self, id: EndpointId) -> Route {
-        (self.dest, self.apart.then_some(id))
+        (self.dest, self.per_endpoint.then_some(id))
     }
 }
 
 /// An attempt, by its message and number.
 type AttemptId = (MessageId, u32);
-/// What shares a limit and waits: a destination, or one endpoint of it where they are apart.
+/// A route shares one limit and its waits: a destination, or one endpoint of it where they are apart.
 type Route = (DestinationId, Option<EndpointId>);
 
+/// All calls to endpoints and the connections for them.
 pub struct Calls {
     net: Rc<dyn Network>,
     targets: RefCell<BTreeMap<EndpointId, Target>>,
-    /// Endpoints that operators have taken out.
-    taken_out: RefCell<BTreeSet<EndpointId>>,
-    /// How many endpoints the list has of each destination.
-    endpoints_of: RefCell<BTreeMap<DestinationId, usize>>,
-    /// The destinations that the list names, or, until then, has named.
-    named: RefCell<BTreeMap<DestinationId, Option<Instant>>>,
-    pool: RefCell<BTreeMap<EndpointId, Vec<Idle>>>,
-    waits: RefCell<BTreeMap<Route, Instant>>,
+    /// Endpoints that operators have taken out of service.
+    out_of_service: RefCell<BTreeSet<EndpointId>>,
+    /// The number of endpoints of each destination in the list.
+    endpoint_counts: RefCell<BTreeMap<DestinationId, usize>>,
+    /// The destinations in the list, and those that left it, which stay known until the given time.
+    known_destinations: RefCell<BTreeMap<DestinationId, Option<Instant>>>,
+    pool: RefCell<BTreeMap<EndpointId, Vec<IdleConnection>>>,
+    route_waits: RefCell<BTreeMap<Route, Instant>>,
     cancels: RefCell<BTreeMap<AttemptId, (EndpointId, UnboundedSender<AttemptId>)>>,
-    /// Attempts that are out at the process before this one, which tells of their ends.
-    adopted: RefCell<BTreeMap<AttemptId, EndpointId>>,
-    /// Where to tell it to stop waiting for one.
-    before: RefCell<Option<UnboundedSender<Frame>>>,
-    /// After that no call begins: this process ends.
-    last_start: Cell<Option<Instant>>,
-    /// Another process decides: what is out ends here, and connections are not kept.
-    given: Cell<bool>,
-    out: Cell<usize>,
+    /// Attempts in flight at the predecessor, which reports how they end.
+    adopted_attempts: RefCell<BTreeMap<AttemptId, EndpointId>>,
+    /// Sends requests to cancel such attempts to the predecessor.
+    predecessor: RefCell<Option<UnboundedSender<Frame>>>,
+    /// No call starts after this time: the process is shutting down.
+    start_deadline: Cell<Option<Instant>>,
+    /// The successor makes the decisions: open calls end here, and connections are not kept.
+    handed_over: Cell<bool>,
+    active_calls: Cell<usize>,
     journal: Rc<RefCell<Journal>>,
     durability: Rc<DurabilityTracker>,
-    /// Where copies are kept, their keepers have a word in each attempt.
+    /// If replicas are configured, they have to consent to each attempt.
     copies: Option<Rc<ReplicationService>>,
-    /// Where operators want it, what calls come to is watched by zone.
+    /// If operators have enabled it, the outcomes of calls are observed by zone.
     zone_monitor: RefCell<Option<Rc<ZoneMonitor>>>,
     inputs: UnboundedSender<Input>,
     connect_timeout: Duration,
-    idle: Duration,
-    /// Connections that may stand idle, so that descriptors are left for clients.
-    most_idle: usize,
-    second_copies: bool,
-    /// What fails on this side.
-    trouble: RateLimitedWarning,
-    /// Why what happened.
+    idle_timeout: Duration,
+    /// Limit of idle connections, so that descriptors are left for clients.
+    max_idle: usize,
+    parallel_attempts: bool,
+    /// Warnings about failures on this machine.
+    warnings: RateLimitedWarning,
+    /// Counts of ends and refusals by reason.
     pub reasons: Rc<ReasonCounts>,
 }
 
@@ -138,27 +141,27 @@
         let calls = Rc::new(Self {
             net,
             targets: RefCell::default(),
-            taken_out: RefCell::default(),
-            endpoints_of: RefCell::default(),
-            named: RefCell::default(),
+            out_of_service: RefCell::default(),
+            endpoint_counts: RefCell::default(),
+            known_destinations: RefCell::default(),
             pool: RefCell::default(),
-            waits: RefCell::default(),
+            route_waits: RefCell::default(),
             cancels: RefCell::default(),
-            adopted: RefCell::default(),
-            before: RefCell::default(),
-            last_start: Cell::new(None),
-            given: Cell::new(false),
-            out: Cell::new(0),
+            adopted_attempts: RefCell::default(),
+            predecessor: RefCell::default(),
+            start_deadline: Cell::new(None),
+            handed_over: Cell::new(false),
+            active_calls: Cell::new(0),
             journal,
             durability,
             copies,
             zone_monitor: RefCell::default(),
             inputs,
             connect_timeout: Duration::from_micros(set.connect_timeout),
-            idle: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
-            most_idle: DescriptorBudget::new(config).idle_connections,
-            second_copies: set.parallel_attempts,
-            trouble: RateLimitedWarning::default(),
+            idle_timeout: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
+            max_idle: DescriptorBudget::new(config).idle_connections,
+            parallel_attempts: set.parallel_attempts,
+            warnings: RateLimitedWarning::default(),
             reasons: Rc::default(),
         });
         let swept = Rc::downgrade(&calls);
@@ -166,40 +169,41 @@
             while let Some(calls) = swept.upgrade() {
                 calls.sweep();
                 drop(calls);
-                tokio::time::sleep(SWEEP).await;
+                tokio::time::sleep(SWEEP_INTERVAL).await;
             }
         });
         calls
     }
 
-    /// From now on what attempts come to is told there as well.
-    pub fn watched_by(&self, zone_monitor: Rc<ZoneMonitor>) {
+    /// Reports the outcomes of attempts to `zone_monitor` as well from now on.
+    pub fn set_zone_monitor(&self, zone_monitor: Rc<ZoneMonitor>) {
         *self.zone_monitor.borrow_mut() = Some(zone_monitor);
     }
 
-    /// Where what happens is told.
+    /// Returns the sender of inputs for the decision loop.
     pub fn inputs(&self) -> UnboundedSender<Input> {
         self.inputs.clone()
     }
 
-    /// This process ends: what has not begun by then is left to the next one.
-    pub fn start_until(&self, last: Instant) {
-        self.last_start.set(Some(last));
+    /// Starts no call after the deadline: the process is shutting down, and leaves the rest to the next one.
+    pub fn start_until(&self, deadline: Instant) {
+        self.start_deadline.set(Some(deadline));
     }
 
-    /// Calls that are out.
-    pub fn out(&self) -> usize {
-        self.out.get()
+    /// The number of calls in progress.
+    pub fn active_calls(&self) -> usize {
+        self.active_calls.get()
     }
 
-    /// An attempt of this message is out.
-    pub fn has_open_attempt(&self, id: MessageId) -> bool {
+    /// Whether any attempt of this message is open.
+    pub fn has_attempt_in_flight(&self, id: MessageId) -> bool {
         let all = (id, 0)..=(id, u32::MAX);
         let own = self.cancels.borrow().range(all.clone()).next().is_some();
-        own || self.adopted.borrow().range(all).next().is_some()
+        own || self.adopted_attempts.borrow().range(all).next().is_some()
     }
 
-    /// What the list says of an endpoint; connections to one that moved or left are closed.
+    /// Updates an endpoint from the list; `None` removes it. Idle connections to an endpoint that changed its
+    /// address or phase are closed.
     pub fn update_endpoint(&self, id: EndpointId, target: Option<Target>) {
         let old = match target {
             Some(t) => self.targets.borrow_mut().insert(id, t),
@@ -207,17 +211,17 @@
         };
         if old.map(|t| (t.address, t.live)) != target.map(|t| (t.address, t.live)) {
             let closed = self.pool.borrow_mut().remove(&id).map_or(0, |idle| idle.len());
-            self.tell_closed(id, closed);
+            self.report_closed(id, closed);
         }
         let left = self.count_endpoint(old, target);
-        let mut named = self.named.borrow_mut();
-        named.extend(left.map(|dest| (dest, Some(Instant::now() + LATELY))));
-        named.extend(target.map(|t| (t.dest, None)));
+        let mut known = self.known_destinations.borrow_mut();
+        known.extend(left.map(|dest| (dest, Some(Instant::now() + DESTINATION_RETENTION))));
+        known.extend(target.map(|t| (t.dest, None)));
     }
 
-    /// Counts an endpoint that came, left or moved; gives the destination whose last one it was.
+    /// Counts an endpoint that was added, removed or changed. Returns the destination that lost its last one.
     fn count_endpoint(&self, old: Option<Target>, new: Option<Target>) -> Option<DestinationId> {
-        let mut counts = self.endpoints_of.borrow_mut();
+        let mut counts = self.endpoint_counts.borrow_mut();
         if let Some(target) = new {
             *counts.entry(target.dest).or_default() += 1;
         }
@@ -230,29 +234,30 @@
         Some(old?.dest)
     }
 
-    /// Operators took an endpoint out, or put it back: a call that is not written yet is not made, and idle
-    /// connections end, since it will be restarted.
-    pub fn set_out(&self, id: EndpointId, out: bool) {
-        let mut all = self.taken_out.borrow_mut();
+    /// Takes an endpoint out of service by an operator's command, or returns it. Calls that are not written
+    /// yet are not made, and idle connections are closed, since the endpoint will be restarted.
+    pub fn set_out_of_service(&self, id: EndpointId, out: bool) {
+        let mut all = self.out_of_service.borrow_mut();
         if out {
             all.insert(id);
             let closed = self.pool.borrow_mut().remove(&id).map_or(0, |idle| idle.len());
-            self.tell_closed(id, closed);
+            self.report_closed(id, closed);
         } else {
             all.remove(&id);
         }
     }
 
-    /// The list names this destination, or did lately.
+    /// Whether the list names this destination, or has named it recently.
     pub fn knows_destination(&self, dest: DestinationId) -> bool {
-        self.named.borrow().contains_key(&dest)
+        self.known_destinations.borrow().contains_key(&dest)
     }
 
-    /// Messages in one call to an endpoint at most.
-    pub fn bundle(&self, id: EndpointId) -> usize {
-        self.targets.borrow().get(&id).map_or(1, |t| t.bundle)
+    /// Most messages in one call to an endpoint.
+    pub fn max_bundle(&self, id: EndpointId) -> usize {
+        self.targets.borrow().get(&id).map_or(1, |t| t.max_bundle)
     }
 
+    /// Returns all endpoints of the list.
     pub fn listed(&self) -> Vec<EndpointId> {
         self.targets.borrow().keys().copied().collect()
     }
@@ -261,19 +266,19 @@
         self.targets.borrow().contains_key(&id)
     }
 
-    /// Attempts that are out.
-    pub fn attempts_out(&self) -> usize {
-        self.cancels.borrow().len() + self.adopted.borrow().len()
+    /// The number of attempts in flight, including those at the predecessor.
+    pub fn attempts_in_flight(&self) -> usize {
+        self.cancels.borrow().len() + self.adopted_attempts.borrow().len()
     }
 
     /// Stops waiting for an attempt.
     pub fn cancel(&self, id: MessageId, attempt: u32) {
         if let Some((_, call)) = self.cancels.borrow().get(&(id, attempt)) {
             let _ = call.send((id, attempt));
-        } else if self.adopted.borrow().contains_key(&(id, attempt))
-            && let Some(before) = &*self.before.borrow()
+        } else if self.adopted_attempts.borrow().contains_key(&(id, attempt))
+            && let Some(predecessor) = &*self.predecessor.borrow()
         {
-            let _ = before.send(Frame::Cancel { id, attempt });
+            let _ = predecessor.send(Frame::CancelAttempt { id, attempt });
         }
     }
 
@@ -281,159 +286,164 @@
     pub fn cancel_all(&self, id: MessageId) {
         let all = (id, 0)..=(id, u32::MAX);
         let own: Vec<u32> = self.cancels.borrow().range(all.clone()).map(|(a, _)| a.1).collect();
-        let adopted: Vec<u32> = self.adopted.borrow().range(all).map(|(a, _)| a.1).collect();
+        let adopted: Vec<u32> = self.adopted_attempts.borrow().range(all).map(|(a, _)| a.1).collect();
         own.into_iter().chain(adopted).for_each(|attempt| self.cancel(id, attempt));
     }
 
-    /// Starts one call with these messages. Each of them ends once.
-    pub fn start(self: &Rc<Self>, endpoint: EndpointId, mut items: Vec<Item>) {
+    /// Starts one call with these messages. The attempt of each of them ends exactly once.
+    pub fn start(self: &Rc<Self>, endpoint: EndpointId, mut items: Vec<CallItem>) {
         let (cancel, cancelled) = unbounded_channel();
-        let least = items.iter().map(|i| i.timeout).min().unwrap_or_default();
+        let shortest = items.iter().map(|i| i.timeout).min().unwrap_or_default();
         for i in &mut items {
-            if !self.second_copies {
-                // One sent again while the call goes on for the others would be a second copy.
-                i.timeout = least;
+            if !self.parallel_attempts {
+                // A message that is sent again while this call goes on for the others would be a second copy.
+                i.timeout = shortest;
             }
             self.cancels.borrow_mut().insert((i.id, i.attempt), (endpoint, cancel.clone()));
         }
-        self.out.set(self.out.get() + 1);
-        // Chosen now, not when the call gets its turn: what became idle in between the module would count
-        // twice, since it had decided without it.
-        let used = self.pooled(endpoint);
+        self.active_calls.set(self.active_calls.get() + 1);
+        // Taken now, not when the task runs: the policy decided without a connection that becomes idle in
+        // between, and would count it twice.
+        let idle = self.take_idle(endpoint);
         let calls = self.clone();
         tokio::task::spawn_local(async move {
-            calls.call(endpoint, items, used, cancelled).await;
-            calls.out.set(calls.out.get() - 1);
+            calls.call(endpoint, items, idle, cancelled).await;
+            calls.active_calls.set(calls.active_calls.get() - 1);
         });
     }
 
+    /// Makes one call and reports how the attempt of each of its messages ended.
     async fn call(
         self: &Rc<Self>,
         endpoint: EndpointId,
-        items: Vec<Item>,
-        used: Option<Connection>,
+        items: Vec<CallItem>,
+        idle: Option<Connection>,
         mut cancelled: UnboundedReceiver<AttemptId>,
     ) {
         let call = Call::new(items);
-        let mut last = Vec::new();
-        let answer = {
-            let exchange = self.exchange(endpoint, used, &call);
+        let mut removed = Vec::new();
+        let result = {
+            let exchange = self.exchange(endpoint, idle, &call);
             tokio::pin!(exchange);
             loop {
                 let Some(next) = call.next_due() else { break None };
                 let outcome = tokio::select! {
                     biased;
-                    answer = &mut exchange => break Some(answer),
-                    () = call.news.notified() => continue,
-                    Some(one) = cancelled.recv() => {
-                        let outcome = match (self.is_settled(&call), call.is_written()) {
+                    result = &mut exchange => break Some(result),
+                    () = call.deadline_changed.notified() => continue,
+                    Some(attempt) = cancelled.recv() => {
+                        let outcome = match (self.is_settled(&call), call.is_request_written()) {
                             (true, _) => Outcome::Served,
                             (_, true) => Outcome::Cancelled,
                             _ => Outcome::Moot,
                         };
-                        last = take(&call.waiting, |i| (i.id, i.attempt) == one);
+                        removed = remove_matching(&call.waiting, |i| (i.id, i.attempt) == attempt);
                         outcome
                     }
                     () = sleep_until(next) => {
-                        let outcome = match (self.is_settled(&call), call.is_written()) {
+                        let outcome = match (self.is_settled(&call), call.is_request_written()) {
                             (true, _) => Outcome::Served,
                             (_, true) => Outcome::TimedOut,
                             _ => Outcome::ConnectFailed,
                         };
-                        // With its first message the whole call is over.
-                        let over = call.is_over();
-                        last = take(&call.waiting, |i| over || call.started + i.timeout <= next);
+                        // The whole call ends with the deadline of its first message.
+                        let expired = call.is_expired();
+                        removed =
+                            remove_matching(&call.waiting, |i| expired || call.started + i.timeout <= next);
                         outcome
                     }
                 };
-                let ended = std::mem::take(&mut last).into_iter().map(|i| (i, End::from(outcome)));
+                let ended = std::mem::take(&mut removed).into_iter().map(|i| (i, AttemptEnd::from(outcome)));
                 if call.waiting.borrow().is_empty() {
-                    // The connection goes first: the call holds its slot for as long as that is open.
-                    last = ended.map(|(i, _)| i).collect();
-                    break Some(Ok(Answer::Alike(outcome.into())));
+                    // The connection is closed first: the call holds its slot for as long as that is open.
+                    removed = ended.map(|(i, _)| i).collect();
+                    break Some(Ok(CallResult::SameForAll(outcome.into())));
                 }
-                ended.for_each(|(i, end)| self.report(endpoint, &i, end));
+                ended.for_each(|(i, end)| self.report_end(endpoint, &i, end));
             }
         };
-        if let Some(Err(CallError::NotSent(why))) = &answer {
-            self.trouble.warn(&format_args!("a connection cannot be made here: {why}"));
+        if let Some(Err(CallError::NotSent(why))) = &result {
+            self.warnings.warn(&format_args!("cannot open a connection to an endpoint, local error: {why}"));
         }
         let open = call.connection.borrow_mut().take();
         if let Some(c) = open {
             c.close().await;
         }
-        last.extend(call.waiting.take());
-        for item in last {
-            let end = match &answer {
-                Some(Ok(Answer::Alike(end))) => *end,
-                Some(Ok(Answer::Each(ends))) => ends.get(&item.id).copied().unwrap_or(Outcome::Spoilt.into()),
+        removed.extend(call.waiting.take());
+        for item in removed {
+            let end = match &result {
+                Some(Ok(CallResult::SameForAll(end))) => *end,
+                Some(Ok(CallResult::PerMessage(ends))) => {
+                    ends.get(&item.id).copied().unwrap_or(Outcome::Spoilt.into())
+                }
                 _ if self.is_settled(&call) => Outcome::Served.into(),
-                _ if call.is_written() && call.is_answered() => Outcome::Spoilt.into(),
-                _ if call.is_written() => Outcome::Reset.into(),
+                _ if call.is_request_written() && call.has_response_bytes() => Outcome::Spoilt.into(),
+                _ if call.is_request_written() => Outcome::Reset.into(),
                 Some(Err(CallError::NotSent(_))) => Outcome::NotSent.into(),
                 _ => Outcome::ConnectFailed.into(),
             };
-            let doubtful = end.outcome == Outcome::Served && call.is_nearly_over(DOUBT);
-            if doubtful && self.given.get() {
-                // The owner of the message cannot be told of the doubt: it takes it for unanswered, which
-                // promises no more than is known.
-                self.report(endpoint, &item, Outcome::TimedOut.into());
+            let is_uncertain = end.outcome == Outcome::Served && call.expires_within(UNCERTAINTY_MARGIN);
+            if is_uncertain && self.handed_over.get() {
+                // No frame can report the uncertainty to the message's owner, so a time-out is reported,
+                // which claims no more than is known.
+                self.report_end(endpoint, &item, Outcome::TimedOut.into());
                 continue;
             }
-            if doubtful {
-                // Before its end is recorded: a verdict stands until the notice has been told.
+            if is_uncertain {
+                // Recorded before the end: a verdict stays in the journal until the notice is delivered.
                 self.journal.borrow_mut().record_verdict(item.id, Verdict::Dead);
                 let _ = self.inputs.send(Input::DeliveryUncertain(item.id));
             }
-            self.report(endpoint, &item, end);
+            self.report_end(endpoint, &item, end);
         }
     }
 
-    /// Whether the first line of its answer has settled a call of a single message: that one is delivered,
-    /// whatever becomes of the rest, and over from now on also for the next process.
+    /// Whether the status line of the response has settled a call with a single message: the message is
+    /// delivered, whatever happens to the rest, and its record is ended, also for the next process.
     fn is_settled(&self, call: &Call) -> bool {
-        let says_ok = || call.progress.borrow().as_ref().is_some_and(|p| p.says_ok());
-        if !call.settled.get() && !call.batch.get() && says_ok() && !call.is_over() {
+        let has_ok_status = || call.progress.borrow().as_ref().is_some_and(|p| p.has_ok_status());
+        if !call.settled.get() && !call.batch.get() && has_ok_status() && !call.is_expired() {
             call.settled.set(true);
-            // Where its answer may not count its record stays, for the notice.
-            if !call.is_nearly_over(DOUBT) {
+            // If the response may not count, the record stays for the notice.
+            if !call.expires_within(UNCERTAINTY_MARGIN) {
                 call.waiting.borrow().iter().for_each(|i| _ = self.journal.borrow_mut().record_end(i.id));
             }
         }
         call.settled.get()
     }
 
-    /// The message that has the most time left goes first: a call is over with its first message. Gives when
-    /// that is.
-    fn lead(&self, items: &mut [Item]) -> Option<Instant> {
+    /// Moves the message with the latest deadline to the front, since a call ends with its first message.
+    /// Returns when the call ends.
+    fn order_by_deadline(&self, items: &mut [CallItem]) -> Option<Instant> {
         let journal = self.journal.borrow();
-        let deadline = |i: &Item| journal.get(i.id).map_or(0, |m| m.deadline);
+        let deadline = |i: &CallItem| journal.get(i.id).map_or(0, |m| m.deadline);
         let (first, at) = items.iter().map(deadline).enumerate().max_by_key(|&(n, at)| (at, Reverse(n)))?;
         items[..=first].rotate_right(1);
-        // The earlier look at a clock is the one that is added to: held up between the two, it ends too soon.
+        // The time left is added to the clock that was read first: a delay between the two reads makes the
+        // call end too early, never too late.
         let now = Instant::now();
-        let left = Duration::from_micros(at.saturating_sub(journal.unix_now())).min(FOREVER);
-        Some(now + left.saturating_sub(TURN))
+        let left = Duration::from_micros(at.saturating_sub(journal.unix_now())).min(MAX_LIFETIME);
+        Some(now + left.saturating_sub(DEADLINE_MARGIN))
     }
 
-    fn report(&self, endpoint: EndpointId, item: &Item, end: End) {
+    fn report_end(&self, endpoint: EndpointId, item: &CallItem, end: AttemptEnd) {
         self.cancels.borrow_mut().remove(&(item.id, item.attempt));
-        self.ended(endpoint, (item.id, item.attempt), end);
+        self.record_end(endpoint, (item.id, item.attempt), end);
     }
 
-    /// Records how an attempt ended, and tells the node.
-    fn ended(&self, endpoint: EndpointId, (id, attempt): AttemptId, end: End) {
+    /// Records how an attempt ended and reports it to the decision loop.
+    fn record_end(&self, endpoint: EndpointId, (id, attempt): AttemptId, end: AttemptEnd) {
         let outcome = end.outcome;
         self.reasons.count_attempt(outcome);
-        tracing::debug!("message {:016x}, attempt {attempt} at {endpoint:?}: {outcome:?}", id.0);
+        tracing::debug!("message {:016x}, attempt {attempt} at {endpoint:?} ended: {outcome:?}", id.0);
         let mut journal = self.journal.borrow_mut();
         let sent = journal
             .get(id)
             .and_then(|m| m.attempts.iter().find(|a| a.number == attempt))
             .map(|a| a.started_at);
         let age = sent.map_or(0, |at| journal.unix_now().saturating_sub(at));
-        if end.over || outcome == Outcome::Served {
-            // One with a verdict ends once that has been told.
+        if end.is_final || outcome == Outcome::Served {
+            // A message with a verdict ends once its notice is delivered.
             if journal.get(id).is_some_and(|m| m.verdict.is_none()) {
                 journal.record_end(id);
             }
@@ -443,25 +453,24 @@
         if let (Outcome::Full { wait: Some(wait) }, Some(t)) = (outcome, self.targets.borrow().get(&endpoint))
         {
             let until = Instant::now() + Duration::from_micros(wait);
-            let mut waits = self.waits.borrow_mut();
+            let mut waits = self.route_waits.borrow_mut();
             let w = waits.entry(t.route(endpoint)).or_insert(until);
             *w = until.max(*w);
         }
         if let Some(zone_monitor) = &*self.zone_monitor.borrow() {
             zone_monitor.record_outcome(endpoint, outcome, age);
         }
-        let (over, allowance) = (end.over, end.allowance);
-        let _ =
-            self.inputs.send(Input::Event(Event::Ended { id, attempt, outcome, is_final: over, allowance }));
+        let (is_final, allowance) = (end.is_final, end.allowance);
+        let _ = self.inputs.send(Input::Event(Event::Ended { id, attempt, outcome, is_final, allowance }));
     }
 
-    /// The endpoint, where a call may begin now.
-    fn target(&self, id: EndpointId) -> Option<Target> {
+    /// Returns the endpoint if a call to it may start now.
+    fn callable_target(&self, id: EndpointId) -> Option<Target> {
         let target = self.targets.borrow().get(&id).copied().filter(|t| t.live)?;
-        if self.taken_out.borrow().contains(&id) {
+        if self.out_of_service.borrow().contains(&id) {
             return None;
         }
-        let waits = self.waits.borrow();
+        let waits = self.route_waits.borrow();
         waits.get(&target.route(id)).is_none_or(|&until| Instant::now() >= until).then_some(target)
     }
 }
--- a/crates/daemon/src/calls/answer.rs
+++ b/crates/daemon/src/calls/answer.rs
@@ -1,4 +1,4 @@
-//! What an answer says of each message of its call.
+//! Reads the response to a call: the outcome of each of its messages.
 
 use super::error::CallError;
 use super::progress::Progress;
@@ -9,62 +9,67 @@
 use notchpoint_policy::*;
 use std::collections::BTreeMap;
 
-/// An answer's body tells at most a line for each message of a batch.
-const ANSWER: usize = 64 << 10;
+/// Longest body of a response: it has at most one line for each message of a batch.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-/// One outcome, and what came with it.
+/// How an attempt ended, and what the response reported with it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct End {
+pub struct AttemptEnd {
     pub outcome: Outcome,
-    pub over: bool,
+    /// The message needs no further attempt.
+    pub is_final: bool,
     pub allowance: Option<Allowance>,
 }
 
-impl From<Outcome> for End {
+impl From<Outcome> for AttemptEnd {
     fn from(outcome: Outcome) -> Self {
-        Self { outcome, over: outcome == Outcome::Served, allowance: None }
+        Self { outcome, is_final: outcome == Outcome::Served, allowance: None }
     }
 }
 
-/// What a call came to: for all alike, or for each message (what is not named may have run).
-pub(super) enum Answer {
-    Alike(End),
-    Each(BTreeMap<MessageId, End>),
+/// The result of a call: the same for all messages, or one for each (a message that is missing may have run).
+pub(super) enum CallResult {
+    SameForAll(AttemptEnd),
+    PerMessage(BTreeMap<MessageId, AttemptEnd>),
 }
 
-/// The answer, once it has come whole, and whether its connection may carry another call. An error is one
-/// that does not come, or cannot be read.
-pub(super) async fn read_answer(
+/// Reads the complete response. Returns the result of the call, and whether the connection may carry another
+/// call. It fails if the response does not arrive or cannot be read.
+pub(super) async fn read_response(
     response: impl Future<Output = hyper::Result<Response<Incoming>>>,
-    batch: bool,
-    passed: &Progress,
-) -> Result<(Answer, bool), CallError> {
+    is_batch: bool,
+    progress: &Progress,
+) -> Result<(CallResult, bool), CallError> {
     let response = response.await.map_err(|_| CallError::Broken)?;
-    if passed.came.borrow().early {
-        // Nothing waited for it: it is left over from an earlier call, and what is said is not meant for
-        // this.
+    if progress.received.borrow().early {
+        // No request was waiting for it: it is left over from an earlier call and does not apply to this one.
         return Err(CallError::Broken);
     }
-    let keep = !closes(&response);
-    let each = batch && response.status() == StatusCode::OK;
+    let is_reusable = !closes_connection(&response);
+    let is_per_message = is_batch && response.status() == StatusCode::OK;
     let (end, wait) = (read_status(&response), read_wait(response.headers()));
     let length = response.body().size_hint().exact();
-    let body = Limited::new(response.into_body(), ANSWER).collect().await.map_err(|_| CallError::Broken)?;
+    let body =
+        Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await.map_err(|_| CallError::Broken)?;
     let body = body.to_bytes();
-    let keep = keep && !length.is_some_and(|n| passed.has_more(n));
-    let answer = if each { Answer::Each(read_batch(&body, wait, end.allowance)) } else { Answer::Alike(end) };
-    Ok((answer, keep))
+    let is_reusable = is_reusable && !length.is_some_and(|n| progress.has_excess_bytes(n));
+    let result = if is_per_message {
+        CallResult::PerMessage(read_batch(&body, wait, end.allowance))
+    } else {
+        CallResult::SameForAll(end)
+    };
+    Ok((result, is_reusable))
 }
 
-fn closes(response: &Response<Incoming>) -> bool {
-    let said = response.headers().get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
-    said.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
+fn closes_connection(response: &Response<Incoming>) -> bool {
+    let values = response.headers().get_all(CONNECTION).iter().filter_map(|v| v.to_str().ok());
+    values.flat_map(|v| v.split(',')).any(|v| v.trim().eq_ignore_ascii_case("close"))
 }
 
-fn read_status(response: &Response<Incoming>) -> End {
+fn read_status(response: &Response<Incoming>) -> AttemptEnd {
     let headers = response.headers();
     let no_slot = headers.get("X-No-Slot").is_some_and(|v| v == "1");
-    let (outcome, over) = match response.status().as_u16() {
+    let (outcome, is_final) = match response.status().as_u16() {
         200 => (Outcome::Served, true),
         503 if no_slot => (Outcome::Moot, false),
         429 | 503 => (Outcome::Full { wait: read_wait(headers) }, false),
@@ -72,21 +77,21 @@
         410 => (Outcome::Moot, true),
         other => {
             if other != 500 {
-                tracing::warn!("an endpoint answered {other}");
+                tracing::warn!("an endpoint responded with unexpected status {other}");
             }
             (Outcome::Failed, false)
         }
     };
-    End { outcome, over, allowance: read_allowance(headers) }
+    AttemptEnd { outcome, is_final, allowance: read_allowance(headers) }
 }
 
-/// Seconds, with decimals; a fraction of a microsecond counts in full. Waits of over a day are not believed.
+/// Reads `Retry-After` in seconds with decimals, rounded up to a microsecond. Waits are capped at one day.
 fn read_wait(headers: &HeaderMap) -> Option<Micros> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.trim().parse().ok()?;
     (seconds > 0.0).then(|| (seconds.min(86_400.0) * 1e6).ceil() as Micros)
 }
 
-/// `TEXT x0=0.4, x1=25`
+/// Reads `X-Server-Load`, which has the form `TEXT x0=0.4, x1=25`.
 fn read_allowance(headers: &HeaderMap) -> Option<Allowance> {
     let text = headers.get("X-Server-Load")?.to_str().ok()?;
     let field = |name: &str| {
@@ -96,11 +101,12 @@
     Some(Allowance { left: field("x0")?, limit: field("x1")? })
 }
 
+/// Reads the body of the response to a batch: one line with the id and the result of each message.
 pub(super) fn read_batch(
     body: &[u8],
     wait: Option<Micros>,
     allowance: Option<Allowance>,
-) -> BTreeMap<MessageId, End> {
+) -> BTreeMap<MessageId, AttemptEnd> {
     let mut ends = BTreeMap::new();
     for line in String::from_utf8_lossy(body).lines() {
         let mut words = line.split_ascii_whitespace();
@@ -113,9 +119,9 @@
             "void" | "used_up" => Outcome::Moot,
             _ => continue,
         };
-        let over = matches!(word, "done" | "void");
-        // Said twice, only the first word counts.
-        ends.entry(MessageId(id)).or_insert(End { outcome, over, allowance });
+        let is_final = matches!(word, "done" | "void");
+        // If a message appears twice, the first line counts.
+        ends.entry(MessageId(id)).or_insert(AttemptEnd { outcome, is_final, allowance });
     }
     ends
 }
--- a/crates/daemon/src/calls/call.rs
+++ b/crates/daemon/src/calls/call.rs
@@ -1,6 +1,6 @@
-//! What is known of one call while it is out.
+//! The state of one call while it is in progress.
 
-use super::Item;
+use super::CallItem;
 use super::pool::Connection;
 use super::progress::Progress;
 use std::cell::{Cell, RefCell};
@@ -11,63 +11,68 @@
 
 pub(super) struct Call {
     pub(super) started: Instant,
-    /// Messages that are still waited for; once the request is written, in its order.
-    pub(super) waiting: RefCell<Vec<Item>>,
+    /// Messages whose outcome is still open; once the request is written, in the request's order.
+    pub(super) waiting: RefCell<Vec<CallItem>>,
     /// The request carries several messages.
     pub(super) batch: Cell<bool>,
     pub(super) connection: RefCell<Option<Connection>>,
-    /// Nothing of an earlier request counts: it is this one's once the connection is there.
+    /// Set once the call has its connection, so that nothing of an earlier request on it counts.
     pub(super) progress: RefCell<Option<Rc<Progress>>>,
-    /// From then on no answer counts: the time of the message that stands first in the request is up. The
-    /// other end knows a call by that message, and drops it with that.
-    over_at: Cell<Option<Instant>>,
-    /// That moment was set.
-    pub(super) news: Notify,
-    /// Its only message was delivered while that counted.
+    /// From then on no response counts, since the deadline of the request's first message has passed. The
+    /// endpoint identifies a call by that message and drops the call with it.
+    deadline: Cell<Option<Instant>>,
+    /// Notified when `deadline` is set.
+    pub(super) deadline_changed: Notify,
+    /// The only message was delivered before the call's deadline.
     pub(super) settled: Cell<bool>,
 }
 
 impl Call {
-    pub(super) fn new(items: Vec<Item>) -> Self {
-        let (connection, progress, over_at, news) = Default::default();
+    pub(super) fn new(items: Vec<CallItem>) -> Self {
+        let (connection, progress, deadline, deadline_changed) = Default::default();
         let (batch, settled) = (Cell::new(items.len() > 1), Cell::new(false));
         let (started, waiting) = (Instant::now(), RefCell::new(items));
-        Self { started, waiting, batch, connection, progress, over_at, news, settled }
+        Self { started, waiting, batch, connection, progress, deadline, deadline_changed, settled }
     }
 
-    /// When the next of its messages, or all of it, is given up; nothing where nobody waits.
+    /// Returns when the next message, or the whole call, is given up; `None` if no message is waiting.
     pub(super) fn next_due(&self) -> Option<Instant> {
         let next = self.waiting.borrow().iter().map(|i| self.started + i.timeout).min()?;
-        Some(self.over_at.get().map_or(next, |at| at.min(next)))
+        Some(self.deadline.get().map_or(next, |at| at.min(next)))
     }
 
-    /// Its request is written now, and stands until then.
-    pub(super) fn begin(&self, over_at: Option<Instant>) {
-        self.over_at.set(over_at);
+    /// Marks the start of writing the request, which is valid until the deadline.
+    pub(super) fn begin(&self, deadline: Option<Instant>) {
+        self.deadline.set(deadline);
         self.batch.set(self.waiting.borrow().len() > 1);
-        self.news.notify_one();
+        self.deadline_changed.notify_one();
     }
 
-    pub(super) fn is_over(&self) -> bool {
-        self.over_at.get().is_some_and(|at| Instant::now() >= at)
+    /// Whether the call's deadline has passed.
+    pub(super) fn is_expired(&self) -> bool {
+        self.deadline.get().is_some_and(|at| Instant::now() >= at)
     }
 
-    /// It is over within this time.
-    pub(super) fn is_nearly_over(&self, within: Duration) -> bool {
-        self.over_at.get().is_some_and(|at| Instant::now() + within >= at)
+    /// Whether the call's deadline passes within this time.
+    pub(super) fn expires_within(&self, within: Duration) -> bool {
+        self.deadline.get().is_some_and(|at| Instant::now() + within >= at)
     }
 
-    /// Its request's last byte has been written.
-    pub(super) fn is_written(&self) -> bool {
-        self.progress.borrow().as_ref().is_some_and(|p| p.complete())
+    /// Whether the request's last byte has been written.
+    pub(super) fn is_request_written(&self) -> bool {
+        self.progress.borrow().as_ref().is_some_and(|p| p.is_request_complete())
     }
 
-    /// Something of an answer has come.
-    pub(super) fn is_answered(&self) -> bool {
-        self.progress.borrow().as_ref().is_some_and(|p| p.came.borrow().since.is_some())
+    /// Whether any byte of a response was received.
+    pub(super) fn has_response_bytes(&self) -> bool {
+        self.progress.borrow().as_ref().is_some_and(|p| p.received.borrow().first_byte_at.is_some())
     }
 }
 
-pub(super) fn take(waiting: &RefCell<Vec<Item>>, which: impl FnMut(&mut Item) -> bool) -> Vec<Item> {
+/// Removes and returns the messages that match.
+pub(super) fn remove_matching(
+    waiting: &RefCell<Vec<CallItem>>,
+    which: impl FnMut(&mut CallItem) -> bool,
+) -> Vec<CallItem> {
     waiting.borrow_mut().extract_if(.., which).collect()
 }
--- a/crates/daemon/src/calls/error.rs
+++ b/crates/daemon/src/calls/error.rs
@@ -1,21 +1,21 @@
-//! Why a call has no answer.
+//! Why a call has no response.
 
 use crate::io::is_local_error;
 use std::io;
 
-/// Why a call came to nothing. How far its request got tells whether it can have run.
+/// Why a call failed. Whether it can have run depends on how much of its request was written.
 #[derive(Debug)]
 pub(super) enum CallError {
-    /// The system here had no socket, port or route for a connection. It says nothing of the endpoint.
+    /// This machine had no socket, port or route for a connection. The endpoint is not to blame.
     NotSent(io::Error),
-    /// The endpoint refused the connection, or did not answer in time.
+    /// The endpoint refused the connection, or did not accept it in time.
     Unreachable,
-    /// The connection broke, or what came on it is no answer.
+    /// The connection broke, or what was received on it is not a response.
     Broken,
 }
 
 impl CallError {
-    /// What an error of `connect` means. Only what the other side, or the way there, said is held against the
+    /// Classifies an error of `connect`. Only what the other side or the network reported counts against the
     /// endpoint.
     pub(super) fn of_connect(why: io::Error) -> Self {
         if is_local_error(&why) { Self::NotSent(why) } else { Self::Unreachable }
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -1,11 +1,11 @@
-//! One call: what is looked at before its first byte, the request, and the wait for its answer.
+//! One call: the checks before its first byte, the request, and the wait for the response.
 
-use super::answer::{Answer, read_answer};
-use super::call::{Call, take};
+use super::answer::{CallResult, read_response};
+use super::call::{Call, remove_matching};
 use super::error::CallError;
 use super::pool::Connection;
 use super::progress::Progress;
-use super::{Calls, Item};
+use super::{CallItem, Calls};
 use crate::copies::service::AttemptConsent;
 use crate::input::Input;
 use bytes::Bytes;
@@ -18,67 +18,69 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep_until};
 
-/// An attempt whose record is not safe by then is not made.
-const SAFE_WITHIN: Duration = Duration::from_secs(1);
-/// An answer comes in one piece. What is not there so long after its first byte, a lost packet's second try
-/// included, does not come.
-const WHOLE: Duration = Duration::from_millis(500);
-/// Where its first line has settled the call, the rest is only waited for to keep the connection.
-const REST: Duration = Duration::from_millis(50);
+/// An attempt whose record is not durable within this time is not made.
+const DURABLE_WITHIN: Duration = Duration::from_secs(1);
+/// A response arrives in one piece. What has not arrived within this time after its first byte, which leaves
+/// room to resend a lost packet, will not arrive.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
+/// The same after the status line has settled the call: the rest is awaited only to keep the connection.
+const SETTLED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Calls {
-    /// The call itself. An error is a connection that failed; how far the request got tells what that means.
+    /// Makes the call. It fails if the connection fails; what that means depends on how much of the request
+    /// was written.
     pub(super) async fn exchange(
         &self,
         endpoint: EndpointId,
         mut used: Option<Connection>,
         call: &Call,
-    ) -> Result<Answer, CallError> {
+    ) -> Result<CallResult, CallError> {
         let Call { started, waiting, connection, progress, .. } = call;
-        let moot = Ok(Answer::Alike(Outcome::Moot.into()));
-        let Some(target) = self.target(endpoint) else {
+        let moot = Ok(CallResult::SameForAll(Outcome::Moot.into()));
+        let Some(target) = self.callable_target(endpoint) else {
             if let Some(conn) = used {
                 self.release(endpoint, conn).await;
             }
             return moot;
         };
-        // Looked at once more: what came on it since it was chosen would pass for this call's answer.
-        if let Some(unfit) = used.take_if(|c| !c.is_fit()) {
+        // Checked again: bytes that arrived since it was taken from the pool would pass for this call's
+        // response.
+        if let Some(unfit) = used.take_if(|c| !c.is_reusable()) {
             unfit.close().await;
         }
-        let (mut recorded, mut asked) = (None, self.copies.is_none());
+        let (mut recorded, mut has_asked_consent) = (None, self.copies.is_none());
         loop {
             let reused = used.is_some();
             let mut conn = match used.take() {
                 Some(c) => c,
                 None => self.connect(target.address).await?,
             };
-            // Connecting takes time: the list or a wait may have closed the door meanwhile, or messages be
-            // over.
-            if self.target(endpoint).is_none_or(|t| t.address != target.address) {
+            // Connecting takes time: meanwhile the endpoint may have left the list, a wait may have begun, or
+            // messages may have ended.
+            if self.callable_target(endpoint).is_none_or(|t| t.address != target.address) {
                 conn.close().await;
                 return moot;
             }
-            let is_open = |i: &Item| self.journal.borrow().get(i.id).is_some_and(|m| m.verdict.is_none());
-            let gone = take(waiting, |i| !is_open(i));
-            gone.iter().for_each(|i| self.report(endpoint, i, Outcome::Moot.into()));
+            let is_open = |i: &CallItem| self.journal.borrow().get(i.id).is_some_and(|m| m.verdict.is_none());
+            let gone = remove_matching(waiting, |i| !is_open(i));
+            gone.iter().for_each(|i| self.report_end(endpoint, i, Outcome::Moot.into()));
             if recorded.is_none() {
                 self.record_attempts(endpoint, waiting);
             }
-            // An attempt's record comes before its first byte, on whatever it is to outlast.
+            // An attempt's record has to be durable before its first byte is written.
             let mark = *recorded.get_or_insert_with(|| self.durability.log_end());
             if !self.durability.is_durable(&mark) {
-                if !self.durability.wait_until_durable(&mark, SAFE_WITHIN).await {
+                if !self.durability.wait_until_durable(&mark, DURABLE_WITHIN).await {
                     self.release(endpoint, conn).await;
-                    return Ok(Answer::Alike(Outcome::NotSent.into()));
+                    return Ok(CallResult::SameForAll(Outcome::NotSent.into()));
                 }
-                // That took time: all is looked at again.
+                // That took time, so all checks are repeated.
                 used = Some(conn);
                 continue;
             }
-            if !std::mem::replace(&mut asked, true) {
-                match self.ask_others(endpoint, waiting).await {
-                    // That took time: all is looked at again.
+            if !std::mem::replace(&mut has_asked_consent, true) {
+                match self.request_consent(endpoint, waiting).await {
+                    // That took time, so all checks are repeated.
                     true => {
                         used = Some(conn);
                         continue;
@@ -90,46 +92,49 @@
                     false => {}
                 }
             }
-            // Nothing waits from here to the first byte: what came too late for it is not begun.
+            // Nothing awaits from here to the first byte: messages that are too late for it are not started.
             let now = Instant::now();
-            let ends = self.last_start.get().is_some_and(|last| now >= last);
-            let unfit = |i: &Item| i.proven_only && !conn.answered;
-            let late = take(waiting, |i| ends || now >= *started + i.within || unfit(i));
-            late.iter().for_each(|i| self.report(endpoint, i, Outcome::Moot.into()));
+            let is_ending = self.start_deadline.get().is_some_and(|last| now >= last);
+            let is_unproven = |i: &CallItem| i.proven_only && !conn.answered;
+            let late =
+                remove_matching(waiting, |i| is_ending || now >= *started + i.start_within || is_unproven(i));
+            late.iter().for_each(|i| self.report_end(endpoint, i, Outcome::Moot.into()));
             if waiting.borrow().is_empty() {
                 self.release(endpoint, conn).await;
                 return moot;
             }
-            let over_at = self.lead(&mut waiting.borrow_mut());
-            call.begin(over_at);
+            let deadline = self.order_by_deadline(&mut waiting.borrow_mut());
+            call.begin(deadline);
             let sent = waiting.borrow().clone();
-            let Some(request) = request(target.address, &sent, started.elapsed(), &conn.progress) else {
+            let Some(request) = build_request(target.address, &sent, started.elapsed(), &conn.progress)
+            else {
                 self.release(endpoint, conn).await;
                 return moot;
             };
-            let passed = conn.progress.clone();
-            *progress.borrow_mut() = Some(passed.clone());
+            let observed = conn.progress.clone();
+            *progress.borrow_mut() = Some(observed.clone());
             let response = conn.sender.send_request(request);
             *connection.borrow_mut() = Some(conn);
-            let answer = tokio::select! {
+            let result = tokio::select! {
                 biased;
-                answer = read_answer(response, sent.len() > 1, &passed) => answer,
-                () = self.overdue(call, &passed) => Err(CallError::Broken),
+                result = read_response(response, sent.len() > 1, &observed) => result,
+                () = self.response_overdue(call, &observed) => Err(CallError::Broken),
             };
-            match answer {
-                Ok(_) if !self.is_settled(call) && call.is_over() => {
-                    return Ok(Answer::Alike(Outcome::TimedOut.into()));
+            match result {
+                Ok(_) if !self.is_settled(call) && call.is_expired() => {
+                    return Ok(CallResult::SameForAll(Outcome::TimedOut.into()));
                 }
-                Ok((answer, keep)) => {
+                Ok((result, is_reusable)) => {
                     let conn = connection.borrow_mut().take();
-                    if let Some(mut conn) = conn.filter(|_| keep) {
+                    if let Some(mut conn) = conn.filter(|_| is_reusable) {
                         conn.answered = true;
                         self.release(endpoint, conn).await;
                     }
-                    return Ok(answer);
+                    return Ok(result);
                 }
-                // Closed in the very moment of its use: it says nothing of how a new connection would fare.
-                Err(_) if reused && !passed.complete() => {
+                // An idle connection that was closed just as it was used says nothing about a new connection,
+                // so the call is repeated on one.
+                Err(_) if reused && !observed.is_request_complete() => {
                     let old = connection.borrow_mut().take();
                     if let Some(old) = old {
                         old.close().await;
@@ -140,64 +145,66 @@
         }
     }
 
-    /// Records these attempts. One without a record is not made, also where its message may be repeated:
-    /// after a restart nobody would know of it, and its message could have more attempts than it may.
-    fn record_attempts(&self, endpoint: EndpointId, waiting: &RefCell<Vec<Item>>) {
+    /// Records these attempts. An attempt without a record is not made, even if its message may be repeated:
+    /// after a restart it would be unknown, and the message could have more attempts than allowed.
+    fn record_attempts(&self, endpoint: EndpointId, waiting: &RefCell<Vec<CallItem>>) {
         let mut failed = None;
-        let unrecorded = take(waiting, |i| {
+        let unrecorded = remove_matching(waiting, |i| {
             let recorded = self.journal.borrow_mut().record_attempt(i.id, i.attempt, endpoint);
             recorded.map_err(|why| failed = Some(why)).is_err()
         });
         if let Some(why) = failed {
-            self.trouble.warn(&format_args!("journal: {why}; calls wait until attempts can be recorded"));
+            self.warnings.warn(&format_args!("journal: {why}; calls wait until attempts can be recorded"));
         }
-        unrecorded.iter().for_each(|i| self.report(endpoint, i, Outcome::NotSent.into()));
+        unrecorded.iter().for_each(|i| self.report_end(endpoint, i, Outcome::NotSent.into()));
     }
 
-    /// Asks the keepers of copies for their consent to these attempts; those without it are not made. Whether
-    /// that took time.
-    async fn ask_others(&self, endpoint: EndpointId, waiting: &RefCell<Vec<Item>>) -> bool {
+    /// Asks the replicas for their consent to these attempts; attempts without it are not made. Returns
+    /// whether that took time.
+    async fn request_consent(&self, endpoint: EndpointId, waiting: &RefCell<Vec<CallItem>>) -> bool {
         let Some(copies) = &self.copies else { return false };
         let all: Vec<(MessageId, u32)> = waiting.borrow().iter().map(|i| (i.id, i.attempt)).collect();
         let asked: Vec<_> =
             all.into_iter().map(|a| (a, copies.request_consent(a.0, a.1, endpoint.0))).collect();
         let waits = asked.iter().any(|a| matches!(a.1, AttemptConsent::Pending(_)));
         let refused = copies.await_consents(asked).await;
-        for item in take(waiting, |i| refused.contains(&(i.id, i.attempt))) {
-            self.report(endpoint, &item, Outcome::Moot.into());
+        for item in remove_matching(waiting, |i| refused.contains(&(i.id, i.attempt))) {
+            self.report_end(endpoint, &item, Outcome::Moot.into());
             let _ = self.inputs.send(Input::ConsentDenied(item.id));
         }
         waits
     }
 
-    /// Ends once no more of an answer that has begun is to be waited for.
-    async fn overdue(&self, call: &Call, passed: &Progress) {
+    /// Returns once the rest of a response that has begun is not awaited any longer.
+    async fn response_overdue(&self, call: &Call, progress: &Progress) {
         loop {
-            let since = passed.came.borrow().since;
+            let since = progress.received.borrow().first_byte_at;
             let Some(since) = since else {
-                passed.news.notified().await;
+                progress.received_more.notified().await;
                 continue;
             };
-            let until = since + if self.is_settled(call) { REST } else { WHOLE };
+            let until =
+                since + if self.is_settled(call) { SETTLED_RESPONSE_TIMEOUT } else { RESPONSE_TIMEOUT };
             tokio::select! {
                 biased;
-                () = passed.news.notified() => {}
+                () = progress.received_more.notified() => {}
                 () = sleep_until(until) => return,
             }
         }
     }
 }
 
-fn request(
+/// Builds the request of a call; `None` if no message is left or the request is malformed.
+fn build_request(
     host: SocketAddr,
-    items: &[Item],
+    items: &[CallItem],
     elapsed: Duration,
     progress: &Progress,
 ) -> Option<Request<Body<Bytes>>> {
-    let patience = items.iter().map(|i| i.timeout).max()?.saturating_sub(elapsed).as_millis().max(1) as u64;
+    let timeout_ms = items.iter().map(|i| i.timeout).max()?.saturating_sub(elapsed).as_millis().max(1) as u64;
     let builder = Request::post(if items.len() > 1 { "/v1/messages:batch" } else { "/v1/messages" })
         .header(HOST, host.to_string())
-        .header("X-Timeout-Ms", patience);
+        .header("X-Timeout-Ms", timeout_ms);
     let (builder, body) = match items {
         [one] => {
             let builder = builder.header("X-Request-ID", format!("{:016x}", one.id.0));
@@ -215,6 +222,6 @@
             (builder, lines.into())
         }
     };
-    progress.expect(body.len());
+    progress.start_request(body.len());
     builder.header(CONTENT_LENGTH, body.len()).body(Body::new(body)).ok()
 }
--- a/crates/daemon/src/calls/pool.rs
+++ b/crates/daemon/src/calls/pool.rs
@@ -1,4 +1,4 @@
-//! Connections to endpoints: made, kept while they stand idle, and closed.
+//! The pool of connections to endpoints: opens them, keeps idle ones and closes them.
 
 use super::Calls;
 use super::error::CallError;
@@ -17,10 +17,10 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, timeout};
 
-/// hyper reads a head into this at most; one of an answer is a few hundred bytes.
-const BUFFER: usize = 16 << 10;
-/// How long a connection may take to be ready for the next call before it is let go.
-const SETTLE: Duration = Duration::from_millis(20);
+/// Limit of hyper's read buffer; the head of a response is a few hundred bytes.
+const MAX_HEAD_BYTES: usize = 16 << 10;
+/// A connection that takes longer than this to be ready for the next call is closed.
+const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Body<Bytes>>,
@@ -28,17 +28,18 @@
     pub(super) progress: Rc<Progress>,
     pub(super) stream: Rc<dyn Stream>,
     address: SocketAddr,
-    /// It has carried an answer.
+    /// The connection has carried a response.
     pub(super) answered: bool,
 }
 
 impl Connection {
-    /// It may carry a call: it stands, and nothing has come on it that no call waits for.
-    pub(super) fn is_fit(&self) -> bool {
+    /// Whether the connection may carry a call: it is open, and nothing has arrived that no call waits for.
+    pub(super) fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.stream.has_no_unread_data()
     }
 
-    /// Ends the connection, and returns once it has ended: until then its call holds a slot over there.
+    /// Closes the connection, and returns once it is closed: until then its call holds a slot at the
+    /// endpoint.
     pub(super) async fn close(mut self) {
         self.driver.0.abort();
         let _ = (&mut self.driver.0).await;
@@ -54,87 +55,98 @@
     }
 }
 
-pub(super) struct Idle {
+pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     since: Instant,
 }
 
 impl Calls {
-    /// The module has these closed, and knows.
+    /// Closes the idle connections to an endpoint by order of the policy, which counts them as closed.
     pub fn close_idle(&self, id: EndpointId) {
         self.pool.borrow_mut().remove(&id);
     }
 
-    /// Tells that so many idle connections ended.
-    pub(super) fn tell_closed(&self, id: EndpointId, count: usize) {
+    /// Reports that this number of idle connections ended.
+    pub(super) fn report_closed(&self, id: EndpointId, count: usize) {
         for _ in 0..count {
             let _ = self.inputs.send(Input::Event(Event::Closed(id)));
         }
     }
 
-    /// Connections that stand idle, by endpoint.
-    pub fn idle(&self) -> BTreeMap<EndpointId, usize> {
+    /// Returns the number of idle connections by endpoint.
+    pub fn idle_connections(&self) -> BTreeMap<EndpointId, usize> {
         self.pool.borrow().iter().map(|(&id, idle)| (id, idle.len())).collect()
     }
 
+    /// Drops idle connections, waits and destinations whose time is over.
     pub(super) fn sweep(&self) {
         self.pool.borrow_mut().retain(|id, idle| {
             let before = idle.len();
-            idle.retain(|i| self.fresh(i));
-            self.tell_closed(*id, before - idle.len());
+            idle.retain(|i| self.is_usable(i));
+            self.report_closed(*id, before - idle.len());
             !idle.is_empty()
         });
         let now = Instant::now();
-        self.waits.borrow_mut().retain(|_, until| *until > now);
-        self.named.borrow_mut().retain(|_, until| until.is_none_or(|t| t > now));
+        self.route_waits.borrow_mut().retain(|_, until| *until > now);
+        self.known_destinations.borrow_mut().retain(|_, until| until.is_none_or(|t| t > now));
     }
 
-    fn fresh(&self, idle: &Idle) -> bool {
-        !idle.connection.sender.is_closed() && idle.since.elapsed() < self.idle
+    fn is_usable(&self, idle: &IdleConnection) -> bool {
+        !idle.connection.sender.is_closed() && idle.since.elapsed() < self.idle_timeout
     }
 
-    /// The connection used last: the others may then grow old and close.
-    pub(super) fn pooled(&self, id: EndpointId) -> Option<Connection> {
+    /// Takes the idle connection that was used last, so that the others can expire.
+    pub(super) fn take_idle(&self, id: EndpointId) -> Option<Connection> {
         let mut pool = self.pool.borrow_mut();
         let idle = pool.get_mut(&id)?;
         let before = idle.len();
-        idle.retain(|i| self.fresh(i) && i.connection.is_fit());
+        idle.retain(|i| self.is_usable(i) && i.connection.is_reusable());
         let closed = before - idle.len();
         let used = idle.pop().map(|i| i.connection);
         if idle.is_empty() {
             pool.remove(&id);
         }
-        // The module counts one of them as used, whether it was fit or not.
-        self.tell_closed(id, if used.is_some() { closed } else { closed.saturating_sub(1) });
+        // The policy counts one of them as used, whether it was reusable or not.
+        self.report_closed(id, if used.is_some() { closed } else { closed.saturating_sub(1) });
         used
     }
 
+    /// Returns a connection to the pool, or closes it.
     pub(super) async fn release(&self, id: EndpointId, mut connection: Connection) {
-        let ready = timeout(SETTLE, connection.sender.ready()).await;
+        let ready = timeout(READY_TIMEOUT, connection.sender.ready()).await;
         let idle: usize = self.pool.borrow().values().map(Vec::len).sum();
-        let room = idle < self.most_idle;
+        let room = idle < self.max_idle;
         let wanted =
             self.targets.borrow().get(&id).is_some_and(|t| t.live && t.address == connection.address)
-                && !self.taken_out.borrow().contains(&id);
-        if self.given.get() || !room || !wanted || !matches!(ready, Ok(Ok(()))) || !connection.is_fit() {
+                && !self.out_of_service.borrow().contains(&id);
+        if self.handed_over.get()
+            || !room
+            || !wanted
+            || !matches!(ready, Ok(Ok(())))
+            || !connection.is_reusable()
+        {
             return connection.close().await;
         }
-        self.pool.borrow_mut().entry(id).or_default().push(Idle { connection, since: Instant::now() });
+        self.pool
+            .borrow_mut()
+            .entry(id)
+            .or_default()
+            .push(IdleConnection { connection, since: Instant::now() });
         let _ = self.inputs.send(Input::Event(Event::Unused(id)));
     }
 
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Connection, CallError> {
         let connecting = timeout(self.connect_timeout, self.net.connect(address)).await;
         let stream = connecting.map_err(|_| CallError::Unreachable)?.map_err(CallError::of_connect)?;
-        // Without it small writes wait for a while: no reason to do without the connection.
+        // Without TCP_NODELAY small writes are delayed, which is no reason to give up the connection.
         if let Err(why) = stream.set_nodelay() {
-            self.trouble.warn(&format_args!("TCP_NODELAY: {why}"));
+            self.warnings.warn(&format_args!("cannot set TCP_NODELAY on a connection to an endpoint: {why}"));
         }
         let progress = Rc::new(Progress::default());
         let observed = ObservedStream::new(stream.clone(), progress.clone());
-        let made = http1::Builder::new().max_buf_size(BUFFER).handshake(observed).await;
+        let made = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
         let (sender, driver) = made.map_err(|_| CallError::Broken)?;
-        // Its end shows at the sender.
+        // The request sender reports the end of the connection.
         let driver = Driver(tokio::task::spawn_local(async move { drop(driver.await) }));
         Ok(Connection { sender, driver, progress, stream, address, answered: false })
     }
--- a/crates/daemon/src/calls/progress.rs
+++ b/crates/daemon/src/calls/progress.rs
@@ -1,4 +1,4 @@
-//! What passes on a connection for the present request, counted beside hyper.
+//! Observes the bytes of the current request and its response on a connection, independently of hyper.
 
 use crate::io::Observer;
 use std::cell::{Cell, RefCell};
@@ -6,64 +6,65 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// What passes for the present request: how much of it has been written, and what came back.
+/// How much of the current request has been written, and what has been received in response.
 #[derive(Default)]
 pub(super) struct Progress {
-    /// How much of the blank line that ends the head was seen; 4 once it was.
-    head: Cell<usize>,
+    /// Matched bytes of the sequence `\r\n\r\n` that ends the request's head; 4 once the head is complete.
+    head_end_matched: Cell<usize>,
     body_left: Cell<usize>,
-    pub(super) came: RefCell<Came>,
-    /// Something came.
-    pub(super) news: Notify,
+    pub(super) received: RefCell<ReceivedBytes>,
+    /// Notified whenever bytes are received.
+    pub(super) received_more: Notify,
 }
 
-/// What came back, read beside hyper: the first line counts also where hyper can make nothing of the rest.
+/// The bytes received in response. The status line counts even if hyper cannot parse the rest.
 #[derive(Debug, Default)]
-pub(super) struct Came {
-    /// When its first byte came.
-    pub(super) since: Option<Instant>,
-    /// It came before the request's last byte was written, so it belongs to something else.
+pub(super) struct ReceivedBytes {
+    /// When the first byte was received.
+    pub(super) first_byte_at: Option<Instant>,
+    /// The first byte was received before the request's last byte was written, so it belongs to something
+    /// else.
     pub(super) early: bool,
-    bytes: usize,
-    line: Vec<u8>,
+    total_bytes: usize,
+    status_line: Vec<u8>,
     status: Option<u16>,
-    /// Bytes in the line of the head that is being read, its end not counted.
+    /// Bytes in the current line of the head, without the line's end.
     column: usize,
-    /// Where its body begins.
-    head: Option<usize>,
+    /// Offset at which the body begins.
+    body_start: Option<usize>,
 }
 
-/// `HTTP/1.1 200`, and a byte that ends the number.
-const LINE: usize = 13;
+/// Length of `HTTP/1.1 200` and one byte that ends the number.
+const STATUS_LINE_BYTES: usize = 13;
 
-impl Came {
-    fn take(&mut self, byte: u8) {
+impl ReceivedBytes {
+    fn push(&mut self, byte: u8) {
         let end = byte == b'\n';
-        self.bytes += 1;
-        if self.head.is_some() || (self.line.is_empty() && matches!(byte, b'\r' | b'\n')) {
+        self.total_bytes += 1;
+        if self.body_start.is_some() || (self.status_line.is_empty() && matches!(byte, b'\r' | b'\n')) {
             return;
         }
-        if self.status.is_none() && self.line.len() <= LINE {
-            // Only a whole line says something: a sender that fell silent within it may not have meant this.
-            if self.line.len() < LINE {
-                self.line.push(byte);
+        if self.status.is_none() && self.status_line.len() <= STATUS_LINE_BYTES {
+            // Only a complete line counts: what an endpoint meant that stopped within the line is not known.
+            if self.status_line.len() < STATUS_LINE_BYTES {
+                self.status_line.push(byte);
             }
             if end {
-                self.status = read_line(&self.line);
-                self.line.resize(LINE + 1, 0);
+                self.status = parse_status(&self.status_line);
+                self.status_line.resize(STATUS_LINE_BYTES + 1, 0);
             }
         }
         match (end, self.column) {
             (true, 0) if self.status.is_some_and(|s| (100..200).contains(&s)) => *self = Self::default(),
-            (true, 0) => self.head = Some(self.bytes),
+            (true, 0) => self.body_start = Some(self.total_bytes),
             (true, _) => self.column = 0,
             (false, _) => self.column += usize::from(byte != b'\r'),
         }
     }
 }
 
-/// The status, where a first line gives one.
-fn read_line(line: &[u8]) -> Option<u16> {
+/// Returns the status code if the first line has one.
+fn parse_status(line: &[u8]) -> Option<u16> {
     let (version, rest) = line.split_at_checked(9)?;
     let (digits, end) = rest.split_at_checked(3)?;
     let fits = version.starts_with(b"HTTP/1.") && version[7].is_ascii_digit() && version[8] == b' ';
@@ -72,46 +73,49 @@
 }
 
 impl Progress {
-    pub(super) fn expect(&self, body: usize) {
-        self.head.set(0);
+    /// Resets the progress for a new request with a body of this length.
+    pub(super) fn start_request(&self, body: usize) {
+        self.head_end_matched.set(0);
         self.body_left.set(body);
-        self.came.take();
+        self.received.take();
     }
 
-    pub(super) fn complete(&self) -> bool {
-        self.head.get() == 4 && self.body_left.get() == 0
+    /// Whether the request's last byte has been written.
+    pub(super) fn is_request_complete(&self) -> bool {
+        self.head_end_matched.get() == 4 && self.body_left.get() == 0
     }
 
-    pub(super) fn says_ok(&self) -> bool {
-        let came = self.came.borrow();
-        came.status == Some(200) && !came.early && self.complete()
+    /// Whether the response to the complete request has status 200.
+    pub(super) fn has_ok_status(&self) -> bool {
+        let received = self.received.borrow();
+        received.status == Some(200) && !received.early && self.is_request_complete()
     }
 
-    /// More came than an answer with a body of this length has.
-    pub(super) fn has_more(&self, body: u64) -> bool {
-        let came = self.came.borrow();
-        came.head.is_none_or(|head| (came.bytes - head) as u64 > body)
+    /// Whether more bytes were received than a response with a body of this length has.
+    pub(super) fn has_excess_bytes(&self, body: u64) -> bool {
+        let received = self.received.borrow();
+        received.body_start.is_none_or(|start| (received.total_bytes - start) as u64 > body)
     }
 }
 
 impl Observer for Rc<Progress> {
     fn on_read(&self, bytes: &[u8]) {
-        let complete = self.complete();
-        let mut came = self.came.borrow_mut();
+        let complete = self.is_request_complete();
+        let mut received = self.received.borrow_mut();
         for &byte in bytes {
-            if came.since.is_none() {
-                (came.since, came.early) = (Some(Instant::now()), !complete);
+            if received.first_byte_at.is_none() {
+                (received.first_byte_at, received.early) = (Some(Instant::now()), !complete);
             }
-            came.take(byte);
+            received.push(byte);
         }
-        self.news.notify_one();
+        self.received_more.notify_one();
     }
 
     fn on_write(&self, mut bytes: &[u8]) {
-        while self.head.get() < 4 {
+        while self.head_end_matched.get() < 4 {
             let Some((&b, rest)) = bytes.split_first() else { return };
-            let seen = self.head.get();
-            self.head.set(match (b == b"\r\n\r\n"[seen], b) {
+            let seen = self.head_end_matched.get();
+            self.head_end_matched.set(match (b == b"\r\n\r\n"[seen], b) {
                 (true, _) => seen + 1,
                 (false, b'\r') => 1,
                 _ => 0,
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -1,4 +1,4 @@
-//! Calls over real connections to endpoints whose part a test plays itself.
+//! Calls over real connections to endpoints that the tests themselves implement.
 
 use super::answer::read_batch;
 use super::progress::Progress;
@@ -13,35 +13,35 @@
 use tokio::sync::Notify;
 
 #[test]
-fn a_request_is_complete_with_its_last_byte_and_not_before() {
+fn a_request_is_complete_only_once_its_last_byte_is_written() {
     let bytes = b"POST / HTTP/1.1\r\nA: b\r\r\n\r\nbo\r\n\r\ndy";
     for cut in 0..bytes.len() {
         let progress = Rc::new(Progress::default());
-        progress.expect(8);
+        progress.start_request(8);
         for part in [&bytes[..cut], &bytes[cut..]] {
-            assert!(!progress.complete());
+            assert!(!progress.is_request_complete());
             progress.on_write(part);
         }
-        assert!(progress.complete(), "cut at {cut}");
-        progress.expect(0);
-        assert!(!progress.complete(), "a new request");
+        assert!(progress.is_request_complete(), "cut at {cut}");
+        progress.start_request(0);
+        assert!(!progress.is_request_complete(), "a new request");
     }
 }
 
 #[test]
-fn a_batch_answer_is_read_as_far_as_it_makes_sense() {
+fn a_batch_response_is_read_line_by_line_and_invalid_lines_are_skipped() {
     let body = b"000000000000000a done\r\n000000000000000a failed\r\nxyz done\r\n000000000000000b\r\n\
         000000000000000c busy\r\n000000000000000d void\r\n\xff\xfe\r\n000000000000000e used_up";
     let ends = read_batch(body, Some(5), None);
-    let mut found: Vec<_> = ends.iter().map(|(id, e)| (id.0, e.outcome, e.over)).collect();
+    let mut found: Vec<_> = ends.iter().map(|(id, e)| (id.0, e.outcome, e.is_final)).collect();
     found.sort_by_key(|f| f.0);
     let full = Outcome::Full { wait: Some(5) };
     let (served, moot) = (Outcome::Served, Outcome::Moot);
     assert_eq!(found, [(10, served, true), (12, full, false), (13, moot, true), (14, moot, false)]);
 }
 
-/// Calls to one endpoint, whose part a test plays itself, and what stands round them.
-struct Place {
+/// Calls to one endpoint that the test implements, and the parts that calls need.
+struct Harness {
     calls: Rc<Calls>,
     journal: Rc<RefCell<Journal>>,
     received: UnboundedReceiver<Input>,
@@ -51,12 +51,12 @@
 
 const ENDPOINT: EndpointId = EndpointId(2);
 
-impl Place {
+impl Harness {
     async fn new(bundle: usize) -> Self {
-        Self::on(Rc::new(SystemSockets::default()), bundle).await
+        Self::on_network(Rc::new(SystemSockets::default()), bundle).await
     }
 
-    async fn on(net: Rc<dyn Network>, bundle: usize) -> Self {
+    async fn on_network(net: Rc<dyn Network>, bundle: usize) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
         let mut config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
         config.settings.parallel_attempts = true;
@@ -66,22 +66,31 @@
         let calls = Calls::new(&config, net, journal.clone(), durability, None, inputs);
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
-        let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle };
+        let target =
+            Target { address, dest: DestinationId(3), live: true, per_endpoint: false, max_bundle: bundle };
         calls.update_endpoint(ENDPOINT, Some(target));
         Self { calls, journal, received, listener, _folder: folder }
     }
 
-    /// A message that is taken on, to be waited for so long. Its call may begin whenever the machine comes to
-    /// it: a test that is about the latest start sets its own.
-    fn take(&self, id: u64, deadline: u64, timeout: Duration, body: Bytes) -> Item {
+    /// Records an accepted message and returns it as part of a call with this time-out. Its call may start at
+    /// any time; a test about late starts sets its own limit.
+    fn accept_message(&self, id: u64, deadline: u64, timeout: Duration, body: Bytes) -> CallItem {
         let open = OpenMessage::new("payment", "acme", 3, deadline, Bytes::new());
         self.journal.borrow_mut().accept(MessageId(id), open).expect("room");
         let (id, idempotency_key) = (MessageId(id), String::new());
-        Item { id, attempt: 0, timeout, within: LONG, proven_only: false, idempotency_key, body }
+        CallItem {
+            id,
+            attempt: 0,
+            timeout,
+            start_within: LONG_TIME,
+            proven_only: false,
+            idempotency_key,
+            body,
+        }
     }
 
-    /// The end of the next attempt.
-    async fn ended(&mut self) -> (u64, Outcome) {
+    /// Waits for the end of the next attempt.
+    async fn next_end(&mut self) -> (u64, Outcome) {
         loop {
             let input = self.received.recv().await.expect("each attempt ends");
             if let Input::Event(Event::Ended { id, outcome, .. }) = input {
@@ -91,90 +100,91 @@
     }
 }
 
-/// Plays on sockets.
-fn on_sockets<T>(play: impl Future<Output = T>) -> T {
+/// Runs a test that uses sockets.
+fn run_on_sockets<T>(test: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().expect("a runtime");
-    // Only so that a test that waits in vain ends.
-    let limited = async { tokio::time::timeout(Duration::from_secs(60), play).await.expect("it ends") };
+    // The limit only ends a test that would otherwise wait forever.
+    let limited = async { tokio::time::timeout(Duration::from_secs(60), test).await.expect("it ends") };
     tokio::task::LocalSet::new().block_on(&runtime, limited)
 }
 
-/// One call with a body so long that no socket takes it whole, to an endpoint that reads one byte.
-/// Gives the outcome, and whether the journal holds that the attempt never ran.
-async fn long_call(cut: bool, patience: Duration, cancel: bool) -> (Outcome, bool) {
-    let mut place = Place::new(1).await;
-    let item = place.take(1, u64::MAX, patience, Bytes::from(vec![0; 64 << 20]));
-    place.calls.start(ENDPOINT, vec![item]);
-    let (mut stream, _) = place.listener.accept().await.expect("a call");
+/// Makes one call with a body so long that no socket buffers all of it, to an endpoint that reads one byte
+/// and, if `closes`, closes the connection. Returns the outcome, and whether the journal records that the
+/// attempt never ran.
+async fn long_call(closes: bool, timeout: Duration, cancel: bool) -> (Outcome, bool) {
+    let mut harness = Harness::new(1).await;
+    let item = harness.accept_message(1, u64::MAX, timeout, Bytes::from(vec![0; 64 << 20]));
+    harness.calls.start(ENDPOINT, vec![item]);
+    let (mut stream, _) = harness.listener.accept().await.expect("a call");
     stream.read_u8().await.expect("its first byte");
-    let never_ran = |p: &Place| p.journal.borrow().get(MessageId(1)).expect("open").attempts[0].never_ran;
-    assert!(!never_ran(&place), "it is under way");
+    let never_ran = |h: &Harness| h.journal.borrow().get(MessageId(1)).expect("open").attempts[0].never_ran;
+    assert!(!never_ran(&harness), "it is in progress");
     if cancel {
-        place.calls.cancel(MessageId(1), 0);
-    } else if !cut {
-        // Only now does the time run out, however long the call took to begin.
+        harness.calls.cancel(MessageId(1), 0);
+    } else if !closes {
+        // The paused clock jumps to the time-out, however long the call took to start.
         tokio::time::pause();
     }
-    let kept = (!cut).then_some(stream);
-    let (_, outcome) = place.ended().await;
+    let kept = (!closes).then_some(stream);
+    let (_, outcome) = harness.next_end().await;
     drop(kept);
-    (outcome, never_ran(&place))
+    (outcome, never_ran(&harness))
 }
 
-/// Reads one request without a body, and writes `answer`.
-async fn answer_one(stream: &mut tokio::net::TcpStream, answer: &[u8]) {
+/// Reads one request without a body, and writes `response`.
+async fn respond_once(stream: &mut tokio::net::TcpStream, response: &[u8]) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.expect("a request"));
     }
-    tokio::io::AsyncWriteExt::write_all(stream, answer).await.expect("written");
+    tokio::io::AsyncWriteExt::write_all(stream, response).await.expect("written");
 }
 
-const LONG: Duration = Duration::from_secs(600);
+const LONG_TIME: Duration = Duration::from_secs(600);
 
 #[test]
-fn what_comes_between_choice_and_use_is_no_answer_to_the_new_call() {
-    // A second copy of an earlier answer that comes once the connection was chosen: taken for the new
-    // call's, a message would count as delivered that no partner has seen.
-    on_sockets(async {
-        let mut place = Place::new(1).await;
+fn bytes_that_arrive_on_an_idle_connection_before_its_next_call_are_no_response_to_that_call() {
+    // Guards against counting a message as delivered that no partner has received: a duplicate of an earlier
+    // response that arrives after the connection was taken from the pool would pass for the new call's.
+    run_on_sockets(async {
+        let mut harness = Harness::new(1).await;
         let ok = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        place.calls.start(ENDPOINT, vec![place.take(1, u64::MAX, LONG, Bytes::new())]);
-        let (mut first, _) = place.listener.accept().await.expect("a call");
-        answer_one(&mut first, ok).await;
-        while place.calls.idle().is_empty() {
-            place.received.recv().await.expect("its end, and an idle connection");
+        harness.calls.start(ENDPOINT, vec![harness.accept_message(1, u64::MAX, LONG_TIME, Bytes::new())]);
+        let (mut first, _) = harness.listener.accept().await.expect("a call");
+        respond_once(&mut first, ok).await;
+        while harness.calls.idle_connections().is_empty() {
+            harness.received.recv().await.expect("its end, and an idle connection");
         }
-        let stream = place.calls.pool.borrow()[&ENDPOINT][0].connection.stream.clone();
-        place.calls.start(ENDPOINT, vec![place.take(2, u64::MAX, LONG, Bytes::new())]);
-        assert!(place.calls.idle().is_empty(), "it is chosen");
-        // Nothing of the call has had its turn: this test waits without giving the thread away.
+        let stream = harness.calls.pool.borrow()[&ENDPOINT][0].connection.stream.clone();
+        harness.calls.start(ENDPOINT, vec![harness.accept_message(2, u64::MAX, LONG_TIME, Bytes::new())]);
+        assert!(harness.calls.idle_connections().is_empty(), "it is taken");
+        // No task of the call has run yet: this test waits without yielding to other tasks.
         first.try_write(ok).expect("written");
         while stream.has_no_unread_data() {
             std::thread::yield_now();
         }
         drop(stream);
         let accepted = tokio::select! {
-            accepted = place.listener.accept() => accepted,
-            () = async { while place.calls.out() > 0 { place.received.recv().await; } } => {
+            accepted = harness.listener.accept() => accepted,
+            () = async { while harness.calls.active_calls() > 0 { harness.received.recv().await; } } => {
                 panic!("the call ended without a connection of its own")
             }
         };
         let (mut second, _) = accepted.expect("a connection of its own");
-        answer_one(&mut second, b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
+        respond_once(&mut second, b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n").await;
         let end = loop {
-            let end = place.ended().await;
+            let end = harness.next_end().await;
             if end.0 == 2 {
                 break end.1;
             }
         };
         assert_eq!(end, Outcome::Full { wait: None });
-        assert!(place.journal.borrow().get(MessageId(2)).is_some(), "it is still owed");
+        assert!(harness.journal.borrow().get(MessageId(2)).is_some(), "it is still owed");
     });
 }
 
-/// Reads one request, and gives its head and body.
-async fn request(stream: &mut TcpStream) -> (String, Vec<u8>) {
+/// Reads one request, and returns its head and body.
+async fn read_request(stream: &mut TcpStream) -> (String, Vec<u8>) {
     let mut head = Vec::new();
     while !head.ends_with(b"\r\n\r\n") {
         head.push(stream.read_u8().await.expect("a request"));
@@ -186,108 +196,121 @@
     (head, body)
 }
 
-/// An answer to a batch that says `done` of all of these.
+/// A response to a batch that reports `done` for all of these messages.
 fn all_done(ids: &[u64]) -> String {
     let lines: String = ids.iter().map(|id| format!("{id:016x} done\r\n")).collect();
     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{lines}", lines.len())
 }
 
 #[test]
-fn the_message_with_most_time_leads_its_call_and_others_that_end_do_not_end_it() {
-    // Guards against a call that is over with the first of its messages: a call was dropped with the message
-    // that stood first in it, and the others, taken for delivered, were lost.
-    on_sockets(async {
-        let mut place = Place::new(3).await;
-        let now = place.journal.borrow().unix_now();
-        // The first has a shorter try than time. The second's time is up while the call goes on.
-        let items = [(1, 5, 500), (2, 40, 10), (3, 300, 600)].map(|(id, wait_s, left_s)| {
-            place.take(id, now + left_s * 1_000_000, Duration::from_secs(wait_s), Bytes::new())
+fn the_message_with_the_latest_deadline_comes_first_and_the_end_of_others_does_not_end_the_call() {
+    // Guards against losing messages: an endpoint drops a call with the first message in it, and the others,
+    // which were counted as delivered, were lost when that message was not the one with the latest deadline.
+    run_on_sockets(async {
+        let mut harness = Harness::new(3).await;
+        let now = harness.journal.borrow().unix_now();
+        // The first message's time-out ends before its deadline. The second reaches its deadline during the
+        // call.
+        let items = [(1, 5, 500), (2, 40, 10), (3, 300, 600)].map(|(id, timeout_s, left_s)| {
+            harness.accept_message(id, now + left_s * 1_000_000, Duration::from_secs(timeout_s), Bytes::new())
         });
-        place.calls.start(ENDPOINT, items.to_vec());
-        let (mut stream, _) = place.listener.accept().await.expect("a call");
-        let (_, body) = request(&mut stream).await;
-        assert!(body.starts_with(b"0000000000000003 - 0"), "the third has most time");
+        harness.calls.start(ENDPOINT, items.to_vec());
+        let (mut stream, _) = harness.listener.accept().await.expect("a call");
+        let (_, body) = read_request(&mut stream).await;
+        assert!(body.starts_with(b"0000000000000003 - 0"), "the third has the latest deadline");
         tokio::time::pause();
         for id in [1, 2] {
-            assert_eq!(place.ended().await, (id, Outcome::TimedOut));
+            assert_eq!(harness.next_end().await, (id, Outcome::TimedOut));
         }
         tokio::time::resume();
         stream.write_all(all_done(&[3, 1, 2]).as_bytes()).await.expect("written");
-        assert_eq!(place.ended().await, (3, Outcome::Served));
+        assert_eq!(harness.next_end().await, (3, Outcome::Served));
     });
 }
 
 #[test]
-fn a_call_is_given_up_whole_once_the_time_of_its_first_message_is_up() {
-    // The answer to such a call counts for none of its messages: those still waited for were lost. The first
-    // one's own attempt has long been given up by then, and it may have been delivered elsewhere.
+fn a_whole_call_is_given_up_at_the_deadline_of_its_first_message() {
+    // Guards against losing messages: a response after that deadline counts for none of the messages of the
+    // call, and those still waiting were lost. The first message's own attempt has been given up long before,
+    // and the message may have been delivered elsewhere.
     for delivered in [false, true] {
-        on_sockets(async {
-            let mut place = Place::new(3).await;
-            let now = place.journal.borrow().unix_now();
-            let items = [(1, 10, 40), (2, 600, 30)].map(|(id, wait_s, left_s)| {
-                place.take(id, now + left_s * 1_000_000, Duration::from_secs(wait_s), Bytes::new())
+        run_on_sockets(async {
+            let mut harness = Harness::new(3).await;
+            let now = harness.journal.borrow().unix_now();
+            let items = [(1, 10, 40), (2, 600, 30)].map(|(id, timeout_s, left_s)| {
+                harness.accept_message(
+                    id,
+                    now + left_s * 1_000_000,
+                    Duration::from_secs(timeout_s),
+                    Bytes::new(),
+                )
             });
-            place.calls.start(ENDPOINT, items.to_vec());
-            let (mut stream, _) = place.listener.accept().await.expect("a call");
-            request(&mut stream).await;
+            harness.calls.start(ENDPOINT, items.to_vec());
+            let (mut stream, _) = harness.listener.accept().await.expect("a call");
+            read_request(&mut stream).await;
             tokio::time::pause();
-            assert_eq!(place.ended().await, (1, Outcome::TimedOut));
+            assert_eq!(harness.next_end().await, (1, Outcome::TimedOut));
             if delivered {
-                place.journal.borrow_mut().record_end(MessageId(1));
+                harness.journal.borrow_mut().record_end(MessageId(1));
             }
-            assert_eq!(place.calls.attempts_out(), 1, "the second is waited for");
-            assert_eq!(place.ended().await, (2, Outcome::TimedOut));
+            assert_eq!(harness.calls.attempts_in_flight(), 1, "the second is waited for");
+            assert_eq!(harness.next_end().await, (2, Outcome::TimedOut));
             tokio::time::resume();
-            // And its connection is closed: that is how a call is given up.
+            // A call is given up by closing its connection.
             let mut rest = Vec::new();
             stream.read_to_end(&mut rest).await.expect("its end");
         });
     }
 }
 
-/// Plays one call of these messages, each with so many milliseconds left, whose answer and the end of whose
-/// time are there at the same look: nothing of the program has its turn in between.
-async fn crossed(left_ms: &[u64], answer: &str) -> Vec<(u64, Outcome)> {
-    let mut place = Place::new(3).await;
-    let now = place.journal.borrow().unix_now();
-    let take = |(n, ms): (usize, &u64)| place.take(n as u64 + 1, now + ms * 1_000, LONG, Bytes::new());
-    let items: Vec<Item> = left_ms.iter().enumerate().map(take).collect();
+/// Makes one call of messages with these milliseconds left, such that the response and the deadline are both
+/// there when the call's task runs next: the test does not yield in between. Returns how the attempts ended.
+async fn respond_at_deadline(left_ms: &[u64], response: &str) -> Vec<(u64, Outcome)> {
+    let mut harness = Harness::new(3).await;
+    let now = harness.journal.borrow().unix_now();
+    let take = |(n, ms): (usize, &u64)| {
+        harness.accept_message(n as u64 + 1, now + ms * 1_000, LONG_TIME, Bytes::new())
+    };
+    let items: Vec<CallItem> = left_ms.iter().enumerate().map(take).collect();
     let count = items.len();
-    place.calls.start(ENDPOINT, items);
-    let (mut stream, _) = place.listener.accept().await.expect("a call");
-    request(&mut stream).await;
-    stream.try_write(answer.as_bytes()).expect("written");
+    harness.calls.start(ENDPOINT, items);
+    let (mut stream, _) = harness.listener.accept().await.expect("a call");
+    read_request(&mut stream).await;
+    stream.try_write(response.as_bytes()).expect("written");
     let last = now + left_ms.iter().max().expect("some") * 1_000;
-    while place.journal.borrow().unix_now() < last {
+    while harness.journal.borrow().unix_now() < last {
         std::thread::yield_now();
     }
     let mut ends = Vec::new();
     for _ in 0..count {
-        ends.push(place.ended().await);
+        ends.push(harness.next_end().await);
     }
     ends
 }
 
 #[test]
-fn an_answer_that_crosses_the_end_of_a_messages_time_is_no_delivery() {
-    // Guards against a message that is taken for delivered by an answer that was written once its time was
-    // up: nobody else counted it, and it was lost. A notice too many does no harm.
-    on_sockets(async {
+fn a_response_that_arrives_at_a_messages_deadline_is_no_delivery() {
+    // Guards against losing a message: it was counted as delivered by a response that was written after its
+    // deadline, which the partner does not count as a delivery. An unnecessary notice does no harm.
+    run_on_sockets(async {
         let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
-        assert_eq!(crossed(&[1_000], ok).await, [(1, Outcome::TimedOut)]);
-        // Also where only the first line has come.
-        assert_eq!(crossed(&[1_000], "HTTP/1.1 200 OK\r\nContent-Le").await, [(1, Outcome::TimedOut)]);
-        let both = crossed(&[1_000, 900], &all_done(&[1, 2])).await;
+        assert_eq!(respond_at_deadline(&[1_000], ok).await, [(1, Outcome::TimedOut)]);
+        // The same holds if only the status line has arrived.
+        assert_eq!(
+            respond_at_deadline(&[1_000], "HTTP/1.1 200 OK\r\nContent-Le").await,
+            [(1, Outcome::TimedOut)]
+        );
+        let both = respond_at_deadline(&[1_000, 900], &all_done(&[1, 2])).await;
         assert_eq!(both, [(1, Outcome::TimedOut), (2, Outcome::TimedOut)]);
     });
 }
 
 #[test]
-fn only_a_whole_first_line_settles_a_message() {
-    // Half a line at the close was taken for a delivery: what was meant is not known, and it may have run.
-    on_sockets(async {
-        for (answer, outcome) in [
+fn only_a_complete_status_line_settles_a_message() {
+    // Guards against counting a partial status line before the close as a delivery: its meaning is not known,
+    // and the message may have run.
+    run_on_sockets(async {
+        for (response, outcome) in [
             ("HTTP/1.1 20", Outcome::Spoilt),
             ("HTTP/1.1 200 ", Outcome::Spoilt),
             ("HTTP/1.1 200 OK\r", Outcome::Spoilt),
@@ -295,48 +318,49 @@
             ("HTTP/1.1 200\r\n", Outcome::Served),
             ("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nbo", Outcome::Served),
         ] {
-            let mut place = Place::new(1).await;
-            place.calls.start(ENDPOINT, vec![place.take(1, u64::MAX, LONG, Bytes::new())]);
-            let (mut stream, _) = place.listener.accept().await.expect("a call");
-            request(&mut stream).await;
-            stream.write_all(answer.as_bytes()).await.expect("written");
+            let mut harness = Harness::new(1).await;
+            harness.calls.start(ENDPOINT, vec![harness.accept_message(1, u64::MAX, LONG_TIME, Bytes::new())]);
+            let (mut stream, _) = harness.listener.accept().await.expect("a call");
+            read_request(&mut stream).await;
+            stream.write_all(response.as_bytes()).await.expect("written");
             if outcome == Outcome::Served {
-                // The line alone settles it, whatever becomes of the rest: here the connection is reset.
-                while place.journal.borrow().get(MessageId(1)).is_some() {
+                // The line alone settles it, whatever happens to the rest: here the connection is reset.
+                while harness.journal.borrow().get(MessageId(1)).is_some() {
                     tokio::task::yield_now().await;
                 }
                 stream.set_zero_linger().expect("set");
             }
             drop(stream);
-            assert_eq!(place.ended().await.1, outcome, "{answer:?}");
+            assert_eq!(harness.next_end().await.1, outcome, "{response:?}");
         }
     });
 }
 
 #[test]
-fn a_call_that_ends_before_its_last_byte_never_ran() {
-    // Guards unsafe messages: taken for a reset or a time-out, they would be lost.
-    let play = |cut, patience, cancel| on_sockets(long_call(cut, patience, cancel));
-    assert_eq!(play(true, LONG, false), (Outcome::ConnectFailed, true));
-    assert_eq!(play(false, LONG, true), (Outcome::Moot, true));
-    assert_eq!(play(false, Duration::from_secs(20), false), (Outcome::ConnectFailed, true));
+fn a_call_whose_last_byte_was_not_written_never_ran() {
+    // Guards against losing messages that must not be repeated: they would be lost if such a call counted as
+    // a reset or a time-out.
+    let run = |closes, timeout, cancel| run_on_sockets(long_call(closes, timeout, cancel));
+    assert_eq!(run(true, LONG_TIME, false), (Outcome::ConnectFailed, true));
+    assert_eq!(run(false, LONG_TIME, true), (Outcome::Moot, true));
+    assert_eq!(run(false, Duration::from_secs(20), false), (Outcome::ConnectFailed, true));
 }
 
-/// The system's sockets, but each connection to an endpoint comes up only when the test says so.
+/// The system's sockets, but a connection to an endpoint is established only when the test releases it.
 #[derive(Default)]
-struct Held {
+struct DelayedNetwork {
     sockets: SystemSockets,
-    dials: Rc<Cell<usize>>,
-    up: Rc<Notify>,
+    connects: Rc<Cell<usize>>,
+    release: Rc<Notify>,
 }
 
-impl Network for Held {
+impl Network for DelayedNetwork {
     fn connect(&self, to: SocketAddr) -> ConnectFuture {
-        let (made, up) = (self.sockets.connect(to), self.up.clone());
-        self.dials.set(self.dials.get() + 1);
+        let (connecting, release) = (self.sockets.connect(to), self.release.clone());
+        self.connects.set(self.connects.get() + 1);
         Box::pin(async move {
-            let stream = made.await;
-            up.notified().await;
+            let stream = connecting.await;
+            release.notified().await;
             stream
         })
     }
@@ -358,68 +382,71 @@
     }
 }
 
-/// One call of two messages whose connection comes up late: the first may begin for `within`, the second
-/// without end. Gives the ends of both, and what the endpoint read of the request, if one came.
-async fn late_connection(within: Duration, ends: bool) -> (Vec<(u64, Outcome)>, Option<Vec<u8>>) {
-    let net = Rc::new(Held::default());
-    let mut place = Place::on(net.clone(), 2).await;
-    let items = [(1, within), (2, LONG)]
-        .map(|(id, within)| Item { within, ..place.take(id, u64::MAX, LONG, Bytes::new()) });
-    if ends {
-        place.calls.start_until(Instant::now() + Duration::from_millis(20));
+/// Makes one call of two messages whose connection is established late: the first message may start within
+/// `within`, the second at any time. Returns the ends of both, and the request's body if the endpoint
+/// received one.
+async fn late_connection(within: Duration, is_ending: bool) -> (Vec<(u64, Outcome)>, Option<Vec<u8>>) {
+    let net = Rc::new(DelayedNetwork::default());
+    let mut harness = Harness::on_network(net.clone(), 2).await;
+    let items = [(1, within), (2, LONG_TIME)].map(|(id, start_within)| CallItem {
+        start_within,
+        ..harness.accept_message(id, u64::MAX, LONG_TIME, Bytes::new())
+    });
+    if is_ending {
+        harness.calls.start_until(Instant::now() + Duration::from_millis(20));
     }
-    place.calls.start(ENDPOINT, items.to_vec());
-    let (mut stream, _) = place.listener.accept().await.expect("a connection");
-    assert_eq!(net.dials.get(), 1);
+    harness.calls.start(ENDPOINT, items.to_vec());
+    let (mut stream, _) = harness.listener.accept().await.expect("a connection");
+    assert_eq!(net.connects.get(), 1);
     tokio::time::sleep(Duration::from_millis(50)).await;
-    net.up.notify_one();
-    let mut got = Vec::new();
+    net.release.notify_one();
+    let mut ends = Vec::new();
     let mut body = None;
     tokio::select! {
-        (_, sent) = request(&mut stream) => {
+        (_, sent) = read_request(&mut stream) => {
             stream.write_all(all_done(&[1, 2]).as_bytes()).await.expect("written");
             body = Some(sent);
-            got.push(place.ended().await);
-            got.push(place.ended().await);
+            ends.push(harness.next_end().await);
+            ends.push(harness.next_end().await);
         }
-        first = place.ended() => {
-            got.push(first);
-            let second = place.ended();
+        first = harness.next_end() => {
+            ends.push(first);
+            let second = harness.next_end();
             tokio::select! {
-                end = second => got.push(end),
-                (_, sent) = request(&mut stream) => {
-                    stream.write_all(OK).await.expect("written");
+                end = second => ends.push(end),
+                (_, sent) = read_request(&mut stream) => {
+                    stream.write_all(OK_RESPONSE).await.expect("written");
                     body = Some(sent);
                 }
             }
-            if got.len() == 1 {
-                got.push(place.ended().await);
+            if ends.len() == 1 {
+                ends.push(harness.next_end().await);
             }
         }
     }
-    let moot = |id: u64| got.contains(&(id, Outcome::Moot));
-    let journal = place.journal.borrow();
+    let moot = |id: u64| ends.contains(&(id, Outcome::Moot));
+    let journal = harness.journal.borrow();
     let never = |id| journal.get(MessageId(id)).is_some_and(|m| m.attempts.iter().all(|a| a.never_ran));
-    assert!([1, 2].into_iter().all(|id| moot(id) == never(id)), "what is moot has never run");
+    assert!([1, 2].into_iter().all(|id| moot(id) == never(id)), "moot attempts have never run");
     drop(journal);
-    (got, body)
+    (ends, body)
 }
 
-const OK: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
+const OK_RESPONSE: &[u8] = b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
 
 #[test]
-fn an_attempt_that_comes_too_late_for_its_first_byte_is_not_begun() {
-    // Between the decision and the first byte lies dialling: a repeat that arrives once its key is forgotten
-    // takes effect twice.
-    on_sockets(async {
+fn an_attempt_that_is_too_late_for_its_first_byte_is_not_started() {
+    // Guards against a second effect: connecting takes time between the decision and the first byte, and a
+    // resend that arrives after its key has left the deduplication window takes effect twice.
+    run_on_sockets(async {
         let (ends, body) = late_connection(Duration::from_millis(20), false).await;
         assert_eq!(ends, [(1, Outcome::Moot), (2, Outcome::Served)]);
         assert_eq!(body.expect("a call"), b"", "of the second alone");
-        let (ends, body) = late_connection(LONG, false).await;
+        let (ends, body) = late_connection(LONG_TIME, false).await;
         assert_eq!(ends, [(1, Outcome::Served), (2, Outcome::Served)]);
         assert!(!body.expect("a call").is_empty());
-        // A process that ends leaves what has not begun to the next one: all of it.
-        let (ends, body) = late_connection(LONG, true).await;
+        // A process that shuts down leaves all calls that have not started to the next one.
+        let (ends, body) = late_connection(LONG_TIME, true).await;
         assert_eq!(ends, [(1, Outcome::Moot), (2, Outcome::Moot)]);
         assert!(body.is_none(), "nothing was written");
     });
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -518,7 +518,7 @@
     let mut journal = inbound.journal.borrow_mut();
     // Clients use a new id for each message. With an id that is still in use, the ends of two messages would
     // be confused.
-    if journal.get(id).is_some() || inbound.calls.has_open_attempt(id) {
+    if journal.get(id).is_some() || inbound.calls.has_attempt_in_flight(id) {
         return Err(StatusCode::CONFLICT);
     }
     let is_expired = open.deadline <= journal.unix_now();
@@ -644,7 +644,7 @@
 impl ParsedHeaders {
     fn accepted(&self, class: u32) -> AcceptedMessage {
         let Self { id, tenant, dest, again, .. } = *self;
-        AcceptedMessage { id, class, tenant, dest, again }
+        AcceptedMessage { id, class, tenant, dest, is_retry: again }
     }
 }
 
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -50,7 +50,8 @@
         let folder = tempfile::tempdir().expect("a folder");
         let (inbound, _received) = inbound_with_journal(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
-        let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
+        let target =
+            Target { address, dest: DestinationId(3), live: true, per_endpoint: false, max_bundle: 1 };
         inbound.calls.update_endpoint(EndpointId(1), Some(target));
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let mut client =
@@ -96,7 +97,7 @@
             let (id, class, tenant, dest) = (MessageId(id), 0, None, DestinationId(3));
             let open = OpenMessage::new("update", "acme", 3, u64::MAX, Bytes::new());
             journal.borrow_mut().accept(id, open).expect("room");
-            let accepted = AcceptedMessage { id, class, tenant, dest, again: false };
+            let accepted = AcceptedMessage { id, class, tenant, dest, is_retry: false };
             tracker.expect(accepted);
         };
         // The connection ends before any byte of the answer is written, or before all of it is.
@@ -172,7 +173,8 @@
             let folder = tempfile::tempdir().expect("a folder");
             let (inbound, mut received) = inbound_with_journal(folder.path());
             let address = "127.0.0.1:4".parse().expect("an address");
-            let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
+            let target =
+                Target { address, dest: DestinationId(3), live: true, per_endpoint: false, max_bundle: 1 };
             inbound.calls.update_endpoint(EndpointId(1), Some(target));
             let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
             let mut client =
@@ -239,7 +241,8 @@
         let folder = tempfile::tempdir().expect("a folder");
         let (inbound, _received) = inbound_with_journal(folder.path());
         let address = "127.0.0.1:4".parse().expect("an address");
-        let target = Target { address, dest: DestinationId(3), live: true, apart: false, bundle: 1 };
+        let target =
+            Target { address, dest: DestinationId(3), live: true, per_endpoint: false, max_bundle: 1 };
         inbound.calls.update_endpoint(EndpointId(1), Some(target));
         // The platform's socket exists before this process.
         let socket = std::net::TcpListener::bind("127.0.0.1:0").expect("a port");
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -1,13 +1,14 @@
-//! The one owner of the decision module: hands it what happened, once a tick at most, and does what it says.
+//! The decision loop owns the policy. It passes events to the policy, at most once per tick, and executes the
+//! actions that the policy returns.
 
-use crate::calls::{Calls, Item, Target};
+use crate::calls::{CallItem, Calls, Target};
 use crate::clients::admission::{Admission, DrainReason};
 use crate::copies::service::ReplicationService;
-use crate::endpoint_list::{EndpointList, Member, State, endpoint};
-use crate::handover::protocol::State as Given;
-use crate::input::{Answer, CLOCK_START, Done, Input, Reply};
-use crate::operations::{No, Word};
-use crate::operators::flight::Flight;
+use crate::endpoint_list::{EndpointList, Member, MemberPhase, endpoint_id};
+use crate::handover::protocol::HandoverState;
+use crate::input::{AppliedCommand, CLOCK_START, CommandReply, CommandResult, Input};
+use crate::operations::{OperatorCommand, Rejection};
+use crate::operators::flight_recorder::FlightRecorder;
 use crate::platform::discovery::Discovery;
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
@@ -27,20 +28,20 @@
 use tokio::sync::mpsc::UnboundedReceiver;
 use tokio::time::{Instant, sleep_until};
 
-/// A message without consent rests so long after its first attempt, and twice as long after each further one.
-const REST: Duration = Duration::from_millis(100);
-const REST_MOST: u32 = 6;
-/// It is given to the module again so long before its time is up, to be ended by it.
-const LAST_WORD: Duration = Duration::from_millis(60);
-/// What an earlier process has out ends with its time, and its word takes a moment: so long behind it the
-/// message is ended here all the same.
-const WORD_OF_ANOTHER: Duration = Duration::from_millis(50);
+/// Pause of a message after its first attempt without consent; it doubles with each further attempt.
+const CONSENT_PAUSE: Duration = Duration::from_millis(100);
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
+/// A paused message returns to the policy at least this long before its deadline, so that the policy ends it.
+const FINAL_DECISION_TIME: Duration = Duration::from_millis(60);
+/// Attempts at the predecessor end by their message's deadline, and the report takes some time. A message
+/// whose report has not arrived this long after its deadline is ended here.
+const PREDECESSOR_REPORT_DELAY: Duration = Duration::from_millis(50);
 
-/// A configuration that the store did not take is tried again after this.
-const CONFIGURE_AGAIN: Duration = Duration::from_millis(200);
+/// Interval of the retries of a configuration that the store did not accept.
+const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(200);
 
-/// Records a verdict, and has the platform told of it once that is safe.
-fn tell_verdict(journal: &Rc<RefCell<Journal>>, reports: &Rc<Reports>, id: MessageId, verdict: Verdict) {
+/// Records a verdict, and sends the platform its notice once that is safe.
+fn record_verdict(journal: &Rc<RefCell<Journal>>, reports: &Rc<Reports>, id: MessageId, verdict: Verdict) {
     let written = journal.borrow_mut().record_verdict(id, verdict);
     if written || verdict == Verdict::Dead {
         return reports.push(id, verdict);
@@ -53,23 +54,26 @@
     });
 }
 
+/// The policy, its inputs, and the parts that execute its actions.
 pub struct DecisionLoop {
     sender: Sender,
-    terms: Rc<RefCell<ActiveSettings>>,
+    active_settings: Rc<RefCell<ActiveSettings>>,
     kinds: Vec<Kind>,
     tick: Duration,
-    started: Instant,
-    /// The module's clock when this process started it: where it took over, the clock goes on.
-    origin: Micros,
-    /// The configuration in force, and the list as it was last told.
-    text: String,
+    started_at: Instant,
+    /// The policy's clock at `started_at`; after a hand-over the clock of the predecessor continues.
+    clock_origin: Micros,
+    /// Text of the configuration in force.
+    config_text: String,
+    /// The endpoint list as it was last received.
     members: BTreeMap<EndpointId, Member>,
-    /// A newer configuration that waits for the store to take its classes.
-    unstored: Option<(Box<Config>, String)>,
-    /// Messages with a call out that began in an earlier life: what becomes of them is seen at its end.
-    elsewhere: BTreeSet<MessageId>,
-    /// Messages that the process before this one recorded and whose clients have not heard yet.
-    unheard: BTreeSet<MessageId>,
+    /// A newer configuration whose classes the store has not accepted yet.
+    pending_config: Option<(Box<Config>, String)>,
+    /// Messages with an attempt of the predecessor in flight, or of an earlier session: they are decided on
+    /// once it ends.
+    predecessor_attempts: BTreeSet<MessageId>,
+    /// Messages that the predecessor recorded and whose clients have not received the acknowledgement yet.
+    unacknowledged: BTreeSet<MessageId>,
     journal: Rc<RefCell<Journal>>,
     calls: Rc<Calls>,
     copies: Option<Rc<ReplicationService>>,
@@ -77,128 +81,135 @@
     discovery: Rc<Discovery>,
     peers: Option<Peers>,
     zone_monitor: Option<Rc<ZoneMonitor>>,
-    flight: Rc<Flight>,
+    flight: Rc<FlightRecorder>,
     admission: Rc<Admission>,
     inputs: UnboundedReceiver<Input>,
-    /// Words that hold after this turn.
-    replies: Vec<(Reply, Answer)>,
-    /// The attempts made for each message that is open or has one out.
-    attempts: HashMap<MessageId, Attempts>,
-    /// When the module asked to be called, by its own clock. It is forgotten by the same comparison as over
-    /// there: a moment that only one of the two takes to have passed would leave neither waiting for the
-    /// next.
-    wake: Option<Micros>,
-    last_turn: Option<Instant>,
+    /// Replies to operators' commands that are in effect after the current turn.
+    pending_replies: Vec<(CommandReply, CommandResult)>,
+    /// The number of attempts of each message that is open or has an attempt in flight.
+    attempts: HashMap<MessageId, AttemptCounts>,
+    /// When the policy asked to be called, by its own clock. It is cleared by the same comparison as in the
+    /// policy: if only one of the two considered the time to have passed, neither would wait for the next.
+    wake_at: Option<Micros>,
+    last_turn_at: Option<Instant>,
     events: Vec<Event>,
 }
 
-/// What the module says of an attempt that it starts, see [`Action::Send`].
-struct Attempt {
+/// The limits that the policy sets for an attempt, see [`Action::Send`].
+struct AttemptLimits {
     timeout: Duration,
-    within: Duration,
+    start_within: Duration,
     proven_only: bool,
 }
 
 #[derive(Default)]
-struct Attempts {
+struct AttemptCounts {
     made: u32,
-    out: u32,
+    in_flight: u32,
 }
 
-/// What a node is made of.
+/// The parts that a decision loop works with.
 pub struct Components {
     pub journal: Rc<RefCell<Journal>>,
-    pub terms: Rc<RefCell<ActiveSettings>>,
+    pub active_settings: Rc<RefCell<ActiveSettings>>,
     pub calls: Rc<Calls>,
     pub copies: Option<Rc<ReplicationService>>,
     pub reports: Rc<Reports>,
     pub discovery: Rc<Discovery>,
     pub peers: Option<Peers>,
     pub zone_monitor: Option<Rc<ZoneMonitor>>,
-    pub flight: Rc<Flight>,
+    pub flight: Rc<FlightRecorder>,
     pub admission: Rc<Admission>,
     pub inputs: UnboundedReceiver<Input>,
 }
 
 impl DecisionLoop {
-    /// A node that has the list known before, and all messages that an earlier process left open.
+    /// Creates a decision loop that has the list from the configuration, and all messages that the store
+    /// holds.
     pub fn new(
         config: &Config,
         text: &str,
-        (elsewhere, unheard): (BTreeSet<MessageId>, BTreeSet<MessageId>),
-        parts: Components,
+        (predecessor_attempts, unacknowledged): (BTreeSet<MessageId>, BTreeSet<MessageId>),
+        components: Components,
     ) -> Result<Self, SettingsError> {
-        let sender = Sender::new(parts.terms.borrow().settings.clone(), config.seed)?;
-        let mut node = Self::build(sender, config, text, parts);
-        (node.elsewhere, node.unheard) = (elsewhere, unheard);
-        node.restore_marks();
-        let entries = node.entries(&config.initial_list, true);
-        node.events.push(Event::List(ListUpdate::Restored(entries)));
-        node.resume(None);
-        Ok(node)
-    }
-
-    /// A node that goes on where another process's was. What the journal holds is that process's as well:
-    /// only notices are told again, since who was told is not known.
-    pub fn continued(config: &Config, given: Given, parts: Components) -> Self {
-        let unix = parts.journal.borrow().unix_now();
-        let gap = unix.saturating_sub(given.unix);
-        let mut node = Self::build(given.sender, config, &given.text, parts);
-        node.origin = given.at + gap;
-        let marks = node.journal.borrow().operator_marks().clone();
-        node.admission.set_draining(DrainReason::Operators, marks.standby);
-        marks.out_of_service.keys().for_each(|&id| node.calls.set_out(id, true));
-        let list = EndpointList { revision: given.revision, complete: true, members: given.members };
-        node.entries(&list, true);
-        node.events = given.events;
-        node.events.push(Event::Wake);
-        node.wake = given.wake;
-        node.attempts = given.attempts.iter().map(|&(id, made, out)| (id, Attempts { made, out })).collect();
-        node.elsewhere = given.elsewhere.into_iter().collect();
-        for (id, open) in node.journal.clone().borrow().iter() {
+        let sender = Sender::new(components.active_settings.borrow().settings.clone(), config.seed)?;
+        let mut decision_loop = Self::build(sender, config, text, components);
+        (decision_loop.predecessor_attempts, decision_loop.unacknowledged) =
+            (predecessor_attempts, unacknowledged);
+        decision_loop.restore_operator_settings();
+        let entries = decision_loop.apply_list(&config.initial_list, true);
+        decision_loop.events.push(Event::List(ListUpdate::Restored(entries)));
+        decision_loop.resume(None);
+        Ok(decision_loop)
+    }
+
+    /// Creates a decision loop that continues that of the predecessor. The journal's messages are known to
+    /// it; only notices are sent again, since it is not known which were delivered.
+    pub fn resume_from_handover(config: &Config, state: HandoverState, components: Components) -> Self {
+        let unix = components.journal.borrow().unix_now();
+        let gap = unix.saturating_sub(state.unix_time);
+        let mut decision_loop = Self::build(state.sender, config, &state.config_text, components);
+        decision_loop.clock_origin = state.policy_time + gap;
+        let marks = decision_loop.journal.borrow().operator_marks().clone();
+        decision_loop.admission.set_draining(DrainReason::Operators, marks.standby);
+        marks.out_of_service.keys().for_each(|&id| decision_loop.calls.set_out_of_service(id, true));
+        let list = EndpointList { revision: state.revision, complete: true, members: state.members };
+        decision_loop.apply_list(&list, true);
+        decision_loop.events = state.events;
+        decision_loop.events.push(Event::Wake);
+        decision_loop.wake_at = state.wake_at;
+        decision_loop.attempts = state
+            .attempt_counts
+            .iter()
+            .map(|&(id, made, in_flight)| (id, AttemptCounts { made, in_flight }))
+            .collect();
+        decision_loop.predecessor_attempts = state.predecessor_attempts.into_iter().collect();
+        for (id, open) in decision_loop.journal.clone().borrow().iter() {
             if let Some(verdict) = open.verdict {
-                node.reports.push(id, verdict);
-            } else if !node.attempts.contains_key(&id) && !node.elsewhere.contains(&id) {
-                node.unheard.insert(id);
+                decision_loop.reports.push(id, verdict);
+            } else if !decision_loop.attempts.contains_key(&id)
+                && !decision_loop.predecessor_attempts.contains(&id)
+            {
+                decision_loop.unacknowledged.insert(id);
             }
         }
-        node
+        decision_loop
     }
 
-    /// Gives all that is known away; after that this process decides nothing. What comes in from now on is
-    /// for who took it.
-    pub fn give(mut self) -> (Given, UnboundedReceiver<Input>) {
+    /// Returns the whole state for the successor, and the inputs, which are to be forwarded to it from now
+    /// on. This process makes no decisions after that.
+    pub fn into_handover_state(mut self) -> (HandoverState, UnboundedReceiver<Input>) {
         self.discovery.stop();
         self.flight.close();
-        let (out, waits) = self.calls.give();
-        // What has happened and was not told yet, in its order, and what the give-away itself brought.
+        let (attempts_in_flight, waits) = self.calls.hand_over();
+        // Processes, in order, the inputs that are still queued, and those that the hand-over caused.
         while let Ok(input) = self.inputs.try_recv() {
-            self.note(input);
+            self.process_input(input);
         }
-        self.replies.drain(..).for_each(|(reply, answer)| reply.give(answer));
-        let given = Given {
-            text: self.text.clone(),
-            at: self.now(),
-            unix: self.journal.borrow().unix_now(),
+        self.pending_replies.drain(..).for_each(|(reply, result)| reply.send(result));
+        let state = HandoverState {
+            config_text: self.config_text.clone(),
+            policy_time: self.now(),
+            unix_time: self.journal.borrow().unix_now(),
             events: std::mem::take(&mut self.events),
-            wake: self.wake,
-            attempts: self.attempts.iter().map(|(&id, a)| (id, a.made, a.out)).collect(),
-            out,
-            elsewhere: self.elsewhere.iter().copied().collect(),
+            wake_at: self.wake_at,
+            attempt_counts: self.attempts.iter().map(|(&id, a)| (id, a.made, a.in_flight)).collect(),
+            attempts_in_flight,
+            predecessor_attempts: self.predecessor_attempts.iter().copied().collect(),
             queue_seen_empty: None,
             waits,
             members: self.members.values().cloned().collect(),
             revision: self.discovery.revision(),
-            classes: self.terms.borrow().classes.entries(),
+            classes: self.active_settings.borrow().classes.entries(),
             sender: self.sender,
         };
-        (given, self.inputs)
+        (state, self.inputs)
     }
 
-    fn build(sender: Sender, config: &Config, text: &str, parts: Components) -> Self {
+    fn build(sender: Sender, config: &Config, text: &str, components: Components) -> Self {
         let Components {
             journal,
-            terms,
+            active_settings,
             calls,
             copies,
             reports,
@@ -208,19 +219,19 @@
             flight,
             admission,
             inputs,
-        } = parts;
+        } = components;
         Self {
             sender,
-            terms,
+            active_settings,
             kinds: config.settings.kinds.clone(),
             tick: Duration::from_micros(config.settings.tick),
-            started: Instant::now(),
-            origin: CLOCK_START,
-            text: text.to_owned(),
+            started_at: Instant::now(),
+            clock_origin: CLOCK_START,
+            config_text: text.to_owned(),
             members: BTreeMap::new(),
-            unstored: None,
-            elsewhere: BTreeSet::new(),
-            unheard: BTreeSet::new(),
+            pending_config: None,
+            predecessor_attempts: BTreeSet::new(),
+            unacknowledged: BTreeSet::new(),
             journal,
             calls,
             copies,
@@ -231,35 +242,36 @@
             flight,
             admission,
             inputs,
-            replies: Vec::new(),
+            pending_replies: Vec::new(),
             attempts: HashMap::new(),
-            wake: None,
-            last_turn: None,
+            wake_at: None,
+            last_turn_at: None,
             events: Vec::new(),
         }
     }
 
-    /// What operators had set holds before anything is taken up or sent.
-    fn restore_marks(&mut self) {
+    /// Restores what operators have set, before any message is resumed or sent.
+    fn restore_operator_settings(&mut self) {
         let marks = self.journal.borrow().operator_marks().clone();
         self.admission.set_draining(DrainReason::Operators, marks.standby);
         for (&endpoint, name) in &marks.out_of_service {
-            tracing::info!("endpoint {name} is out of service, as operators set it");
-            self.calls.set_out(endpoint, true);
+            tracing::info!("endpoint {name} is out of service by an earlier operators' command");
+            self.calls.set_out_of_service(endpoint, true);
             self.events.push(Event::Service { endpoint, out_of_service: true });
         }
     }
 
-    /// Takes up what the journal holds open, or of that only these, as far as they are not known yet. What
-    /// becomes of each is the module's decision.
+    /// Passes open messages of the journal to the policy, which decides on them: all that do not wait for the
+    /// predecessor, or only those in `only` that are not known yet.
     fn resume(&mut self, only: Option<&BTreeSet<MessageId>>) {
         let journal = self.journal.clone();
         for (id, open) in journal.borrow().iter() {
-            let known = |ids: &BTreeSet<MessageId>| {
+            let is_skipped = |ids: &BTreeSet<MessageId>| {
                 !ids.contains(&id) || open.verdict.is_some() || self.attempts.contains_key(&id)
             };
-            let waits = self.elsewhere.contains(&id) || only.is_none() && self.unheard.contains(&id);
-            if only.is_some_and(known) || waits {
+            let is_waiting = self.predecessor_attempts.contains(&id)
+                || only.is_none() && self.unacknowledged.contains(&id);
+            if only.is_some_and(is_skipped) || is_waiting {
                 continue;
             }
             if let Some(verdict) = open.verdict {
@@ -267,9 +279,9 @@
                 continue;
             }
             let made = open.attempts_made();
-            self.attempts.insert(id, Attempts { made, out: 0 });
-            let Some(event) = self.resumed(id, open, made) else {
-                // Its class left the settings, or it was not promised: nothing but its end can come of it.
+            self.attempts.insert(id, AttemptCounts { made, in_flight: 0 });
+            let Some(event) = self.resume_event(id, open, made) else {
+                // Its class left the settings, or it was never acknowledged: it can only be ended.
                 self.reports.push(id, Verdict::Dead);
                 continue;
             };
@@ -277,275 +289,289 @@
         }
     }
 
-    fn resumed(&self, id: MessageId, open: &OpenMessage, attempts: u32) -> Option<Event> {
+    /// Returns the event that resumes a message; `None` if it cannot be resumed.
+    fn resume_event(&self, id: MessageId, open: &OpenMessage, attempts: u32) -> Option<Event> {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
-        let terms = self.terms.borrow();
+        let active_settings = self.active_settings.borrow();
         let message = Message {
             id,
-            class: terms.classes.index_of(&open.class)? as u32,
-            tenant: place(&terms.names.tenants, &open.tenant),
+            class: active_settings.classes.index_of(&open.class)? as u32,
+            tenant: place(&active_settings.names.tenants, &open.tenant),
             key: None,
             dest: DestinationId(open.dest),
             is_retry: true,
-            expires_in: self.left(id),
+            expires_in: self.time_left(id),
         };
-        // Its client may not have heard 202, and have handed it in again.
-        let unsure = self.copies.is_some()
+        // The client may not have received the 202, and may have sent the message again.
+        let is_unsure = self.copies.is_some()
             && !open.is_confirmed
-            && self.terms.borrow().is_unsafe_to_repeat(&open.class);
-        if unsure {
+            && self.active_settings.borrow().is_unsafe_to_repeat(&open.class);
+        if is_unsure {
             return None;
         }
-        Some(Event::Resumed { message, attempts, ran_ago: self.ran(id) })
+        Some(Event::Resumed { message, attempts, ran_ago: self.first_possible_run(id) })
     }
 
+    /// The policy's clock.
     fn now(&self) -> Micros {
-        self.origin + self.started.elapsed().as_micros() as Micros
+        self.clock_origin + self.started_at.elapsed().as_micros() as Micros
     }
 
-    /// Runs for as long as it is polled. Dropping it between two polls stops all decisions; calls that are
-    /// out go on, and their ends still reach the journal.
+    /// Runs for as long as it is polled. Dropping the future between two polls stops all decisions; calls in
+    /// progress continue, and their ends still reach the journal.
     pub async fn run(&mut self) {
         loop {
-            let wake =
-                self.wake.map(|at| self.started + Duration::from_micros(at.saturating_sub(self.origin)));
+            let wake = self
+                .wake_at
+                .map(|at| self.started_at + Duration::from_micros(at.saturating_sub(self.clock_origin)));
             let alarm = async {
                 match wake {
                     Some(at) => sleep_until(at).await,
                     None => pending().await,
                 }
             };
-            let unattended = self.unattended_until();
-            let unattended = async {
-                match unattended {
+            let wait_ends = self.predecessor_wait_ends();
+            let wait_ends = async {
+                match wait_ends {
                     Some(at) => sleep_until(at).await,
                     None => pending().await,
                 }
             };
-            if self.events.is_empty() && self.replies.is_empty() {
-                // The order is fixed, here as wherever this program waits for several things: what decides
-                // between two that are ready must not be chance, or no run could be played again.
+            if self.events.is_empty() && self.pending_replies.is_empty() {
+                // The order of branches is fixed, as everywhere in this program: a random choice between two
+                // that are ready would make runs impossible to reproduce.
                 tokio::select! {
                     biased;
                     () = alarm => self.events.push(Event::Wake),
-                    () = unattended => self.attend(),
+                    () = wait_ends => self.resume_expired(),
                     input = self.inputs.recv() => {
                         let Some(input) = input else { return };
-                        self.note(input);
+                        self.process_input(input);
                     }
                 }
             }
-            // What comes within a tick of the last turn waits; after quiet a turn is due at once.
-            if let Some(due) = self.last_turn.map(|t| t + self.tick) {
+            // Inputs within a tick of the last turn wait; after a quiet time the next turn runs at once.
+            if let Some(due) = self.last_turn_at.map(|t| t + self.tick) {
                 sleep_until(due).await;
             }
             while let Ok(input) = self.inputs.try_recv() {
-                self.note(input);
+                self.process_input(input);
             }
-            self.turn();
+            self.run_turn();
         }
     }
 
-    /// Messages that an earlier process, or life, has to tell of.
-    fn unattended(&self) -> impl Iterator<Item = MessageId> {
-        self.elsewhere.iter().chain(&self.unheard).copied()
+    /// Messages on which the predecessor, or an earlier session, has yet to report.
+    fn awaiting_predecessor(&self) -> impl Iterator<Item = MessageId> {
+        self.predecessor_attempts.iter().chain(&self.unacknowledged).copied()
     }
 
-    /// Until when the first of them is waited for.
-    fn unattended_until(&self) -> Option<Instant> {
-        let left = self.unattended().map(|id| Duration::from_micros(self.left(id))).min()?;
-        Some(Instant::now() + left + WORD_OF_ANOTHER)
+    /// When the wait for the first of these reports ends.
+    fn predecessor_wait_ends(&self) -> Option<Instant> {
+        let left = self.awaiting_predecessor().map(|id| Duration::from_micros(self.time_left(id))).min()?;
+        Some(Instant::now() + left + PREDECESSOR_REPORT_DELAY)
     }
 
-    /// Takes up those whose time is over: nobody else may, however long the earlier process stays.
-    fn attend(&mut self) {
-        let over: BTreeSet<MessageId> = self.unattended().filter(|id| self.left(*id) == 0).collect();
-        self.elsewhere.retain(|id| !over.contains(id));
-        self.unheard.retain(|id| !over.contains(id));
-        self.resume(Some(&over));
+    /// Resumes those messages whose deadline has passed, so that they end here even if the predecessor goes
+    /// on.
+    fn resume_expired(&mut self) {
+        let expired: BTreeSet<MessageId> =
+            self.awaiting_predecessor().filter(|id| self.time_left(*id) == 0).collect();
+        self.predecessor_attempts.retain(|id| !expired.contains(id));
+        self.unacknowledged.retain(|id| !expired.contains(id));
+        self.resume(Some(&expired));
     }
 
-    /// An attempt of an earlier life has ended: its message is delivered, or is taken up here.
-    fn ended_elsewhere(
+    /// Handles the end of an attempt of the predecessor, or of an earlier session: its message is delivered,
+    /// or resumed here.
+    fn predecessor_attempt_ended(
         &mut self,
         id: MessageId,
         attempt: u32,
         outcome: Outcome,
-        over: bool,
+        is_final: bool,
     ) -> Option<Event> {
-        let waited_for = self.elsewhere.remove(&id);
-        if over || outcome == Outcome::Served {
+        let was_awaited = self.predecessor_attempts.remove(&id);
+        if is_final || outcome == Outcome::Served {
             self.journal.borrow_mut().record_end(id);
             return Some(self.withdraw(id));
         }
         if outcome.never_ran() {
             self.journal.borrow_mut().record_never_ran(id, attempt);
         }
-        if waited_for {
+        if was_awaited {
             self.resume(Some(&BTreeSet::from([id])));
         }
         None
     }
 
-    /// Takes the newest configuration. Where the list service is holds at once; all else holds as one step,
-    /// once the store has the classes that messages name.
-    fn configure(&mut self) -> Option<Event> {
-        let (config, text) = self.unstored.take()?;
+    /// Applies the newest configuration. The address of the list service takes effect at once; the rest takes
+    /// effect in one step, once the store has the classes that messages name.
+    fn apply_pending_config(&mut self) -> Option<Event> {
+        let (config, text) = self.pending_config.take()?;
         self.discovery.relocate(config.discovery_addr);
         self.reports.relocate(config.discovery_addr);
-        let (terms, changes, waits) = {
-            let (terms, journal) = (self.terms.borrow(), self.journal.borrow());
-            // Also what was taken on and the module has not heard of yet.
+        let (active_settings, changes, waits) = {
+            let (active_settings, journal) = (self.active_settings.borrow(), self.journal.borrow());
+            // Includes the classes of accepted messages that the policy has not received yet.
             let mut in_use: BTreeSet<usize> = self.sender.classes_in_use();
-            in_use.extend(journal.iter().filter_map(|(_, m)| terms.classes.index_of(&m.class)));
-            terms.reconfigured(&config, &in_use)
+            in_use.extend(journal.iter().filter_map(|(_, m)| active_settings.classes.index_of(&m.class)));
+            active_settings.reconfigured(&config, &in_use)
         };
         if let Err(why) = self.journal.borrow_mut().update_classes(&changes) {
-            tracing::warn!("the configuration waits for the store: {why}");
-            self.unstored = Some((config, text));
+            tracing::warn!("configuration not applied yet: the store does not accept its classes: {why}");
+            self.pending_config = Some((config, text));
             self.retry_configuration();
             return None;
         }
-        self.text = text;
-        tracing::info!("configuration read anew: discovery at {}", config.discovery_addr);
+        self.config_text = text;
+        tracing::info!("configuration reloaded: discovery at {}", config.discovery_addr);
         if !waits.is_empty() {
-            tracing::warn!("some of it waits for the next start: {}", waits.join(", "));
+            tracing::warn!("configuration: changes that take effect at the next start: {}", waits.join(", "));
         }
-        let changed = terms.settings != self.terms.borrow().settings;
-        if let Some(zone_monitor) = self.zone_monitor.as_ref().filter(|_| changed) {
-            zone_monitor.update_cold_settings(&terms.settings);
+        let is_changed = active_settings.settings != self.active_settings.borrow().settings;
+        if let Some(zone_monitor) = self.zone_monitor.as_ref().filter(|_| is_changed) {
+            zone_monitor.update_cold_settings(&active_settings.settings);
         }
-        let event = changed.then(|| Event::Settings(Box::new(terms.settings.clone())));
-        *self.terms.borrow_mut() = terms;
+        let event = is_changed.then(|| Event::Settings(Box::new(active_settings.settings.clone())));
+        *self.active_settings.borrow_mut() = active_settings;
         event
     }
 
     fn retry_configuration(&self) {
         let inputs = self.calls.inputs();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(CONFIGURE_AGAIN).await;
+            tokio::time::sleep(CONFIG_RETRY_INTERVAL).await;
             let _ = inputs.send(Input::RetryConfiguration);
         });
     }
 
-    /// Takes an operator's word. It is answered once the turn that it belongs to is over.
-    fn word(&mut self, word: Word, reply: Reply) {
-        let done = match &word {
-            Word::Standby => self.stand_by(true),
-            Word::Active => self.stand_by(false),
-            Word::Enter(name) => self.take_out(name, true),
-            Word::Exit(name) => self.take_out(name, false),
+    /// Applies an operator's command. It is answered at the end of the current turn.
+    fn apply_command(&mut self, command: OperatorCommand, reply: CommandReply) {
+        let result = match &command {
+            OperatorCommand::Standby => self.set_standby(true),
+            OperatorCommand::Active => self.set_standby(false),
+            OperatorCommand::Enter(name) => self.set_endpoint_out(name, true),
+            OperatorCommand::Exit(name) => self.set_endpoint_out(name, false),
         };
         let mark = || self.journal.borrow().log_end();
-        self.replies.push((reply, done.map(|what| Done { what, mark: mark() })));
+        self.pending_replies
+            .push((reply, result.map(|description| AppliedCommand { description, mark: mark() })));
     }
 
-    fn stand_by(&mut self, wanted: bool) -> Result<String, No> {
-        self.enter_mark(MarkChange::Standby(wanted))?;
+    fn set_standby(&mut self, wanted: bool) -> Result<String, Rejection> {
+        self.store_change(MarkChange::Standby(wanted))?;
         self.admission.set_draining(DrainReason::Operators, wanted);
         Ok(if wanted { "standby" } else { "active" }.into())
     }
 
-    /// Told twice is told once. An id is known as long as the list names it or it is out.
-    fn take_out(&mut self, name: &str, out: bool) -> Result<String, No> {
-        let id = endpoint(name);
-        let (was, many) = {
+    /// Takes an endpoint out of service or returns it; repeating a command changes nothing. An id is known as
+    /// long as the list names it or the endpoint is out of service.
+    fn set_endpoint_out(&mut self, name: &str, out_of_service: bool) -> Result<String, Rejection> {
+        let id = endpoint_id(name);
+        let (was_out, is_full) = {
             let journal = self.journal.borrow();
             let marks = &journal.operator_marks().out_of_service;
             (marks.get(&id).is_some_and(|n| n == name), marks.len() >= MAX_OUT_OF_SERVICE)
         };
-        if !was && !self.calls.is_listed(id) {
-            return Err(No::new(StatusCode::NOT_FOUND, format!("no endpoint has the id {name}")));
+        if !was_out && !self.calls.is_listed(id) {
+            return Err(Rejection::new(StatusCode::NOT_FOUND, format!("no endpoint has the id {name}")));
         }
-        if out && !was && many {
-            let why = format!("{MAX_OUT_OF_SERVICE} endpoints are out already; put some back first");
-            return Err(No::new(StatusCode::INSUFFICIENT_STORAGE, why));
+        if out_of_service && !was_out && is_full {
+            let why = format!(
+                "{MAX_OUT_OF_SERVICE} endpoints are out of service already; return some to service first"
+            );
+            return Err(Rejection::new(StatusCode::INSUFFICIENT_STORAGE, why));
         }
-        self.enter_mark(MarkChange::OutOfService(id, name.to_owned(), out))?;
-        if was != out {
-            self.calls.set_out(id, out);
-            self.events.push(Event::Service { endpoint: id, out_of_service: out });
+        self.store_change(MarkChange::OutOfService(id, name.to_owned(), out_of_service))?;
+        if was_out != out_of_service {
+            self.calls.set_out_of_service(id, out_of_service);
+            self.events.push(Event::Service { endpoint: id, out_of_service });
         }
-        Ok(format!("{name} {}", if out { "is out of service" } else { "may serve" }))
+        Ok(format!("{name} {}", if out_of_service { "is out of service" } else { "may serve" }))
     }
 
-    /// A mark that cannot be written is none: it would not outlast the process.
-    fn enter_mark(&mut self, change: MarkChange) -> Result<(), No> {
+    /// Stores what an operator has set. It is refused if it cannot be written, since it would not outlast the
+    /// process.
+    fn store_change(&mut self, change: MarkChange) -> Result<(), Rejection> {
         let written = self.journal.borrow_mut().set_mark(change);
-        written.map_err(|e| No::new(StatusCode::INSUFFICIENT_STORAGE, format!("the store: {e}")))
+        written.map_err(|e| {
+            Rejection::new(StatusCode::INSUFFICIENT_STORAGE, format!("cannot write to the store: {e}"))
+        })
     }
 
-    fn note(&mut self, input: Input) {
+    /// Processes one input; most of them become an event for the next turn.
+    fn process_input(&mut self, input: Input) {
         let event = match input {
-            // Nothing is owed for it, and the record is gone. It is known here only where the folder was read
-            // before its client had gone.
+            // The message is withdrawn, and its record is deleted. It is known here only if the store was
+            // read before its client had gone.
             Input::Unacknowledged(id) => {
-                self.unheard.remove(&id);
+                self.unacknowledged.remove(&id);
                 if !self.attempts.contains_key(&id) {
                     return;
                 }
                 self.withdraw(id)
             }
-            Input::PredecessorAttemptEnded { id, attempt, outcome, over } => {
-                match self.ended_elsewhere(id, attempt, outcome, over) {
+            Input::PredecessorAttemptEnded { id, attempt, outcome, is_final } => {
+                match self.predecessor_attempt_ended(id, attempt, outcome, is_final) {
                     Some(event) => event,
                     None => return,
                 }
             }
-            Input::PredecessorEnded(mut taken) => {
-                taken.append(&mut self.elsewhere);
-                taken.append(&mut self.unheard);
-                return self.resume(Some(&taken));
+            Input::PredecessorEnded(mut messages) => {
+                messages.append(&mut self.predecessor_attempts);
+                messages.append(&mut self.unacknowledged);
+                return self.resume(Some(&messages));
             }
             Input::ConfigurationChanged(config, text) => {
-                self.unstored = Some((config, text));
-                match self.configure() {
+                self.pending_config = Some((config, text));
+                match self.apply_pending_config() {
                     Some(event) => event,
                     None => return,
                 }
             }
-            Input::RetryConfiguration => match self.configure() {
+            Input::RetryConfiguration => match self.apply_pending_config() {
                 Some(event) => event,
                 None => return,
             },
-            Input::Adopted(id) => return self.adopt(id),
+            Input::Adopted(id) => return self.take_over(id),
             Input::OwnershipLost(id) => self.withdraw(id),
-            Input::ConsentDenied(id) => match self.park(id) {
+            Input::ConsentDenied(id) => match self.pause(id) {
                 Some(event) => event,
                 None => return,
             },
             Input::DeliveryUncertain(id) => return self.reports.push(id, Verdict::Dead),
             Input::PauseElapsed(id) => return self.resume(Some(&BTreeSet::from([id]))),
-            Input::OperatorCommand(word, reply) => return self.word(word, reply),
+            Input::OperatorCommand(command, reply) => return self.apply_command(command, reply),
             Input::RedirectClients(wanted) => return self.admission.set_draining(DrainReason::Zone, wanted),
             Input::Event(event) => event,
             Input::Acknowledged(accepted) => {
-                self.unheard.remove(&accepted.id);
-                // Taken up from the folder already, and perhaps over.
-                let known = self.attempts.contains_key(&accepted.id);
-                if known || self.journal.borrow().get(accepted.id).is_none() {
+                self.unacknowledged.remove(&accepted.id);
+                // It may have been resumed from the store already, and may have ended.
+                let is_known = self.attempts.contains_key(&accepted.id);
+                if is_known || self.journal.borrow().get(accepted.id).is_none() {
                     return;
                 }
-                self.attempts.insert(accepted.id, Attempts::default());
-                Event::Taken(accepted.message(self.left(accepted.id)))
+                self.attempts.insert(accepted.id, AttemptCounts::default());
+                Event::Taken(accepted.message(self.time_left(accepted.id)))
             }
-            Input::ListUpdate(news) => {
-                let entries = self.entries(&news, news.complete);
-                Event::List(if news.complete {
+            Input::ListUpdate(list) => {
+                let entries = self.apply_list(&list, list.complete);
+                Event::List(if list.complete {
                     ListUpdate::Whole(entries)
                 } else {
                     ListUpdate::Changes(entries)
                 })
             }
-            // It may have ended just before another took its place.
+            // The watch may have ended just before another one replaced it.
             Input::WatchEnded(number) if !self.discovery.is_current(number) => return,
             Input::WatchEnded(_) => Event::List(ListUpdate::Unavailable),
         };
         if let Event::Ended { id, .. } = event {
-            let open = self.journal.borrow().get(id).is_some_and(|m| m.verdict.is_none());
+            let is_open = self.journal.borrow().get(id).is_some_and(|m| m.verdict.is_none());
             if let Some(a) = self.attempts.get_mut(&id) {
-                a.out = a.out.saturating_sub(1);
-                if a.out == 0 && !open {
+                a.in_flight = a.in_flight.saturating_sub(1);
+                if a.in_flight == 0 && !is_open {
                     self.attempts.remove(&id);
                 }
             }
@@ -553,17 +579,17 @@
         self.events.push(event);
     }
 
-    /// The decisions let a message go; calls that it is in end.
+    /// Withdraws a message from the policy, and cancels its attempts.
     fn withdraw(&mut self, id: MessageId) -> Event {
         self.calls.cancel_all(id);
-        if self.attempts.get(&id).is_some_and(|a| a.out == 0) {
+        if self.attempts.get(&id).is_some_and(|a| a.in_flight == 0) {
             self.attempts.remove(&id);
         }
         Event::Withdrawn(id)
     }
 
-    /// Goes on with a message that another sender had promised, as after a restart.
-    fn adopt(&mut self, id: MessageId) {
+    /// Resumes a message that another sender had acknowledged, as after a restart.
+    fn take_over(&mut self, id: MessageId) {
         let verdict = self.journal.borrow().get(id).and_then(|open| open.verdict);
         match verdict {
             Some(verdict) => self.reports.push(id, verdict),
@@ -571,55 +597,55 @@
         }
     }
 
-    /// An attempt was not made for want of consent. The module lets the message go and is given it anew
-    /// later: held by it, it would be tried again at once, and hold a slot for each wait.
-    fn park(&mut self, id: MessageId) -> Option<Event> {
-        let rests = {
+    /// Pauses a message whose attempt was not made for lack of consent. The message is withdrawn from the
+    /// policy and resumed later: if the policy kept it, it would retry at once, and hold a slot for each
+    /// wait.
+    fn pause(&mut self, id: MessageId) -> Option<Event> {
+        let pause = {
             let journal = self.journal.borrow();
             let open = journal.get(id).filter(|o| o.verdict.is_none())?;
             let left = Duration::from_micros(open.deadline.saturating_sub(journal.unix_now()));
-            (REST * (1 << open.attempts_made().min(REST_MOST))).min(left.saturating_sub(LAST_WORD))
+            (CONSENT_PAUSE * (1 << open.attempts_made().min(MAX_PAUSE_DOUBLINGS)))
+                .min(left.saturating_sub(FINAL_DECISION_TIME))
         };
-        self.attempts.get(&id).filter(|a| a.out == 0)?;
+        self.attempts.get(&id).filter(|a| a.in_flight == 0)?;
         self.attempts.remove(&id);
         let inputs = self.calls.inputs();
         tokio::task::spawn_local(async move {
-            tokio::time::sleep(rests).await;
+            tokio::time::sleep(pause).await;
             let _ = inputs.send(Input::PauseElapsed(id));
         });
         Some(Event::Withdrawn(id))
     }
 
-    /// Enters a list where calls are made from, and turns it into the module's form.
-    fn entries(&mut self, news: &EndpointList, whole: bool) -> Vec<ListEntry> {
-        let entries: Vec<ListEntry> = news.members.iter().map(|m| self.entry(m)).collect();
-        if whole {
+    /// Updates the endpoints of the calls from a list, or from changes to it, and returns the policy's
+    /// entries.
+    fn apply_list(&mut self, list: &EndpointList, is_whole: bool) -> Vec<ListEntry> {
+        let entries: Vec<ListEntry> = list.members.iter().map(|m| self.policy_entry(m)).collect();
+        if is_whole {
             self.members.clear();
         }
-        for (e, m) in entries.iter().zip(&news.members) {
-            if m.phase == State::Removed {
+        for (e, m) in entries.iter().zip(&list.members) {
+            if m.phase == MemberPhase::Removed {
                 self.members.remove(&e.endpoint);
             } else {
                 self.members.insert(e.endpoint, m.clone());
             }
         }
-        if whole {
+        if is_whole {
             let named: HashSet<_> = entries.iter().map(|e| e.endpoint).collect();
-            let left = self.calls.listed().into_iter().filter(|id| !named.contains(id));
-            left.for_each(|id| self.calls.update_endpoint(id, None));
-        }
-        for (e, m) in entries.iter().zip(&news.members) {
-            // The module makes no use of an endpoint whose kind the settings do not name.
-            let Some(&Kind { per_endpoint: apart, max_bundle: bundle }) = self.kinds.get(e.kind as usize)
-            else {
-                continue;
-            };
-            let (live, bundle) = (e.phase == Phase::Live, bundle as usize);
-            let target = Target { address: m.host_port, dest: e.dest, live, apart, bundle };
+            let removed = self.calls.listed().into_iter().filter(|id| !named.contains(id));
+            removed.for_each(|id| self.calls.update_endpoint(id, None));
+        }
+        for (e, m) in entries.iter().zip(&list.members) {
+            // The policy does not use an endpoint whose kind the settings do not name.
+            let Some(&Kind { per_endpoint, max_bundle }) = self.kinds.get(e.kind as usize) else { continue };
+            let (live, max_bundle) = (e.phase == Phase::Live, max_bundle as usize);
+            let target = Target { address: m.address, dest: e.dest, live, per_endpoint, max_bundle };
             self.calls.update_endpoint(e.endpoint, (e.phase != Phase::Gone).then_some(target));
-            self.flight.name(e.endpoint, &m.id);
+            self.flight.record_name(e.endpoint, &m.id);
             if let Some(zone_monitor) = &self.zone_monitor {
-                zone_monitor.update_endpoint(e.endpoint, e.dest, &m.locality, e.phase == Phase::Gone);
+                zone_monitor.update_endpoint(e.endpoint, e.dest, &m.zone, e.phase == Phase::Gone);
             }
         }
         self.flight.keep_names(|id| self.calls.is_listed(id));
@@ -629,79 +655,82 @@
         entries
     }
 
-    fn entry(&self, m: &Member) -> ListEntry {
+    /// Converts a member of the list into the policy's form.
+    fn policy_entry(&self, m: &Member) -> ListEntry {
         let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
-        let names = &self.terms.borrow().names;
+        let names = &self.active_settings.borrow().names;
         ListEntry {
-            endpoint: endpoint(&m.id),
-            dest: DestinationId(m.cell),
-            zone: place(&names.zones, &m.locality).unwrap_or(u32::MAX),
-            kind: place(&names.kinds, &m.flavor).unwrap_or(u32::MAX),
+            endpoint: endpoint_id(&m.id),
+            dest: DestinationId(m.dest),
+            zone: place(&names.zones, &m.zone).unwrap_or(u32::MAX),
+            kind: place(&names.kinds, &m.kind).unwrap_or(u32::MAX),
             phase: match m.phase {
-                State::Up => Phase::Live,
-                State::Draining => Phase::Draining,
-                State::Removed => Phase::Gone,
+                MemberPhase::Up => Phase::Live,
+                MemberPhase::Draining => Phase::Draining,
+                MemberPhase::Removed => Phase::Gone,
             },
         }
     }
 
-    /// What is left of a message's time, by its record.
-    fn left(&self, id: MessageId) -> Micros {
+    /// The time until a message's deadline, by its record.
+    fn time_left(&self, id: MessageId) -> Micros {
         let journal = self.journal.borrow();
         journal.get(id).map_or(0, |open| open.deadline.saturating_sub(journal.unix_now()))
     }
 
-    /// How long ago the earliest attempt that may have run was made, and where.
-    fn ran(&self, id: MessageId) -> Option<(Micros, EndpointId)> {
+    /// How long ago the earliest attempt that may have run was made, and at which endpoint.
+    fn first_possible_run(&self, id: MessageId) -> Option<(Micros, EndpointId)> {
         let journal = self.journal.borrow();
         let (open, now) = (journal.get(id)?, journal.unix_now());
         let first = open.attempts.iter().filter(|a| !a.never_ran).min_by_key(|a| a.started_at)?;
         Some((now.saturating_sub(first.started_at), first.endpoint))
     }
 
-    /// The module counts spans from the turn in which it hears of them, and an event may have waited for its
-    /// turn: for seconds where a start waits for an address, or another process took over.
-    fn renew_spans(&self, events: &mut [Event]) {
+    /// Recomputes the durations in events. The policy counts them from the turn in which it receives them,
+    /// and an event may have waited for its turn: for seconds if the start waits for an address, or after a
+    /// hand-over.
+    fn refresh_durations(&self, events: &mut [Event]) {
         for event in events {
             match event {
-                Event::Taken(message) => message.expires_in = self.left(message.id),
-                Event::Resumed { message, ran_ago: ran, .. } => {
-                    message.expires_in = self.left(message.id);
-                    *ran = self.ran(message.id);
+                Event::Taken(message) => message.expires_in = self.time_left(message.id),
+                Event::Resumed { message, ran_ago, .. } => {
+                    message.expires_in = self.time_left(message.id);
+                    *ran_ago = self.first_possible_run(message.id);
                 }
                 _ => {}
             }
         }
     }
 
-    fn turn(&mut self) {
+    /// Passes the collected events to the policy and executes its actions.
+    fn run_turn(&mut self) {
         let mut actions = Vec::new();
         let mut events = std::mem::take(&mut self.events);
-        self.last_turn = Some(Instant::now());
-        self.renew_spans(&mut events);
+        self.last_turn_at = Some(Instant::now());
+        self.refresh_durations(&mut events);
         let now = self.now();
         if cfg!(debug_assertions) {
-            self.compare_connections(&events);
+            self.check_connections(&events);
         }
-        self.wake = self.wake.filter(|&w| w > now);
+        self.wake_at = self.wake_at.filter(|&w| w > now);
         self.sender.handle(now, &events, &mut actions);
-        self.flight.turn(now, &events, &actions, &self.sender);
-        let mut loads: Vec<(EndpointId, Vec<Item>)> = Vec::new();
+        self.flight.record_turn(now, &events, &actions, &self.sender);
+        let mut new_calls: Vec<(EndpointId, Vec<CallItem>)> = Vec::new();
         for action in actions {
             match action {
-                Action::Send { id, endpoint, timeout, start_within: within, proven_only } => {
-                    let [timeout, within] = [timeout, within].map(Duration::from_micros);
-                    let attempt = Attempt { timeout, within, proven_only };
-                    self.load(&mut loads, id, endpoint, attempt);
+                Action::Send { id, endpoint, timeout, start_within, proven_only } => {
+                    let [timeout, start_within] = [timeout, start_within].map(Duration::from_micros);
+                    let limits = AttemptLimits { timeout, start_within, proven_only };
+                    self.add_to_call(&mut new_calls, id, endpoint, limits);
                 }
                 Action::Cancel { id, attempt } => self.calls.cancel(id, attempt),
-                Action::Refuse { id, retry_after: after } => {
-                    self.end(id, Verdict::Bounced(after.div_ceil(1_000)))
+                Action::Refuse { id, retry_after } => {
+                    self.give_up(id, Verdict::Bounced(retry_after.div_ceil(1_000)))
                 }
-                Action::Fail { id } => self.end(id, Verdict::Dead),
+                Action::Fail { id } => self.give_up(id, Verdict::Dead),
                 Action::WakeAt(at) => {
-                    let at = at.max(self.origin);
-                    self.wake = Some(self.wake.map_or(at, |w| w.min(at)));
+                    let at = at.max(self.clock_origin);
+                    self.wake_at = Some(self.wake_at.map_or(at, |w| w.min(at)));
                 }
                 Action::Watch => self.discovery.watch(),
                 Action::Note { to, body } => {
@@ -711,104 +740,114 @@
                 }
                 Action::CloseIdle { endpoint } => self.calls.close_idle(endpoint),
                 Action::Log(line) => tracing::info!("{line}"),
-                // The protocol has no probes, and the module asks for none; a watch brings the whole list.
+                // The protocol has no probes, and the policy requests none; a watch delivers the whole list.
                 Action::Probe { .. } | Action::Fetch => {}
             }
         }
-        loads.into_iter().for_each(|(endpoint, items)| self.calls.start(endpoint, items));
-        self.replies.drain(..).for_each(|(reply, answer)| reply.give(answer));
+        new_calls.into_iter().for_each(|(endpoint, items)| self.calls.start(endpoint, items));
+        self.pending_replies.drain(..).for_each(|(reply, result)| reply.send(result));
         if cfg!(debug_assertions) {
-            self.compare_held();
+            self.check_held_messages();
         }
     }
 
-    /// What the module will believe of connections and attempts once it has heard these events is what there
-    /// is: a difference would be a decision on something untrue. In test builds only.
-    fn compare_connections(&self, events: &[Event]) {
-        let out = self.calls.attempts_out();
+    /// Checks in debug builds that the policy's view of connections and attempts, after these events, matches
+    /// the actual ones: with a difference, the policy would decide on wrong facts.
+    fn check_connections(&self, events: &[Event]) {
+        let in_flight = self.calls.attempts_in_flight();
         let ended = events.iter().filter(|e| matches!(e, Event::Ended { .. })).count();
-        let believed = self.sender.attempts_in_flight();
-        assert_eq!(believed, out + ended, "attempts out: believed, and real with those that ended");
-        let real = self.calls.idle();
-        for (id, believed) in self.sender.idle_connections() {
-            let after = events.iter().fold(believed, |n, e| match e {
+        let expected = self.sender.attempts_in_flight();
+        assert_eq!(
+            expected,
+            in_flight + ended,
+            "attempts in flight: in the policy, and actual with those that ended"
+        );
+        let actual = self.calls.idle_connections();
+        for (id, expected) in self.sender.idle_connections() {
+            let after = events.iter().fold(expected, |n, e| match e {
                 Event::Unused(x) if *x == id => n + 1,
                 Event::Closed(x) if *x == id => n.saturating_sub(1),
                 _ => n,
             });
-            let real = real.get(&id).copied().unwrap_or(0);
-            assert_eq!(after, real, "idle connections to {id:?}");
+            let actual = actual.get(&id).copied().unwrap_or(0);
+            assert_eq!(after, actual, "idle connections to {id:?}");
         }
     }
 
-    /// What the module holds is what the journal says is owed, but for messages that it was not told of yet.
-    fn compare_held(&self) {
+    /// Checks in debug builds that the policy holds the messages that are open in the journal, except those
+    /// that it has not received yet.
+    fn check_held_messages(&self) {
         let journal = self.journal.borrow();
         let owed = journal.iter().filter(|(id, m)| m.verdict.is_none() && self.attempts.contains_key(id));
         let owed: Vec<MessageId> = owed.map(|(id, _)| id).collect();
-        // One that the first line of its answer has settled is over for the journal; the module hears of it
-        // once the rest of the answer has come, or not come.
-        let settled = |id| journal.get(id).is_none() && self.attempts.get(&id).is_some_and(|a| a.out > 0);
-        let held = self.sender.open_messages().into_iter().map(|o| o.0).filter(|id| !settled(*id));
+        // A message that the status line of its response has settled has ended in the journal; the policy is
+        // informed once the rest of the response has arrived or is overdue.
+        let is_settled =
+            |id| journal.get(id).is_none() && self.attempts.get(&id).is_some_and(|a| a.in_flight > 0);
+        let held = self.sender.open_messages().into_iter().map(|o| o.0).filter(|id| !is_settled(*id));
         let held: Vec<MessageId> = held.collect();
-        assert_eq!(held, owed, "messages held, and owed by the journal");
+        assert_eq!(held, owed, "messages that the policy holds, and open messages of the journal");
     }
 
-    /// Adds a message to the call that this turn makes to an endpoint, as far as its kind allows.
-    fn load(
+    /// Adds a message to a call that this turn makes to the endpoint, as far as its kind allows.
+    fn add_to_call(
         &mut self,
-        loads: &mut Vec<(EndpointId, Vec<Item>)>,
+        new_calls: &mut Vec<(EndpointId, Vec<CallItem>)>,
         id: MessageId,
         endpoint: EndpointId,
-        attempt: Attempt,
+        limits: AttemptLimits,
     ) {
-        let most = self.calls.bundle(endpoint);
-        let known = |m: &OpenMessage| (m.idempotency_key.clone(), m.body.clone());
-        let (idempotency_key, body) = self.journal.borrow().get(id).map(known).unwrap_or_default();
-        let made = self.attempts.entry(id).or_default();
-        let Attempt { timeout, within, proven_only } = attempt;
-        let item = Item { id, attempt: made.made, timeout, within, proven_only, idempotency_key, body };
-        made.made += 1;
-        made.out += 1;
-        match loads.iter_mut().find(|(e, items)| *e == endpoint && items.len() < most) {
+        let max_bundle = self.calls.max_bundle(endpoint);
+        let content = |m: &OpenMessage| (m.idempotency_key.clone(), m.body.clone());
+        let (idempotency_key, body) = self.journal.borrow().get(id).map(content).unwrap_or_default();
+        let counts = self.attempts.entry(id).or_default();
+        let AttemptLimits { timeout, start_within, proven_only } = limits;
+        let item =
+            CallItem { id, attempt: counts.made, timeout, start_within, proven_only, idempotency_key, body };
+        counts.made += 1;
+        counts.in_flight += 1;
+        match new_calls.iter_mut().find(|(e, items)| *e == endpoint && items.len() < max_bundle) {
             Some((_, items)) => items.push(item),
-            None => loads.push((endpoint, vec![item])),
+            None => new_calls.push((endpoint, vec![item])),
         }
     }
 
-    /// The module has given a message up: the record comes first, then the notice, at once.
-    fn end(&mut self, id: MessageId, verdict: Verdict) {
+    /// Ends a message that the policy has given up: records the verdict first, then sends the notice.
+    fn give_up(&mut self, id: MessageId, verdict: Verdict) {
         if self.journal.borrow().get(id).is_none() {
             return;
         }
         self.calls.reasons.count_notice(verdict);
-        tracing::debug!("message {:016x} is given up: {verdict:?}", id.0);
+        tracing::debug!("message {:016x} given up: {verdict:?}", id.0);
         match (&self.copies, verdict) {
             (Some(copies), Verdict::Bounced(_)) if self.is_careful(id) => {
-                // Another sender may have taken it over, or may yet: it is harmless to hand in again only if
-                // nobody can attempt it any more.
+                // Another sender may have taken it over, or may do so: the client may only send it again
+                // harmlessly once no sender can attempt it any more.
                 let (copies, journal, reports) = (copies.clone(), self.journal.clone(), self.reports.clone());
                 tokio::task::spawn_local(async move {
                     let verdict = if copies.close_message(id).await { verdict } else { Verdict::Dead };
                     if journal.borrow().get(id).is_some_and(|o| o.verdict.is_none()) {
-                        tell_verdict(&journal, &reports, id, verdict);
+                        record_verdict(&journal, &reports, id, verdict);
                     }
                 });
             }
-            _ => tell_verdict(&self.journal, &self.reports, id, verdict),
+            _ => record_verdict(&self.journal, &self.reports, id, verdict),
         }
-        if self.attempts.get(&id).is_some_and(|a| a.out == 0) {
+        if self.attempts.get(&id).is_some_and(|a| a.in_flight == 0) {
             self.attempts.remove(&id);
         }
     }
 
     /// Whether a message must not be repeated.
     fn is_careful(&self, id: MessageId) -> bool {
-        self.journal.borrow().get(id).is_none_or(|open| self.terms.borrow().is_unsafe_to_repeat(&open.class))
+        self.journal
+            .borrow()
+            .get(id)
+            .is_none_or(|open| self.active_settings.borrow().is_unsafe_to_repeat(&open.class))
     }
 
-    /// Nothing is owed to anyone.
-    pub fn is_done(&self) -> bool {
+    /// Whether the journal holds no message.
+    pub fn has_no_messages(&self) -> bool {
         self.journal.borrow().iter().next().is_none()
     }
 }
--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -1,13 +1,13 @@
-//! The list of endpoints in discovery's form.
+//! The endpoint list in the format of the list service (discovery).
 
 use notchpoint_policy::EndpointId;
 use serde::{Deserialize, Serialize};
 use serde_json::value::RawValue;
 use std::net::SocketAddr;
 
-/// The list, or what changed in it.
+/// The whole endpoint list, or, where it is not `complete`, changes to it.
 #[derive(Clone, Debug, Default, Deserialize)]
-#[serde(from = "Told")]
+#[serde(from = "RawList")]
 pub struct EndpointList {
     pub revision: u64,
     pub complete: bool,
@@ -15,7 +15,7 @@
 }
 
 #[derive(Deserialize)]
-struct Told {
+struct RawList {
     revision: u64,
     #[serde(default)]
     complete: bool,
@@ -23,42 +23,45 @@
     members: Vec<Box<RawValue>>,
 }
 
-impl From<Told> for EndpointList {
-    /// Members that cannot be read are passed over. A list with some of them counts as incomplete: that a
-    /// member could not be read does not mean that it has gone.
-    fn from(told: Told) -> Self {
-        let all = told.members.len();
+impl From<RawList> for EndpointList {
+    /// Skips members that cannot be read. A list with such members counts as incomplete: that a member could
+    /// not be read does not mean that it was removed.
+    fn from(raw: RawList) -> Self {
+        let all = raw.members.len();
         let read = |member: &RawValue| {
             let read = serde_json::from_str(member.get());
-            read.inspect_err(|e| tracing::warn!("discovery: a member: {e}")).ok()
+            read.inspect_err(|e| tracing::warn!("discovery: list member skipped: {e}")).ok()
         };
-        let members: Vec<Member> = told.members.iter().filter_map(|member| read(member)).collect();
-        Self { revision: told.revision, complete: told.complete && members.len() == all, members }
+        let members: Vec<Member> = raw.members.iter().filter_map(|member| read(member)).collect();
+        Self { revision: raw.revision, complete: raw.complete && members.len() == all, members }
     }
 }
 
-/// The number of an endpoint's id: the same at every sender, since notes name it (FNV-1a).
-pub fn endpoint(id: &str) -> EndpointId {
+/// Returns the numeric id of an endpoint: the FNV-1a hash of its text id. It is the same at every sender,
+/// since notes between senders carry it.
+pub fn endpoint_id(id: &str) -> EndpointId {
     let fold = |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
     EndpointId(id.bytes().fold(0xcbf2_9ce4_8422_2325, fold))
 }
 
-/// An endpoint's line.
+/// One endpoint of the list. The serialized names are those of the list service.
 #[derive(Clone, Debug, Deserialize, Serialize)]
 pub struct Member {
     pub id: String,
-    pub host_port: SocketAddr,
-    #[serde(default)]
-    pub locality: String,
-    #[serde(default)]
-    pub flavor: String,
-    pub cell: u64,
-    pub phase: State,
+    #[serde(rename = "host_port")]
+    pub address: SocketAddr,
+    #[serde(default, rename = "locality")]
+    pub zone: String,
+    #[serde(default, rename = "flavor")]
+    pub kind: String,
+    #[serde(rename = "cell")]
+    pub dest: u64,
+    pub phase: MemberPhase,
 }
 
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
-pub enum State {
+pub enum MemberPhase {
     Up,
     Draining,
     Removed,
--- a/crates/daemon/src/handover.rs
+++ b/crates/daemon/src/handover.rs
@@ -1,4 +1,4 @@
-//! How one process takes over from another.
+//! Hand-over of one sender from a running process to its successor.
 
 pub mod protocol;
 pub mod successor;
--- a/crates/daemon/src/handover/protocol.rs
+++ b/crates/daemon/src/handover/protocol.rs
@@ -1,193 +1,204 @@
-//! What passes between two processes of one sender while the new one takes over from the old, and what each
-//! does when the other falls silent. Free of I/O and clocks; `passage.rs` moves the frames.
+//! The frames of a hand-over between two processes of one sender, and what each process does when the
+//! connection to the other one ends. Free of I/O and clocks; `transport.rs` moves the frames.
 //!
-//! One process owns the store and decides at any moment. The old one gives its state and releases the store;
-//! the new one opens the store, says [`Frame::Owned`], and owns from then on. What is still open at the old
-//! one, calls and half-read requests, ends there, and every end is told to the owner.
+//! At any time one process owns the store and makes the decisions. The predecessor sends its state and
+//! releases the store; the successor opens the store, sends [`Frame::Owned`], and is the owner from then on.
+//! Calls and partly read requests that are still open at the predecessor end there, and the predecessor
+//! reports the end of each to the owner.
 
 use crate::endpoint_list::Member;
 use crate::input::{AcceptedMessage, Input};
-use crate::operations::No;
+use crate::operations::Rejection;
 use hyper::StatusCode;
 use notchpoint_policy::{
     Allowance, Class, DestinationId, EndpointId, Event, MessageId, Micros, Outcome, Sender,
 };
 use serde::{Deserialize, Serialize};
 
-/// Raised with every change of the frames; the form of the module's state has a number of its own.
+/// Incremented with every change to the frames. The format of the policy's state has its own number.
 pub const VERSION: u16 = 3;
 const MAGIC: [u8; 6] = *b"NPHAND";
-/// The first word of both sides, the same in every version.
-pub const HELLO: usize = 16;
+/// Length of the greeting that both sides send first; the same in every version.
+pub const HELLO_BYTES: usize = 16;
 
-/// An attempt that is out: its message, its number, and where.
-pub type Out = (MessageId, u32, EndpointId);
-/// A wait in force on a route, and what is left of it.
-pub type Wait = (DestinationId, Option<EndpointId>, Micros);
+/// An attempt in flight: its message, its number, and its endpoint.
+pub type AttemptInFlight = (MessageId, u32, EndpointId);
+/// A wait in force on a route, and the time that is left of it.
+pub type RouteWait = (DestinationId, Option<EndpointId>, Micros);
 
-/// The state that a process gives away.
+/// The state that the predecessor sends to its successor.
 #[derive(Clone, Serialize, Deserialize)]
-pub struct State {
-    /// The configuration in force.
-    pub text: String,
-    /// The module's clock, and the journal's timeline at that moment (microseconds).
-    pub at: Micros,
-    pub unix: u64,
+pub struct HandoverState {
+    /// Text of the configuration in force.
+    pub config_text: String,
+    /// The policy's clock when the state was taken.
+    pub policy_time: Micros,
+    /// The journal's timeline when the state was taken, in microseconds.
+    pub unix_time: u64,
     pub sender: Sender,
-    /// What the module has not heard of yet.
+    /// Events that the policy has not processed yet.
     pub events: Vec<Event>,
-    /// When the module asked to be called.
-    pub wake: Option<Micros>,
-    /// For each message that is open or has one out: attempts made, and out.
-    pub attempts: Vec<(MessageId, u32, u32)>,
-    /// Attempts that are out.
-    pub out: Vec<Out>,
-    /// Messages with an attempt out that is known to an earlier life only.
-    pub elsewhere: Vec<MessageId>,
-    /// How long ago nobody waited at the clients' socket, if that is known.
+    /// When the policy asked to be called again, by its own clock.
+    pub wake_at: Option<Micros>,
+    /// For each message that is open or has an attempt in flight: attempts made, and attempts in flight.
+    pub attempt_counts: Vec<(MessageId, u32, u32)>,
+    /// Attempts in flight.
+    pub attempts_in_flight: Vec<AttemptInFlight>,
+    /// Messages with an attempt in flight that only an earlier process or session knows.
+    pub predecessor_attempts: Vec<MessageId>,
+    /// How long ago the accept queue of the clients' socket was empty, if that is known.
     pub queue_seen_empty: Option<Micros>,
-    /// Waits in force: what is left of each.
-    pub waits: Vec<Wait>,
+    /// Waits in force on routes, with the time that is left of each.
+    pub waits: Vec<RouteWait>,
     pub members: Vec<Member>,
     pub revision: u64,
-    /// Classes by place: tag, definition, and whether clients may use it.
+    /// Classes by position: tag, definition, and whether clients may use it.
     pub classes: Vec<(String, Class, bool)>,
 }
 
-/// A request that the old process has read and the owner is to record.
+/// A request that the predecessor has read and that the owner records.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ForwardedRequest {
     pub id: MessageId,
     pub tag: String,
     pub tenant: String,
     pub dest: DestinationId,
-    /// When its time is up, by the journal's timeline, which both processes read: the way here takes time.
+    /// The message's deadline by the journal's timeline, which both processes read: a remaining time would
+    /// not count the time that the frame takes.
     pub deadline: u64,
     pub idempotency_key: String,
     pub body: Vec<u8>,
 }
 
-/// What the owner says of such a request.
+/// The owner's response to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardResult {
-    /// Recorded, in this place of classes.
+    /// The message was recorded; `class` is the position of its class.
     Recorded { class: u32 },
-    /// No room: the client is told when to come back.
+    /// There is no room: the client is advised to retry later.
     RetryLater,
-    /// An id that is in use.
+    /// The id is in use.
     Conflict,
 }
 
 #[derive(Clone, Serialize, Deserialize)]
 pub enum Frame {
-    /// Old: nothing is given away, for this reason. It goes on serving.
-    No(String),
-    /// Old: this is all; the store is free.
-    State(Box<State>),
-    /// New: the store is mine.
+    /// From the predecessor: the hand-over is refused for this reason, and the predecessor goes on serving.
+    Refused(String),
+    /// From the predecessor: its whole state. The store is released.
+    State(Box<HandoverState>),
+    /// From the successor: it owns the store.
     Owned,
-    /// Old: an attempt ended.
-    Ended { id: MessageId, attempt: u32, outcome: Outcome, over: bool, allowance: Option<Allowance> },
-    /// New: stop waiting for an attempt.
-    Cancel { id: MessageId, attempt: u32 },
-    /// Old: a request was read whole.
-    ForwardRequest { number: u64, handed: ForwardedRequest },
-    /// New: what became of it.
-    Answer { number: u64, taken: ForwardResult },
-    /// Old: a client can have heard that its message was taken on.
+    /// From the predecessor: an attempt ended.
+    AttemptEnded {
+        id: MessageId,
+        attempt: u32,
+        outcome: Outcome,
+        is_final: bool,
+        allowance: Option<Allowance>,
+    },
+    /// From the successor: stop waiting for an attempt.
+    CancelAttempt { id: MessageId, attempt: u32 },
+    /// From the predecessor: a request was read completely and is to be recorded.
+    ForwardRequest { number: u64, request: ForwardedRequest },
+    /// From the successor: the response to a forwarded request.
+    ForwardResponse { number: u64, result: ForwardResult },
+    /// From the predecessor: the client can have received the acknowledgement of its message.
     Acknowledged(AcceptedMessage),
-    /// Old: a client did not hear it, and its message is withdrawn.
+    /// From the predecessor: the client did not receive the acknowledgement, and the message is withdrawn.
     Unacknowledged(MessageId),
 }
 
+/// Writes only the kind of the frame: a frame may hold message bodies and the whole state.
 impl std::fmt::Debug for Frame {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Self::No(_) => "No",
+            Self::Refused(_) => "Refused",
             Self::State(_) => "State",
             Self::Owned => "Owned",
-            Self::Ended { .. } => "Ended",
-            Self::Cancel { .. } => "Cancel",
-            Self::ForwardRequest { .. } => "Handed",
-            Self::Answer { .. } => "Answer",
-            Self::Acknowledged(_) => "Heard",
-            Self::Unacknowledged(_) => "Unheard",
+            Self::AttemptEnded { .. } => "AttemptEnded",
+            Self::CancelAttempt { .. } => "CancelAttempt",
+            Self::ForwardRequest { .. } => "ForwardRequest",
+            Self::ForwardResponse { .. } => "ForwardResponse",
+            Self::Acknowledged(_) => "Acknowledged",
+            Self::Unacknowledged(_) => "Unacknowledged",
         })
     }
 }
 
-/// This build's first word.
-pub fn hello() -> [u8; HELLO] {
-    let mut word = [0; HELLO];
-    word[..6].copy_from_slice(&MAGIC);
-    word[6..8].copy_from_slice(&VERSION.to_le_bytes());
-    word[8..].copy_from_slice(&notchpoint_policy::STATE_FORM.to_le_bytes());
-    word
+/// The greeting of this build.
+pub fn hello() -> [u8; HELLO_BYTES] {
+    let mut greeting = [0; HELLO_BYTES];
+    greeting[..6].copy_from_slice(&MAGIC);
+    greeting[6..8].copy_from_slice(&VERSION.to_le_bytes());
+    greeting[8..].copy_from_slice(&notchpoint_policy::STATE_FORM.to_le_bytes());
+    greeting
 }
 
-/// Whether the other side's first word is one to go on with.
+/// Checks that the other side's greeting is compatible with this build.
 ///
 /// # Errors
-/// Why it is not.
-pub fn greeted(word: &[u8; HELLO]) -> Result<(), String> {
-    let ours = hello();
-    if word[..6] != ours[..6] {
-        return Err("what speaks there is no notchpoint".into());
+/// Why it is not compatible.
+pub fn check_hello(greeting: &[u8; HELLO_BYTES]) -> Result<(), String> {
+    let own = hello();
+    if greeting[..6] != own[..6] {
+        return Err("the other side is not notchpoint".into());
     }
-    if word[6..8] != ours[6..8] {
-        let theirs = u16::from_le_bytes([word[6], word[7]]);
-        return Err(format!("the other process hands over in version {theirs}, this one in {VERSION}"));
+    if greeting[6..8] != own[6..8] {
+        let theirs = u16::from_le_bytes([greeting[6], greeting[7]]);
+        return Err(format!("protocol version {theirs} is not supported (this build speaks {VERSION})"));
     }
-    if word[8..] != ours[8..] {
-        return Err("the other process's build keeps its decisions in another form".into());
+    if greeting[8..] != own[8..] {
+        return Err("the other process's build has a different format of the policy's state".into());
     }
     Ok(())
 }
 
-/// What the old process tells the owner of something that happened at it.
-pub fn told(input: Input) -> Option<Frame> {
+/// Returns the frame by which the predecessor reports an input of its own to the owner, if the owner needs
+/// it. Operators' commands are refused here.
+pub fn frame_for(input: Input) -> Option<Frame> {
     match input {
-        Input::Event(Event::Ended { id, attempt, outcome, is_final: over, allowance }) => {
-            Some(Frame::Ended { id, attempt, outcome, over, allowance })
+        Input::Event(Event::Ended { id, attempt, outcome, is_final, allowance }) => {
+            Some(Frame::AttemptEnded { id, attempt, outcome, is_final, allowance })
         }
-        Input::PredecessorAttemptEnded { id, attempt, outcome, over } => {
-            Some(Frame::Ended { id, attempt, outcome, over, allowance: None })
+        Input::PredecessorAttemptEnded { id, attempt, outcome, is_final } => {
+            Some(Frame::AttemptEnded { id, attempt, outcome, is_final, allowance: None })
         }
         Input::Acknowledged(accepted) => Some(Frame::Acknowledged(accepted)),
         Input::Unacknowledged(id) => Some(Frame::Unacknowledged(id)),
         Input::OperatorCommand(_, reply) => {
-            let why = "another process has taken over: ask at its address";
-            reply.give(Err(No::new(StatusCode::SERVICE_UNAVAILABLE, why)));
+            let why = "another process has taken over: send the command to its address";
+            reply.send(Err(Rejection::new(StatusCode::SERVICE_UNAVAILABLE, why)));
             None
         }
-        // Its list, its connections and its configuration are the owner's matter now.
+        // The owner has its own list, connections and configuration.
         _ => None,
     }
 }
 
-/// What the old process does when the new one falls silent.
+/// What the predecessor does once the connection to its successor has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
-    /// Nothing has changed hands: it goes on with the state that it wrote, and what ended meanwhile.
-    GoOn,
-    /// The new one may have decided: what the folder holds counts.
-    FromFolder,
-    /// It has been told to end.
-    Leave,
+pub enum AfterDisconnect {
+    /// The successor never owned the store: go on with the state that was sent, and what ended meanwhile.
+    Resume,
+    /// The successor may have made decisions: start again from what the store holds.
+    ReloadFromStore,
+    /// This process was asked to end.
+    Exit,
 }
 
-pub fn after_silence(owned: bool, ending: bool) -> Next {
+pub fn after_disconnect(owned: bool, ending: bool) -> AfterDisconnect {
     match (owned, ending) {
-        (_, true) => Next::Leave,
-        (true, _) => Next::FromFolder,
-        (false, _) => Next::GoOn,
+        (_, true) => AfterDisconnect::Exit,
+        (true, _) => AfterDisconnect::ReloadFromStore,
+        (false, _) => AfterDisconnect::Resume,
     }
 }
 
-impl State {
-    /// What was to last for a time counted from the moment of the state has so much less of it now.
-    pub fn grow_older(&mut self, by: Micros) {
-        self.waits.iter_mut().for_each(|w| w.2 = w.2.saturating_sub(by));
+impl HandoverState {
+    /// Subtracts the time that has passed since the state was taken from what was to last for a time.
+    pub fn subtract_elapsed(&mut self, elapsed: Micros) {
+        self.waits.iter_mut().for_each(|w| w.2 = w.2.saturating_sub(elapsed));
     }
 }
 
@@ -196,20 +207,20 @@
     use super::*;
 
     #[test]
-    fn only_the_same_version_and_form_is_gone_on_with() {
-        assert_eq!(greeted(&hello()), Ok(()));
-        for (byte, said) in [(0, "no notchpoint"), (6, "in version"), (8, "another form")] {
-            let mut word = hello();
-            word[byte] ^= 1;
-            let why = greeted(&word).expect_err(said);
-            assert!(why.contains(said), "byte {byte}: {why}");
+    fn only_the_same_version_and_state_format_are_accepted() {
+        assert_eq!(check_hello(&hello()), Ok(()));
+        for (byte, reason) in [(0, "is not notchpoint"), (6, "protocol version"), (8, "different format")] {
+            let mut greeting = hello();
+            greeting[byte] ^= 1;
+            let why = check_hello(&greeting).expect_err(reason);
+            assert!(why.contains(reason), "byte {byte}: {why}");
         }
     }
 
     #[test]
-    fn who_owned_last_says_what_the_old_process_does_in_silence() {
-        assert_eq!(after_silence(false, false), Next::GoOn);
-        assert_eq!(after_silence(true, false), Next::FromFolder);
-        assert_eq!([after_silence(false, true), after_silence(true, true)], [Next::Leave; 2]);
+    fn after_a_disconnect_the_last_owner_decides_what_the_predecessor_does() {
+        assert_eq!(after_disconnect(false, false), AfterDisconnect::Resume);
+        assert_eq!(after_disconnect(true, false), AfterDisconnect::ReloadFromStore);
+        assert_eq!([after_disconnect(false, true), after_disconnect(true, true)], [AfterDisconnect::Exit; 2]);
     }
 }
--- a/crates/daemon/src/handover/successor.rs
+++ b/crates/daemon/src/handover/successor.rs
@@ -1,4 +1,4 @@
-//! The process that has taken over, as the old one sees it: what is still read here is recorded there.
+//! The successor as its predecessor sees it: requests that are still read here are recorded there.
 
 use crate::handover::protocol::{ForwardResult, ForwardedRequest, Frame};
 use notchpoint_policy::MessageId;
@@ -8,89 +8,95 @@
 use tokio::sync::oneshot;
 
 pub struct Successor {
-    to: RefCell<UnboundedSender<Frame>>,
-    next: Cell<u64>,
-    /// Requests that wait for its answer: as many as connections at most.
-    asked: RefCell<BTreeMap<u64, Asked>>,
+    outgoing: RefCell<UnboundedSender<Frame>>,
+    next_number: Cell<u64>,
+    /// Requests that wait for a response, at most one for each connection.
+    pending: RefCell<BTreeMap<u64, PendingRequest>>,
 }
 
-/// A request that waits for an answer.
-struct Asked {
-    handed: ForwardedRequest,
-    answer: oneshot::Sender<ForwardResult>,
+/// A request that waits for a response.
+struct PendingRequest {
+    request: ForwardedRequest,
+    response: oneshot::Sender<ForwardResult>,
 }
 
 impl Successor {
-    pub fn new(to: UnboundedSender<Frame>) -> Self {
-        Self { to: RefCell::new(to), next: Cell::new(0), asked: RefCell::default() }
+    pub fn new(outgoing: UnboundedSender<Frame>) -> Self {
+        Self { outgoing: RefCell::new(outgoing), next_number: Cell::new(0), pending: RefCell::default() }
     }
 
-    /// Has a request recorded. Where nobody answers any more, nothing was promised, and the client is told to
-    /// come back. If this is dropped, since the client has gone, the record is withdrawn.
-    pub async fn forward(&self, handed: ForwardedRequest) -> ForwardResult {
-        let number = self.next.replace(self.next.get() + 1);
-        let (answer, answered) = oneshot::channel();
-        let mut waiting = Waiting { successor: self, id: handed.id, answered };
-        self.send(Frame::ForwardRequest { number, handed: handed.clone() });
-        self.asked.borrow_mut().insert(number, Asked { handed, answer });
-        (&mut waiting.answered).await.unwrap_or(ForwardResult::RetryLater)
+    /// Has the successor record a request. If no process responds any more, nothing was acknowledged, and
+    /// the client is advised to retry later. If the returned future is dropped because the client has gone,
+    /// the record is withdrawn.
+    pub async fn forward(&self, request: ForwardedRequest) -> ForwardResult {
+        let number = self.next_number.replace(self.next_number.get() + 1);
+        let (response, responded) = oneshot::channel();
+        let mut waiting = WaitingRequest { successor: self, id: request.id, responded };
+        self.send(Frame::ForwardRequest { number, request: request.clone() });
+        self.pending.borrow_mut().insert(number, PendingRequest { request, response });
+        (&mut waiting.responded).await.unwrap_or(ForwardResult::RetryLater)
     }
 
-    pub fn answered(&self, number: u64, taken: ForwardResult) {
-        let Some(Asked { handed, answer }) = self.asked.borrow_mut().remove(&number) else { return };
-        if answer.send(taken) == Err(taken) {
-            self.withdraw(handed.id, taken);
+    /// Delivers the response to a forwarded request.
+    pub fn complete(&self, number: u64, result: ForwardResult) {
+        let Some(PendingRequest { request, response }) = self.pending.borrow_mut().remove(&number) else {
+            return;
+        };
+        if response.send(result) == Err(result) {
+            self.withdraw(request.id, result);
         }
     }
 
-    /// Requests that wait for an answer.
+    /// Messages of the requests that wait for a response.
     pub fn pending(&self) -> BTreeSet<MessageId> {
-        self.asked.borrow().values().map(|asked| asked.handed.id).collect()
+        self.pending.borrow().values().map(|pending| pending.request.id).collect()
     }
 
-    /// Requests wait for an answer.
-    pub fn is_asked(&self) -> bool {
-        !self.asked.borrow().is_empty()
+    /// Whether any request waits for a response.
+    pub fn has_pending(&self) -> bool {
+        !self.pending.borrow().is_empty()
     }
 
-    /// It has gone, and another owner takes its place. It may have recorded what it did not answer: only who
-    /// reads the folder next can tell, so the same is asked once more, and nothing is refused before that.
-    pub fn replaced_by(&self, to: UnboundedSender<Frame>) {
-        *self.to.borrow_mut() = to;
-        for (&number, asked) in &*self.asked.borrow() {
-            self.send(Frame::ForwardRequest { number, handed: asked.handed.clone() });
+    /// Replaces a successor that has ended by another owner. The first one may have recorded requests that
+    /// it did not respond to: only the process that reads the store next can know, so the same requests are
+    /// sent again, and none is refused before that.
+    pub fn redirect(&self, outgoing: UnboundedSender<Frame>) {
+        *self.outgoing.borrow_mut() = outgoing;
+        for (&number, pending) in &*self.pending.borrow() {
+            self.send(Frame::ForwardRequest { number, request: pending.request.clone() });
         }
     }
 
-    /// Nobody answers any more.
-    pub fn gone(&self) {
-        self.asked.borrow_mut().clear();
+    /// Drops all waiting requests: no process responds any more.
+    pub fn close(&self) {
+        self.pending.borrow_mut().clear();
     }
 
     fn send(&self, frame: Frame) {
-        let _ = self.to.borrow().send(frame);
+        let _ = self.outgoing.borrow().send(frame);
     }
 
-    fn withdraw(&self, id: MessageId, taken: ForwardResult) {
-        if matches!(taken, ForwardResult::Recorded { .. }) {
+    fn withdraw(&self, id: MessageId, result: ForwardResult) {
+        if matches!(result, ForwardResult::Recorded { .. }) {
             self.send(Frame::Unacknowledged(id));
         }
     }
 }
 
-/// A request for whose answer its connection waits.
-struct Waiting<'a> {
+/// A forwarded request whose client connection waits for the response.
+struct WaitingRequest<'a> {
     successor: &'a Successor,
     id: MessageId,
-    answered: oneshot::Receiver<ForwardResult>,
+    responded: oneshot::Receiver<ForwardResult>,
 }
 
-impl Drop for Waiting<'_> {
+impl Drop for WaitingRequest<'_> {
     fn drop(&mut self) {
-        // An answer that has come and was not heard; after this one that comes finds nobody.
-        self.answered.close();
-        if let Ok(taken) = self.answered.try_recv() {
-            self.successor.withdraw(self.id, taken);
+        // Withdraws the record if the response has arrived and was not processed. A response that arrives
+        // after this finds the channel closed, and `complete` withdraws the record.
+        self.responded.close();
+        if let Ok(result) = self.responded.try_recv() {
+            self.successor.withdraw(self.id, result);
         }
     }
 }
