--- a/crates/daemon/src/handover/transport.rs
+++ b/crates/daemon/src/handover/transport.rs
@@ -1,6 +1,6 @@
-//! Moves the frames of a hand-over between two processes. What they mean is in `handover.rs`.
+//! Moves the frames of a hand-over between two processes. `protocol.rs` defines what they mean.
 
-use crate::handover::protocol::{Frame, HELLO, State, greeted, hello};
+use crate::handover::protocol::{Frame, HELLO_BYTES, HandoverState, check_hello, hello};
 use crate::io::{read_exactly, write_all};
 use notchpoint_seam::{Listener, Network, Stream, net::accept};
 use std::io::{self, ErrorKind};
@@ -10,37 +10,38 @@
 use tokio::task::JoinHandle;
 use tokio::time::{sleep, timeout};
 
-/// The private place where a process that serves is asked to hand over.
-pub const PLACE: &str = "notchpoint.handover";
-/// Whoever asks says its first word within this.
-const GREETING: Duration = Duration::from_millis(500);
-/// The state comes within this, or the folder has to do. A process that is stopped or starved gives nothing.
-const GIVING: Duration = Duration::from_secs(2);
-/// A state holds no bodies; messages and attempts are some hundred bytes each.
-const LONGEST: usize = 64 << 20;
+/// Name of the local socket on which the serving process accepts requests for a hand-over.
+pub const SOCKET_NAME: &str = "notchpoint.handover";
+/// A process that connects sends its greeting within this time.
+const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
+/// The state arrives within this time, or the successor starts from the store. A process that is stopped or
+/// starved of CPU sends nothing.
+const STATE_TIMEOUT: Duration = Duration::from_secs(2);
+/// The state holds no bodies; each message and attempt takes some hundred bytes.
+const MAX_FRAME_BYTES: usize = 64 << 20;
 
-/// Both directions to the other process. Where it has gone, `from` ends.
-pub struct Ends {
-    pub to: UnboundedSender<Frame>,
-    pub from: UnboundedReceiver<Frame>,
+/// Both directions of the connection to the other process. `incoming` ends once that process has ended.
+pub struct FrameChannel {
+    pub outgoing: UnboundedSender<Frame>,
+    pub incoming: UnboundedReceiver<Frame>,
 }
 
-/// Two ends of one way, within a process.
-pub fn pair() -> (Ends, Ends) {
+/// Returns both ends of a frame channel within this process.
+pub fn channel_pair() -> (FrameChannel, FrameChannel) {
     let ((a, from_a), (b, from_b)) = (unbounded_channel(), unbounded_channel());
-    (Ends { to: a, from: from_b }, Ends { to: b, from: from_a })
+    (FrameChannel { outgoing: a, incoming: from_b }, FrameChannel { outgoing: b, incoming: from_a })
 }
 
-async fn read_hello(stream: &dyn Stream) -> io::Result<[u8; HELLO]> {
-    let word = read_exactly(stream, HELLO).await?;
-    word.first_chunk().copied().ok_or(ErrorKind::UnexpectedEof.into())
+async fn read_hello(stream: &dyn Stream) -> io::Result<[u8; HELLO_BYTES]> {
+    let greeting = read_exactly(stream, HELLO_BYTES).await?;
+    greeting.first_chunk().copied().ok_or(ErrorKind::UnexpectedEof.into())
 }
 
 async fn read_frame(stream: &dyn Stream) -> io::Result<Frame> {
     let head = read_exactly(stream, 4).await?;
     let len = head.first_chunk().map_or(usize::MAX, |b| u32::from_le_bytes(*b) as usize);
-    if len > LONGEST {
-        return Err(io::Error::new(ErrorKind::InvalidData, format!("a frame of {len} bytes")));
+    if len > MAX_FRAME_BYTES {
+        return Err(io::Error::new(ErrorKind::InvalidData, format!("a frame of {len} bytes is too long")));
     }
     let bytes = read_exactly(stream, len).await?;
     postcard::from_bytes(&bytes).map_err(|e| io::Error::new(ErrorKind::InvalidData, e))
@@ -53,20 +54,21 @@
     write_all(stream, &all).await
 }
 
-/// Frames go both ways from now on, until either side ends. The task ends once all that was sent is written.
-fn pump(stream: Rc<dyn Stream>) -> (Ends, JoinHandle<()>) {
-    let (near, mut far) = pair();
-    let (reader, to) = (stream.clone(), far.to.clone());
+/// Moves frames in both directions until either side ends. The returned task ends once all that was sent is
+/// written.
+fn pump(stream: Rc<dyn Stream>) -> (FrameChannel, JoinHandle<()>) {
+    let (near, mut far) = channel_pair();
+    let (reader, received) = (stream.clone(), far.outgoing.clone());
     let reading = tokio::task::spawn_local(async move {
         while let Ok(frame) = read_frame(&*reader).await {
-            if to.send(frame).is_err() {
+            if received.send(frame).is_err() {
                 return;
             }
         }
     });
-    drop(far.to);
+    drop(far.outgoing);
     let writing = tokio::task::spawn_local(async move {
-        while let Some(frame) = far.from.recv().await {
+        while let Some(frame) = far.incoming.recv().await {
             if write_frame(&*stream, &frame).await.is_err() {
                 break;
             }
@@ -76,62 +78,65 @@
     (near, writing)
 }
 
-/// Waits until a process asks that may take over. Others are told why not.
-pub async fn asked(listener: &dyn Listener) -> Rc<dyn Stream> {
+/// Waits until a compatible process asks to take over. Incompatible ones receive this build's greeting, from
+/// which they see the reason, and nothing more.
+pub async fn accept_request(listener: &dyn Listener) -> Rc<dyn Stream> {
     loop {
         let Ok(stream) = accept(listener).await else {
             sleep(Duration::from_millis(10)).await;
             continue;
         };
-        let word = async {
-            let word = read_hello(&*stream).await?;
-            write_all(&*stream, &hello()).await.map(|()| word)
+        let greeting = async {
+            let greeting = read_hello(&*stream).await?;
+            write_all(&*stream, &hello()).await.map(|()| greeting)
         };
-        match timeout(GREETING, word).await {
-            Ok(Ok(word)) => match greeted(&word) {
+        match timeout(HELLO_TIMEOUT, greeting).await {
+            Ok(Ok(greeting)) => match check_hello(&greeting) {
                 Ok(()) => return stream,
-                Err(why) => tracing::warn!("hand-over: {why}; this one goes on serving"),
+                Err(why) => tracing::warn!("hand-over: {why}; this process goes on serving"),
             },
-            _ => tracing::warn!("hand-over: somebody asked and said nothing"),
+            _ => tracing::warn!("hand-over: a process connected and sent no greeting in time"),
         }
     }
 }
 
-/// Gives the state away.
-pub fn give(stream: Rc<dyn Stream>, state: State) -> (Ends, JoinHandle<()>) {
-    let (ends, written) = pump(stream);
-    let _ = ends.to.send(Frame::State(Box::new(state)));
-    (ends, written)
+/// Sends the state to the successor.
+pub fn send_state(stream: Rc<dyn Stream>, state: HandoverState) -> (FrameChannel, JoinHandle<()>) {
+    let (channel, written) = pump(stream);
+    let _ = channel.outgoing.send(Frame::State(Box::new(state)));
+    (channel, written)
 }
 
-/// Tells who asked that nothing is given.
-pub async fn refuse(stream: &dyn Stream, why: &str) {
-    let _ = timeout(GREETING, write_frame(stream, &Frame::No(why.to_owned()))).await;
+/// Tells the process that asked that the hand-over is refused.
+pub async fn send_refusal(stream: &dyn Stream, why: &str) {
+    let _ = timeout(HELLO_TIMEOUT, write_frame(stream, &Frame::Refused(why.to_owned()))).await;
 }
 
-/// What a process that starts finds.
-pub enum Found {
-    /// Nobody serves, or nobody who speaks.
-    Nobody,
-    /// One that goes on serving.
+/// What became of the request for a hand-over that a starting process makes.
+pub enum HandoverReply {
+    /// No process serves, or none accepts the connection.
+    NoPredecessor,
+    /// The predecessor goes on serving, or the hand-over failed.
     Refused(String),
-    /// All that the other had.
-    State(Box<State>, Ends),
+    /// The predecessor's whole state.
+    State(Box<HandoverState>, FrameChannel),
 }
 
-/// Asks who serves to hand over.
-pub async fn ask(net: &dyn Network) -> Found {
-    let Ok(Ok(stream)) = timeout(GREETING, net.connect_local(PLACE)).await else { return Found::Nobody };
+/// Asks the process that serves to hand over.
+pub async fn request_handover(net: &dyn Network) -> HandoverReply {
+    let Ok(Ok(stream)) = timeout(HELLO_TIMEOUT, net.connect_local(SOCKET_NAME)).await else {
+        return HandoverReply::NoPredecessor;
+    };
     let state = async {
         write_all(&*stream, &hello()).await?;
-        greeted(&read_hello(&*stream).await?).map_err(io::Error::other)?;
+        check_hello(&read_hello(&*stream).await?).map_err(io::Error::other)?;
         read_frame(&*stream).await
     };
-    match timeout(GIVING, state).await {
-        Ok(Ok(Frame::State(state))) => Found::State(state, pump(stream.clone()).0),
-        Ok(Ok(Frame::No(why))) => Found::Refused(why),
-        Ok(Ok(frame)) => Found::Refused(format!("{frame:?} came in place of the state")),
-        Ok(Err(e)) => Found::Refused(e.to_string()),
-        Err(_) => Found::Refused("no state came in time".into()),
+    match timeout(STATE_TIMEOUT, state).await {
+        Ok(Ok(Frame::State(state))) => HandoverReply::State(state, pump(stream.clone()).0),
+        Ok(Ok(Frame::Refused(why))) => HandoverReply::Refused(why),
+        Ok(Ok(frame)) => HandoverReply::Refused(format!("received frame {frame:?} in place of the state")),
+        Ok(Err(e)) => HandoverReply::Refused(e.to_string()),
+        Err(_) => HandoverReply::Refused("no state arrived in time".into()),
     }
 }
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -1,7 +1,8 @@
-//! What the parts of the program tell the node. It stands apart, so that no part imports the node.
+//! The inputs of the decision loop. They have a module of their own, so that no part of the program imports
+//! the decision loop.
 
 use crate::endpoint_list::EndpointList;
-use crate::operations::{No, Word};
+use crate::operations::{OperatorCommand, Rejection};
 use crate::settings::config::Config;
 use notchpoint_policy::{DestinationId, Event, Message, MessageId, Micros, Outcome};
 use notchpoint_store::Mark;
@@ -9,89 +10,89 @@
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
 
-/// The module's clock starts here, so that no span looks back beyond its zero: longer ones are turned down in
-/// settings.
+/// The policy's clock starts at this value, so that no time span reaches back beyond zero: the settings
+/// refuse longer ones.
 pub const CLOCK_START: Micros = 1 << 50;
 
-/// A message that was taken on. What is left of its time stands in its record alone: counted here as well, it
-/// would run from a later moment behind a slow disk or on its way from another process.
+/// A message that was accepted. Its deadline stands in its record alone: a remaining time that is counted
+/// here as well would start late behind a slow disk, or on the way from another process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     pub id: MessageId,
-    /// By position, as the tenant.
+    /// Position of the class, as `tenant` is the position of the tenant.
     pub class: u32,
     pub tenant: Option<u32>,
     pub dest: DestinationId,
-    /// It is known to have been handed in before.
-    pub again: bool,
+    /// The client has marked it as a resend.
+    pub is_retry: bool,
 }
 
 impl AcceptedMessage {
-    /// What the decisions are told of it.
+    /// Returns the message as the policy receives it.
     pub fn message(&self, expires_in: Micros) -> Message {
-        let Self { id, class, tenant, dest, again } = *self;
-        Message { id, class, tenant, key: None, dest, is_retry: again, expires_in }
+        let Self { id, class, tenant, dest, is_retry } = *self;
+        Message { id, class, tenant, key: None, dest, is_retry, expires_in }
     }
 }
 
-/// One piece of news for the node.
+/// One input of the decision loop.
 #[derive(Debug)]
 pub enum Input {
     Event(Event),
-    /// A message was taken on, and its client can have heard it.
+    /// A message was accepted, and its client can have received the acknowledgement.
     Acknowledged(AcceptedMessage),
     ListUpdate(EndpointList),
     /// The watch with this number failed or ended.
     WatchEnded(u64),
-    /// A new configuration, checked whole, and its text.
+    /// A new configuration that was checked as a whole, and its text.
     ConfigurationChanged(Box<Config>, String),
-    /// A configuration that the store did not take is to be tried again.
+    /// Time to retry a configuration that the store did not accept.
     RetryConfiguration,
-    /// The client of a message that was recorded did not hear of it; the record is gone.
+    /// The client of a recorded message did not receive the acknowledgement; the record is deleted.
     Unacknowledged(MessageId),
-    /// An attempt that was out in an earlier life has ended.
+    /// An attempt that was in flight at the predecessor, or in an earlier session, has ended.
     PredecessorAttemptEnded {
         id: MessageId,
         attempt: u32,
         outcome: Outcome,
-        /// Nothing is owed for the message any more.
-        over: bool,
+        /// The message needs no further attempt.
+        is_final: bool,
     },
-    /// The process before this one has ended: what it had recorded and not told of is taken up.
+    /// The predecessor has ended: the messages that it recorded and did not report on are resumed here.
     PredecessorEnded(BTreeSet<MessageId>),
-    /// A message that another sender had promised is this one's, and stands in the journal.
+    /// This sender has taken over a message that another one had acknowledged; the journal holds it.
     Adopted(MessageId),
-    /// A message is another sender's: nothing is owed for it here, and its record is gone.
+    /// Another sender owns this message: its record here is deleted, and nothing more is done for it.
     OwnershipLost(MessageId),
-    /// An attempt of this message was not made, since others did not consent: it rests.
+    /// An attempt of this message was not made, since the replicas did not consent to it: the message pauses.
     ConsentDenied(MessageId),
-    /// A message was answered so late that its answer may not count.
+    /// A message was delivered so close to its deadline that the delivery may not count.
     DeliveryUncertain(MessageId),
-    /// A message has rested.
+    /// The pause of a message is over.
     PauseElapsed(MessageId),
-    /// Clients are sent elsewhere, or again here: the zone in which this sender stands was left.
+    /// Whether clients are to be sent to other senders, because the zone of this sender is evacuated.
     RedirectClients(bool),
-    /// An operator's word, and where it is answered once it holds.
-    OperatorCommand(Word, Reply),
+    /// An operator's command, and where it is answered once it is in effect.
+    OperatorCommand(OperatorCommand, CommandReply),
 }
 
-/// What a word came to.
-pub type Answer = Result<Done, No>;
+/// The result of an operator's command.
+pub type CommandResult = Result<AppliedCommand, Rejection>;
 
-/// A word holds from now on, and outlasts the process once the store is safe up to the mark.
+/// A command that is in effect. It outlasts the process once the store is durable up to the mark.
 #[derive(Debug)]
-pub struct Done {
-    pub what: String,
+pub struct AppliedCommand {
+    pub description: String,
     pub mark: Mark,
 }
 
-/// Where a word is answered, once.
+/// Answers an operator's command, once.
 #[derive(Debug)]
-pub struct Reply(pub oneshot::Sender<Answer>);
+pub struct CommandReply(pub oneshot::Sender<CommandResult>);
 
-impl Reply {
-    /// Who asked may have gone; the word holds all the same.
-    pub fn give(self, answer: Answer) {
-        let _ = self.0.send(answer);
+impl CommandReply {
+    /// Sends the result. The command stays in effect even if the connection that asked has gone.
+    pub fn send(self, result: CommandResult) {
+        let _ = self.0.send(result);
     }
 }
--- a/crates/daemon/src/io.rs
+++ b/crates/daemon/src/io.rs
@@ -1,5 +1,5 @@
-//! A socket that tells what passes on it: what a peer can have heard, and what it has said, decide what may
-//! be done next.
+//! Streams whose reads and writes an observer sees: what a peer can have received, and what it has sent,
+//! decide what may be done next.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use notchpoint_seam::Stream;
@@ -12,19 +12,20 @@
 use std::time::Duration;
 use tokio::time::{Sleep, sleep};
 
-/// Read at a time: far more than a usual request or answer, and little enough to lie on the stack.
-const BLOCK: usize = 4 << 10;
+/// Bytes read at a time: far more than a usual request or response, and few enough to lie on the stack.
+const READ_BLOCK_BYTES: usize = 4 << 10;
 
-/// Read at a time where a length was told, so that one that is a lie takes no memory.
-const PIECE: usize = 64 << 10;
+/// Bytes read at a time where the peer announced a length, so that a false length takes no memory.
+const READ_CHUNK_BYTES: usize = 64 << 10;
 
-/// An operation that goes on failing although its socket is ready is tried again after this.
-const REST: Duration = Duration::from_millis(5);
-/// So many interruptions in a row are no signals any more.
-const INTERRUPTIONS: u32 = 8;
+/// Pause before an operation is retried that keeps failing although its socket is ready.
+const RETRY_DELAY: Duration = Duration::from_millis(5);
+/// This many interruptions in a row cannot come from signals.
+const INTERRUPTIONS_BEFORE_DELAY: u32 = 8;
 
-/// Whether an error of `connect` is of this machine, which lacks a socket, a port, memory or a route: all
-/// that Linux documents for `socket` and `connect` but what the other side, or the way there, has said.
+/// Whether an error of `connect` has its cause on this machine, which lacks a socket, a port, memory or a
+/// route. These are all errors that Linux documents for `socket` and `connect`, except those that the other
+/// side or the network reported.
 pub fn is_local_error(why: &io::Error) -> bool {
     !matches!(
         why.kind(),
@@ -36,41 +37,45 @@
     )
 }
 
-/// When an operation that failed is to be tried again; the connection itself is sound.
+/// When a failed operation is retried; the connection itself is intact.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Again {
-    /// Once the socket is ready, or at once where a signal came in between.
+enum Retry {
+    /// Once the socket is ready, or immediately if a signal interrupted the operation.
     Now,
-    /// After a rest: the system lacks memory for it, or it is interrupted again and again.
+    /// After a delay: the system lacks memory for it, or it was interrupted repeatedly.
     Later,
 }
 
-/// The errors of one operation that is tried again and again.
+/// Decides on retries of one operation by its errors.
 #[derive(Debug, Default)]
-struct Failures {
+struct RetryPolicy {
     interrupted: u32,
 }
 
-impl Failures {
-    /// When it is to be tried again after this error; nothing where it ends the connection.
-    fn again(&mut self, why: &io::Error) -> Option<Again> {
+impl RetryPolicy {
+    /// When to retry after this error; `None` if the error ends the connection.
+    fn after(&mut self, why: &io::Error) -> Option<Retry> {
         match why.kind() {
-            ErrorKind::WouldBlock => Some(Again::Now),
-            ErrorKind::OutOfMemory => Some(Again::Later),
+            ErrorKind::WouldBlock => Some(Retry::Now),
+            ErrorKind::OutOfMemory => Some(Retry::Later),
             ErrorKind::Interrupted => {
                 self.interrupted += 1;
-                Some(if self.interrupted.is_multiple_of(INTERRUPTIONS) { Again::Later } else { Again::Now })
+                Some(if self.interrupted.is_multiple_of(INTERRUPTIONS_BEFORE_DELAY) {
+                    Retry::Later
+                } else {
+                    Retry::Now
+                })
             }
             _ => None,
         }
     }
 
-    /// The same, with the rest.
-    async fn rest(&mut self, why: io::Error) -> io::Result<()> {
-        match self.again(&why) {
-            Some(Again::Now) => Ok(()),
-            Some(Again::Later) => {
-                sleep(REST).await;
+    /// Waits until the operation may be retried; returns the error if it ends the connection.
+    async fn wait(&mut self, why: io::Error) -> io::Result<()> {
+        match self.after(&why) {
+            Some(Retry::Now) => Ok(()),
+            Some(Retry::Later) => {
+                sleep(RETRY_DELAY).await;
                 Ok(())
             }
             None => Err(why),
@@ -78,24 +83,24 @@
     }
 }
 
-/// Reads what is there, once something is; 0 at the end.
+/// Waits until the stream is readable and reads what is there; returns 0 at the end of the stream.
 pub async fn read_some(stream: &dyn Stream, block: &mut [u8]) -> io::Result<usize> {
-    let mut failures = Failures::default();
+    let mut retries = RetryPolicy::default();
     loop {
         poll_fn(|cx| stream.poll_read_ready(cx)).await?;
         match stream.try_read(block) {
             Ok(read) => return Ok(read),
-            Err(why) => failures.rest(why).await?,
+            Err(why) => retries.wait(why).await?,
         }
     }
 }
 
-/// Reads so many bytes.
+/// Reads exactly `len` bytes.
 pub async fn read_exactly(stream: &dyn Stream, mut len: usize) -> io::Result<Vec<u8>> {
-    let (mut all, mut block) = (Vec::new(), vec![0; PIECE.min(len)]);
+    let (mut all, mut block) = (Vec::new(), vec![0; READ_CHUNK_BYTES.min(len)]);
     while len > 0 {
-        let most = PIECE.min(len);
-        match read_some(stream, &mut block[..most]).await? {
+        let limit = READ_CHUNK_BYTES.min(len);
+        match read_some(stream, &mut block[..limit]).await? {
             0 => return Err(ErrorKind::UnexpectedEof.into()),
             n => {
                 all.extend_from_slice(&block[..n]);
@@ -106,69 +111,71 @@
     Ok(all)
 }
 
-/// Writes all of it.
+/// Writes all bytes.
 pub async fn write_all(stream: &dyn Stream, mut bytes: &[u8]) -> io::Result<()> {
-    let mut failures = Failures::default();
+    let mut retries = RetryPolicy::default();
     while !bytes.is_empty() {
         poll_fn(|cx| stream.poll_write_ready(cx)).await?;
         match stream.try_write(bytes) {
             Ok(n) => bytes = &bytes[n..],
-            Err(why) => failures.rest(why).await?,
+            Err(why) => retries.wait(why).await?,
         }
     }
     Ok(())
 }
 
+/// Is notified of what passes on a stream.
 pub trait Observer {
-    /// These bytes came from the peer, and are handed on.
+    /// These bytes were received from the peer and are passed on to the reader.
     fn on_read(&self, bytes: &[u8]);
-    /// These bytes were handed to the system.
+    /// These bytes were passed to the operating system.
     fn on_write(&self, bytes: &[u8]);
-    /// Nothing is left unwritten.
+    /// All bytes were passed to the operating system.
     fn on_flush(&self) {}
 }
 
-/// Nobody looks on.
+/// Observes nothing.
 impl Observer for () {
     fn on_read(&self, _: &[u8]) {}
     fn on_write(&self, _: &[u8]) {}
 }
 
+/// A stream for hyper that notifies an observer of its reads and writes.
 pub struct ObservedStream<O> {
     stream: Rc<dyn Stream>,
     observer: O,
-    reading: Rest,
-    writing: Rest,
+    read_delay: RetryDelay,
+    write_delay: RetryDelay,
 }
 
-/// One direction of a connection rests for this while its operations fail.
-type Rest = Option<Pin<Box<Sleep>>>;
+/// The delay in force for one direction of a connection while its operations fail.
+type RetryDelay = Option<Pin<Box<Sleep>>>;
 
 impl<O> ObservedStream<O> {
     pub fn new(stream: Rc<dyn Stream>, observer: O) -> Self {
-        Self { stream, observer, reading: None, writing: None }
+        Self { stream, observer, read_delay: None, write_delay: None }
     }
 }
 
-/// Runs an operation of the system until it is done or the socket is not ready for it.
-fn attempt<T>(
+/// Runs a system call until it succeeds, fails for good, or the socket is not ready for it.
+fn poll_with_retries<T>(
     cx: &mut Context<'_>,
-    rest: &mut Rest,
+    delay: &mut RetryDelay,
     ready: impl Fn(&mut Context<'_>) -> Poll<io::Result<()>>,
     mut run: impl FnMut() -> io::Result<T>,
 ) -> Poll<io::Result<T>> {
-    let mut failures = Failures::default();
+    let mut retries = RetryPolicy::default();
     loop {
-        if let Some(resting) = rest {
-            ready!(resting.as_mut().poll(cx));
-            *rest = None;
+        if let Some(sleeping) = delay {
+            ready!(sleeping.as_mut().poll(cx));
+            *delay = None;
         }
         ready!(ready(cx))?;
         match run() {
             Ok(done) => return Poll::Ready(Ok(done)),
-            Err(why) => match failures.again(&why) {
-                Some(Again::Now) => {}
-                Some(Again::Later) => *rest = Some(Box::pin(sleep(REST))),
+            Err(why) => match retries.after(&why) {
+                Some(Retry::Now) => {}
+                Some(Retry::Later) => *delay = Some(Box::pin(sleep(RETRY_DELAY))),
                 None => return Poll::Ready(Err(why)),
             },
         }
@@ -181,11 +188,11 @@
         cx: &mut Context<'_>,
         mut buf: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let mut block = [0; BLOCK];
-        let room = BLOCK.min(buf.remaining());
-        let Self { stream, reading, .. } = &mut *self;
+        let mut block = [0; READ_BLOCK_BYTES];
+        let room = READ_BLOCK_BYTES.min(buf.remaining());
+        let Self { stream, read_delay, .. } = &mut *self;
         let ready = |cx: &mut Context<'_>| stream.poll_read_ready(cx);
-        let n = ready!(attempt(cx, reading, ready, || stream.try_read(&mut block[..room])))?;
+        let n = ready!(poll_with_retries(cx, read_delay, ready, || stream.try_read(&mut block[..room])))?;
         self.observer.on_read(&block[..n]);
         buf.put_slice(&block[..n]);
         Poll::Ready(Ok(()))
@@ -194,9 +201,9 @@
 
 impl<O: Observer + Unpin> Write for ObservedStream<O> {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        let Self { stream, writing, .. } = &mut *self;
+        let Self { stream, write_delay, .. } = &mut *self;
         let ready = |cx: &mut Context<'_>| stream.poll_write_ready(cx);
-        let n = ready!(attempt(cx, writing, ready, || stream.try_write(buf)))?;
+        let n = ready!(poll_with_retries(cx, write_delay, ready, || stream.try_write(buf)))?;
         self.observer.on_write(&buf[..n]);
         Poll::Ready(Ok(n))
     }
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
-//! The sender as a library: the program `notchpoint` is a thin shell round it, and a rehearsal runs many of
-//! it in one process. What surrounds it comes through `notchpoint_seam`.
+//! The sender as a library. The program `notchpoint` is a thin wrapper around it, and a rehearsal runs many
+//! senders in one process. All access to the operating system goes through `notchpoint_seam`.
 
 mod calls;
 pub mod cli;
--- a/crates/daemon/src/main.rs
+++ b/crates/daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! `notchpoint`: without arguments one real sender, the decision module on real sockets; its subcommands look
-//! at recordings of such senders.
+//! The program `notchpoint`. Without a subcommand it runs one sender on real sockets; its subcommands examine
+//! recordings, settings and the store of such senders.
 
 use clap::Parser;
 use notchpoint::cli::{Cli, run};
--- a/crates/daemon/src/operations.rs
+++ b/crates/daemon/src/operations.rs
@@ -1,89 +1,89 @@
-//! What operators may say, and what they are answered: plain functions, free of sockets.
+//! Parses operators' HTTP requests: plain functions, free of sockets.
 
 use hyper::{Method, StatusCode};
 use std::borrow::Cow;
 
-/// An id is a few dozen bytes; discovery's longest line bounds what it could be.
-const LONGEST: usize = 1 << 10;
+/// Longest endpoint id. An id is a few dozen bytes; discovery's longest line bounds what it could be.
+const MAX_ID_BYTES: usize = 1 << 10;
 
-/// An operator's word.
+/// A command from an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Word {
-    /// Takes this endpoint out of service.
+pub enum OperatorCommand {
+    /// Takes the endpoint with this id out of service.
     Enter(String),
-    /// It may serve again.
+    /// Returns the endpoint with this id to service.
     Exit(String),
-    /// Drains the sender.
+    /// Drains the sender: clients are sent elsewhere.
     Standby,
-    /// Takes clients again.
+    /// Ends the drain: clients are admitted again.
     Active,
 }
 
-/// A call at the second address.
+/// A request at the operators' address.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Asked {
+pub enum AdminRequest {
     Status,
-    Word(Word),
+    Command(OperatorCommand),
 }
 
-/// Why a call or a word is turned down.
+/// Why a request or a command is refused.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct No {
+pub struct Rejection {
     pub status: StatusCode,
     pub why: Cow<'static, str>,
-    /// The method that the path takes, where another was used.
+    /// The method that the path accepts, if the request used another one.
     pub allow: Option<&'static str>,
 }
 
-impl No {
+impl Rejection {
     pub fn new(status: StatusCode, why: impl Into<Cow<'static, str>>) -> Self {
         Self { status, why: why.into(), allow: None }
     }
 }
 
-/// Reads a call.
+/// Parses a request.
 ///
 /// # Errors
-/// No such call, or one that names no endpoint: with the status that says so.
-pub fn read(method: &Method, path: &str, query: Option<&str>) -> Result<Asked, No> {
+/// The path or the method is not supported, or the request names no endpoint.
+pub fn parse_request(method: &Method, path: &str, query: Option<&str>) -> Result<AdminRequest, Rejection> {
     let wanted = match path {
         "/status" => "GET",
         "/maintenance/enter" | "/maintenance/exit" | "/standby" | "/active" => "POST",
-        _ => return Err(No::new(StatusCode::NOT_FOUND, format!("there is no call {path}"))),
+        _ => return Err(Rejection::new(StatusCode::NOT_FOUND, format!("path {path} does not exist"))),
     };
     let fits = method.as_str() == wanted || (wanted == "GET" && method == Method::HEAD);
     if !fits {
-        let why = format!("{path} takes {wanted}");
-        return Err(No { allow: Some(wanted), ..No::new(StatusCode::METHOD_NOT_ALLOWED, why) });
+        let why = format!("{path} requires method {wanted}");
+        return Err(Rejection { allow: Some(wanted), ..Rejection::new(StatusCode::METHOD_NOT_ALLOWED, why) });
     }
     Ok(match path {
-        "/status" => Asked::Status,
-        "/maintenance/enter" => Asked::Word(Word::Enter(name(query)?)),
-        "/maintenance/exit" => Asked::Word(Word::Exit(name(query)?)),
-        "/standby" => Asked::Word(Word::Standby),
-        _ => Asked::Word(Word::Active),
+        "/status" => AdminRequest::Status,
+        "/maintenance/enter" => AdminRequest::Command(OperatorCommand::Enter(endpoint_name(query)?)),
+        "/maintenance/exit" => AdminRequest::Command(OperatorCommand::Exit(endpoint_name(query)?)),
+        "/standby" => AdminRequest::Command(OperatorCommand::Standby),
+        _ => AdminRequest::Command(OperatorCommand::Active),
     })
 }
 
-/// The one endpoint that a query names.
-fn name(query: Option<&str>) -> Result<String, No> {
-    let no = |why| Err(No::new(StatusCode::BAD_REQUEST, why));
+/// Returns the one endpoint that a query names.
+fn endpoint_name(query: Option<&str>) -> Result<String, Rejection> {
+    let reject = |why| Err(Rejection::new(StatusCode::BAD_REQUEST, why));
     let mut names = query.unwrap_or_default().split('&').filter_map(|part| part.strip_prefix("name="));
     let (first, second) = (names.next(), names.next());
-    let Some(name) = first else { return no("name=ID is missing: it names the endpoint") };
+    let Some(name) = first else { return reject("parameter name=ID is missing: it names the endpoint") };
     if second.is_some() {
-        return no("name= is there twice: one call is about one endpoint");
+        return reject("parameter name= is given twice: a request names one endpoint");
     }
-    match decoded(name) {
-        None => no("name= is no text in percent-encoded UTF-8"),
-        Some(name) if name.is_empty() => no("name= is empty"),
-        Some(name) if name.len() > LONGEST => no("name= is longer than any id"),
+    match percent_decode(name) {
+        None => reject("parameter name= is not percent-encoded UTF-8"),
+        Some(name) if name.is_empty() => reject("parameter name= is empty"),
+        Some(name) if name.len() > MAX_ID_BYTES => reject("parameter name= is longer than any endpoint id"),
         Some(name) => Ok(name),
     }
 }
 
-/// Undoes percent-encoding; `+` stands for itself, since ids are no form data.
-fn decoded(text: &str) -> Option<String> {
+/// Decodes percent-encoding. A `+` stands for itself, since ids are not form data.
+fn percent_decode(text: &str) -> Option<String> {
     let mut bytes = Vec::with_capacity(text.len());
     let mut rest = text.as_bytes();
     while let Some((&byte, after)) = rest.split_first() {
@@ -103,18 +103,21 @@
 mod tests {
     use super::*;
 
-    fn post(path: &str, query: Option<&str>) -> Result<Asked, u16> {
-        read(&Method::POST, path, query).map_err(|no| no.status.as_u16())
+    fn post(path: &str, query: Option<&str>) -> Result<AdminRequest, u16> {
+        parse_request(&Method::POST, path, query).map_err(|rejection| rejection.status.as_u16())
     }
 
     #[test]
-    fn each_call_is_read_and_what_is_no_call_is_told_so() {
-        assert_eq!(read(&Method::GET, "/status", None), Ok(Asked::Status));
-        assert_eq!(post("/standby", None), Ok(Asked::Word(Word::Standby)));
-        assert_eq!(post("/active", Some("now")), Ok(Asked::Word(Word::Active)));
-        assert_eq!(post("/maintenance/enter", Some("name=s-1")), Ok(Asked::Word(Word::Enter("s-1".into()))));
-        let odd = Ok(Asked::Word(Word::Exit("s 1+%".into())));
-        assert_eq!(post("/maintenance/exit", Some("x=1&name=s%201+%25&y")), odd);
+    fn valid_requests_are_parsed_and_invalid_ones_are_rejected_with_their_status() {
+        assert_eq!(parse_request(&Method::GET, "/status", None), Ok(AdminRequest::Status));
+        assert_eq!(post("/standby", None), Ok(AdminRequest::Command(OperatorCommand::Standby)));
+        assert_eq!(post("/active", Some("now")), Ok(AdminRequest::Command(OperatorCommand::Active)));
+        assert_eq!(
+            post("/maintenance/enter", Some("name=s-1")),
+            Ok(AdminRequest::Command(OperatorCommand::Enter("s-1".into())))
+        );
+        let encoded = Ok(AdminRequest::Command(OperatorCommand::Exit("s 1+%".into())));
+        assert_eq!(post("/maintenance/exit", Some("x=1&name=s%201+%25&y")), encoded);
         for (path, query, status) in [
             ("/", None, 404),
             ("/maintenance", Some("name=s-1"), 404),
@@ -129,9 +132,9 @@
         ] {
             assert_eq!(post(path, query), Err(status), "{path} {query:?}");
         }
-        let long = format!("name={}", "a".repeat(LONGEST + 1));
+        let long = format!("name={}", "a".repeat(MAX_ID_BYTES + 1));
         assert_eq!(post("/maintenance/enter", Some(&long)), Err(400));
-        let no = read(&Method::GET, "/standby", None).expect_err("a GET changes nothing");
-        assert_eq!((no.status.as_u16(), no.allow), (405, Some("POST")));
+        let rejection = parse_request(&Method::GET, "/standby", None).expect_err("a GET changes nothing");
+        assert_eq!((rejection.status.as_u16(), rejection.allow), (405, Some("POST")));
     }
 }
--- a/crates/daemon/src/operators.rs
+++ b/crates/daemon/src/operators.rs
@@ -1,4 +1,4 @@
-//! What operators ask and see.
+//! The operators' address and the flight recorder.
 
 pub mod admin;
-pub mod flight;
+pub mod flight_recorder;
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -1,11 +1,11 @@
-//! The operators' own address. Calls are read by `operations.rs` and answered by the node; here are only
-//! sockets, bounds and times.
+//! The server at the operators' address: sockets, limits and time-outs. `operations.rs` parses the requests,
+//! and the decision loop executes them.
 
 use crate::clients::admission::{Admission, DrainReason};
 use crate::copies::service::ReplicationService;
-use crate::input::{Input, Reply};
+use crate::input::{CommandReply, Input};
 use crate::io::ObservedStream;
-use crate::operations::{self, Asked, No, Word};
+use crate::operations::{self, AdminRequest, OperatorCommand, Rejection};
 use crate::platform::zone_monitor::ZoneMonitor;
 use crate::reasons::ReasonCounts;
 use crate::settings::descriptors::MAX_OPERATOR_CONNECTIONS;
@@ -28,192 +28,207 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// A head is a few hundred bytes.
-const HEAD: usize = 8 << 10;
-/// A call comes whole and its answer is read within this, or its connection ends.
-const WHOLE: Duration = Duration::from_secs(5);
-/// Answers are owed within a second: what the node has not answered by then is told so.
-const NODE_WITHIN: Duration = Duration::from_millis(700);
-const SAFE_WITHIN: Duration = Duration::from_millis(200);
-/// After `accept` failed, and while no place can be had.
-const AGAIN: Duration = Duration::from_millis(10);
-
-/// What the listener needs of the rest: nothing is there while the process starts, and after another has
-/// taken over.
-pub struct Admin {
-    desk: RefCell<Option<Rc<Desk>>>,
-    /// Connections at once. Who has sent no whole call gives way to the next.
-    most: Cell<usize>,
+/// Longest head of a request; usual ones are a few hundred bytes.
+const MAX_HEAD_BYTES: usize = 8 << 10;
+/// A connection is closed unless its request arrives and its response is read within this time.
+const CONNECTION_TIMEOUT: Duration = Duration::from_secs(5);
+/// A response has to follow within a second: if the decision loop has not executed a command within this
+/// time, the operator receives an error.
+const DECISION_WITHIN: Duration = Duration::from_millis(700);
+const DURABLE_WITHIN: Duration = Duration::from_millis(200);
+/// Delay after `accept` failed, and while all connections are in use.
+const RETRY_DELAY: Duration = Duration::from_millis(10);
+
+/// The state of the server. It refuses requests while the process starts, and once another one has taken
+/// over.
+pub struct AdminServer {
+    context: RefCell<Option<Rc<RequestContext>>>,
+    /// Limit of simultaneous connections. At the limit, one without a complete request is closed for the
+    /// next.
+    max_connections: Cell<usize>,
 }
 
-impl Default for Admin {
+impl Default for AdminServer {
     fn default() -> Self {
-        Self { desk: RefCell::default(), most: Cell::new(MAX_OPERATOR_CONNECTIONS) }
+        Self { context: RefCell::default(), max_connections: Cell::new(MAX_OPERATOR_CONNECTIONS) }
     }
 }
 
-/// What operators see of other parts.
+/// The parts whose state `/status` shows.
 #[derive(Default)]
-pub struct Shown {
+pub struct StatusSources {
     pub copies: Option<Rc<ReplicationService>>,
     pub zone_monitor: Option<Rc<ZoneMonitor>>,
     pub reasons: Rc<ReasonCounts>,
 }
 
-struct Desk {
+/// The parts that requests need.
+struct RequestContext {
     name: String,
     admission: Rc<Admission>,
     durability: Rc<DurabilityTracker>,
-    shown: Shown,
+    sources: StatusSources,
     inputs: UnboundedSender<Input>,
 }
 
-impl Admin {
-    /// Calls are answered from now on.
+impl AdminServer {
+    /// Starts answering requests.
     pub fn open(
         &self,
         name: &str,
         admission: &Rc<Admission>,
         durability: &Rc<DurabilityTracker>,
-        shown: Shown,
+        sources: StatusSources,
         inputs: &UnboundedSender<Input>,
     ) {
         let (admission, durability, inputs) = (admission.clone(), durability.clone(), inputs.clone());
         let name = name.to_owned();
-        *self.desk.borrow_mut() = Some(Rc::new(Desk { name, admission, durability, shown, inputs }));
+        *self.context.borrow_mut() =
+            Some(Rc::new(RequestContext { name, admission, durability, sources, inputs }));
     }
 
-    /// So many connections at once from now on.
-    pub fn limit(&self, most: usize) {
-        self.most.set(most);
+    /// Sets the limit of simultaneous connections.
+    pub fn limit(&self, max_connections: usize) {
+        self.max_connections.set(max_connections);
     }
 
+    /// Refuses requests from now on.
     pub fn close(&self) {
-        self.desk.borrow_mut().take();
+        self.context.borrow_mut().take();
     }
 
-    fn desk(&self) -> Result<Rc<Desk>, No> {
-        let no = "not ready for clients: this process starts, or another has taken over";
-        self.desk.borrow().clone().ok_or_else(|| No::new(StatusCode::SERVICE_UNAVAILABLE, no))
+    fn context(&self) -> Result<Rc<RequestContext>, Rejection> {
+        let why = "not ready for clients: this process is starting, or another one has taken over";
+        self.context.borrow().clone().ok_or_else(|| Rejection::new(StatusCode::SERVICE_UNAVAILABLE, why))
     }
 }
 
-/// A connection that has sent no whole call yet.
-struct Caller {
-    asked: Rc<Cell<bool>>,
+/// An open connection.
+struct AdminConnection {
+    /// It has sent a complete request.
+    has_request: Rc<Cell<bool>>,
     task: AbortHandle,
 }
 
-/// Accepts calls for as long as it runs.
-pub async fn serve(admin: Rc<Admin>, listener: Rc<dyn Listener>) {
-    let callers: Rc<RefCell<BTreeMap<u64, Caller>>> = Rc::default();
+/// Accepts connections until it is dropped.
+pub async fn serve(admin: Rc<AdminServer>, listener: Rc<dyn Listener>) {
+    let connections: Rc<RefCell<BTreeMap<u64, AdminConnection>>> = Rc::default();
     for number in 0.. {
         let stream = loop {
             match accept(&*listener).await {
                 Ok(stream) => break stream,
                 Err(e) => {
-                    tracing::warn!("operators' address: accept: {e}");
-                    tokio::time::sleep(AGAIN).await;
+                    tracing::warn!("operators' address: cannot accept a connection: {e}");
+                    tokio::time::sleep(RETRY_DELAY).await;
                 }
             }
         };
-        while callers.borrow().len() >= admin.most.get() && !give_way(&callers) {
-            tokio::time::sleep(AGAIN).await;
+        while connections.borrow().len() >= admin.max_connections.get() && !drop_oldest_idle(&connections) {
+            tokio::time::sleep(RETRY_DELAY).await;
         }
-        let (asked, admin, ended) = (Rc::new(Cell::new(false)), admin.clone(), callers.clone());
-        let heard = asked.clone();
+        let (has_request, admin, open) = (Rc::new(Cell::new(false)), admin.clone(), connections.clone());
+        let request_seen = has_request.clone();
         let task = tokio::task::spawn_local(async move {
-            let _ = timeout(WHOLE, connection(admin, stream, heard)).await;
-            ended.borrow_mut().remove(&number);
+            let _ = timeout(CONNECTION_TIMEOUT, connection(admin, stream, request_seen)).await;
+            open.borrow_mut().remove(&number);
         });
-        callers.borrow_mut().insert(number, Caller { asked, task: task.abort_handle() });
+        connections.borrow_mut().insert(number, AdminConnection { has_request, task: task.abort_handle() });
     }
 }
 
-/// Ends the oldest connection without a whole call; false where all are being answered.
-fn give_way(callers: &RefCell<BTreeMap<u64, Caller>>) -> bool {
-    let mut callers = callers.borrow_mut();
-    let Some(number) = callers.iter().find(|(_, c)| !c.asked.get()).map(|(&n, _)| n) else { return false };
-    callers.remove(&number).inspect(|c| c.task.abort());
+/// Closes the oldest connection without a complete request. Returns false if all have one.
+fn drop_oldest_idle(connections: &RefCell<BTreeMap<u64, AdminConnection>>) -> bool {
+    let mut connections = connections.borrow_mut();
+    let Some(number) = connections.iter().find(|(_, c)| !c.has_request.get()).map(|(&n, _)| n) else {
+        return false;
+    };
+    connections.remove(&number).inspect(|c| c.task.abort());
     true
 }
 
-async fn connection(admin: Rc<Admin>, stream: Rc<dyn Stream>, asked: Rc<Cell<bool>>) {
+async fn connection(admin: Rc<AdminServer>, stream: Rc<dyn Stream>, has_request: Rc<Cell<bool>>) {
     if stream.set_nodelay().is_err() {
         return;
     }
     let service = service_fn(|request| {
-        asked.set(true);
+        has_request.set(true);
         let admin = admin.clone();
         async move { Ok::<_, Infallible>(answer(&admin, &request).await) }
     });
     let served = http1::Builder::new()
         .keep_alive(false)
-        .max_buf_size(HEAD)
+        .max_buf_size(MAX_HEAD_BYTES)
         .serve_connection(ObservedStream::new(stream, ()), service);
     let _ = served.await;
 }
 
-async fn answer(admin: &Admin, request: &Request<Incoming>) -> Response<Full<Bytes>> {
+async fn answer(admin: &AdminServer, request: &Request<Incoming>) -> Response<Full<Bytes>> {
     let uri = request.uri();
-    let said = match operations::read(request.method(), uri.path(), uri.query()) {
-        Ok(Asked::Status) => admin.desk().map(|desk| status(&desk)),
-        Ok(Asked::Word(word)) => {
-            tracing::info!("operators: {word:?}");
-            match admin.desk() {
-                Ok(desk) => told(&desk, word).await,
-                Err(no) => Err(no),
+    let result = match operations::parse_request(request.method(), uri.path(), uri.query()) {
+        Ok(AdminRequest::Status) => admin.context().map(|context| status(&context)),
+        Ok(AdminRequest::Command(command)) => {
+            tracing::info!("operators: received command {command:?}");
+            match admin.context() {
+                Ok(context) => apply_command(&context, command).await,
+                Err(rejection) => Err(rejection),
             }
         }
-        Err(no) => Err(no),
+        Err(rejection) => Err(rejection),
     };
-    let (status, allow, body) = match said {
+    let (status, allow, body) = match result {
         Ok(body) => (StatusCode::OK, None, body),
-        Err(no) => (no.status, no.allow, serde_json::json!({ "ok": false, "why": no.why })),
+        Err(rejection) => {
+            (rejection.status, rejection.allow, serde_json::json!({ "ok": false, "why": rejection.why }))
+        }
     };
-    let mut answer = Response::new(Full::from(format!("{body}\n")));
-    *answer.status_mut() = status;
-    let headers = answer.headers_mut();
+    let mut response = Response::new(Full::from(format!("{body}\n")));
+    *response.status_mut() = status;
+    let headers = response.headers_mut();
     headers.insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     headers.insert(CONNECTION, HeaderValue::from_static("close"));
     if let Some(allow) = allow {
         headers.insert(ALLOW, HeaderValue::from_static(allow));
     }
-    answer
+    response
 }
 
-fn status(desk: &Desk) -> serde_json::Value {
-    let draining = |reason| desk.admission.is_draining(reason);
+fn status(context: &RequestContext) -> serde_json::Value {
+    let is_draining = |why| context.admission.is_draining(why);
     let state = match (
-        desk.admission.is_shutting_down.get(),
-        draining(DrainReason::Operators),
-        draining(DrainReason::Zone),
+        context.admission.is_shutting_down.get(),
+        is_draining(DrainReason::Operators),
+        is_draining(DrainReason::Zone),
     ) {
         (true, ..) => "ending",
         (_, true, _) => "standby",
         (_, _, true) => "gives way",
         _ => "active",
     };
-    let mut said = serde_json::json!({ "ok": true, "name": desk.name, "state": state });
-    said["reasons"] = desk.shown.reasons.to_json();
-    if let Some(copies) = &desk.shown.copies {
-        said["copies"] = copies.status();
+    let mut body = serde_json::json!({ "ok": true, "name": context.name, "state": state });
+    body["reasons"] = context.sources.reasons.to_json();
+    if let Some(copies) = &context.sources.copies {
+        body["copies"] = copies.status();
     }
-    if let Some(zone_monitor) = &desk.shown.zone_monitor {
-        said["zones"] = zone_monitor.status();
+    if let Some(zone_monitor) = &context.sources.zone_monitor {
+        body["zones"] = zone_monitor.status();
     }
-    said
+    body
 }
 
-/// Hands a word to the node. A yes is given once it holds, and lasts as long as the store promises.
-async fn told(desk: &Desk, word: Word) -> Result<serde_json::Value, No> {
-    let late =
-        || No::new(StatusCode::SERVICE_UNAVAILABLE, "the sender did not come to it in time; ask again");
-    let (reply, answered) = oneshot::channel();
-    let _ = desk.inputs.send(Input::OperatorCommand(word, Reply(reply)));
-    let done = timeout(NODE_WITHIN, answered).await.map_err(|_| late())?.map_err(|_| late())??;
-    if !desk.durability.wait_until_durable(&done.mark, SAFE_WITHIN).await {
-        return Err(late());
+/// Passes a command to the decision loop. It returns success once the command is in effect and as durable as
+/// the store is configured to be.
+async fn apply_command(
+    context: &RequestContext,
+    command: OperatorCommand,
+) -> Result<serde_json::Value, Rejection> {
+    let too_late =
+        || Rejection::new(StatusCode::SERVICE_UNAVAILABLE, "the sender did not execute it in time; retry");
+    let (reply, replied) = oneshot::channel();
+    let _ = context.inputs.send(Input::OperatorCommand(command, CommandReply(reply)));
+    let applied =
+        timeout(DECISION_WITHIN, replied).await.map_err(|_| too_late())?.map_err(|_| too_late())??;
+    if !context.durability.wait_until_durable(&applied.mark, DURABLE_WITHIN).await {
+        return Err(too_late());
     }
-    Ok(serde_json::json!({ "ok": true, "done": done.what }))
+    Ok(serde_json::json!({ "ok": true, "done": applied.description }))
 }
--- a/crates/daemon/src/operators/flight.rs
+++ b/crates/daemon/src/operators/flight_recorder.rs
@@ -1,4 +1,4 @@
-//! The flight recorder of this process: off, or beside the decisions.
+//! The flight recorder of this process, which records the policy's turns if it is switched on.
 
 use crate::settings::config::Config;
 use crate::settings::operator::{self, RecorderStore};
@@ -12,10 +12,11 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Dumps that are kept; the oldest gives way.
-const DUMPS: usize = 4;
+/// The number of dumps that are kept; the oldest is deleted for a new one.
+const MAX_DUMPS: usize = 4;
 
-pub struct Flight {
+/// The recorder, or nothing where it is switched off or has failed, and what dumps need.
+pub struct FlightRecorder {
     clock: Rc<dyn Clock>,
     recorder: RefCell<Option<Recorder>>,
     folder: PathBuf,
@@ -23,18 +24,18 @@
 }
 
 thread_local! {
-    /// What a panic of this thread leaves behind.
-    static AT_PANIC: RefCell<Option<Rc<Flight>>> = const { RefCell::new(None) };
+    /// The recorder that a panic of this thread dumps.
+    static AT_PANIC: RefCell<Option<Rc<FlightRecorder>>> = const { RefCell::new(None) };
 }
 
-impl Flight {
-    /// Begins to record if the operator wants it.
+impl FlightRecorder {
+    /// Starts recording if the operator has switched it on.
     pub fn open(
-        set: &operator::RecorderSettings,
+        settings: &operator::RecorderSettings,
         config: &Config,
         clock: Rc<dyn Clock>,
     ) -> Result<Rc<Self>, String> {
-        let folder = set.folder.clone().unwrap_or_default();
+        let folder = settings.folder.clone().unwrap_or_default();
         let flight = |recorder| {
             Rc::new(Self {
                 clock: clock.clone(),
@@ -44,32 +45,32 @@
             })
         };
         let fail = |e: &dyn std::fmt::Display| format!("recorder: {}: {e}", folder.display());
-        let (store, there): (Box<dyn notchpoint_recorder::store::Store>, _) = match set.store {
+        let (store, existing): (Box<dyn notchpoint_recorder::store::Store>, _) = match settings.store {
             RecorderStore::Off => return Ok(flight(None)),
             RecorderStore::Memory => {
                 fs::create_dir_all(&folder).map_err(|e| fail(&e))?;
                 (Box::new(Memory::default()), Vec::new())
             }
             RecorderStore::Folder => {
-                let (store, there) = Folder::open(&folder).map_err(|e| fail(&e))?;
-                (Box::new(store), there)
+                let (store, existing) = Folder::open(&folder).map_err(|e| fail(&e))?;
+                (Box::new(store), existing)
             }
         };
         let options = Options {
-            limit: set.limit_bytes(),
+            limit: settings.limit_bytes(),
             sender: config.name.clone(),
             classes: config.names.classes.clone(),
             settings: config.settings.clone(),
             seed: config.seed,
         };
-        let begun = Recorder::begin(options, store, &there, crate::input::CLOCK_START, clock.unix_now());
+        let begun = Recorder::begin(options, store, &existing, crate::input::CLOCK_START, clock.unix_now());
         let flight = flight(Some(begun.map_err(|e| fail(&e))?));
-        tracing::info!("{set}");
+        tracing::info!("{settings}");
         Ok(flight)
     }
 
-    /// Records a turn. Where it is off this is one look at a flag.
-    pub fn turn(&self, at: Micros, events: &[Event], actions: &[Action], after: &Sender) {
+    /// Records a turn. If the recorder is off, this only checks a flag.
+    pub fn record_turn(&self, at: Micros, events: &[Event], actions: &[Action], after: &Sender) {
         let mut recorder = self.recorder.borrow_mut();
         if let Some(r) = recorder.as_mut()
             && let Err(why) = r.turn(at, self.clock.unix_now(), events, actions, after)
@@ -78,8 +79,8 @@
         }
     }
 
-    /// What an endpoint is called.
-    pub fn name(&self, endpoint: EndpointId, name: &str) {
+    /// Records the name of an endpoint.
+    pub fn record_name(&self, endpoint: EndpointId, name: &str) {
         let mut recorder = self.recorder.borrow_mut();
         if let Some(r) = recorder.as_mut()
             && let Err(why) = r.name(endpoint, name)
@@ -88,37 +89,38 @@
         }
     }
 
-    /// The list has changed.
+    /// Forgets the names of endpoints that have left the list.
     pub fn keep_names(&self, listed: impl Fn(EndpointId) -> bool) {
         if let Some(r) = self.recorder.borrow_mut().as_mut() {
             r.keep_names(listed);
         }
     }
 
-    /// The sender matters more than its recording: one that cannot be written ends, and is said to.
+    /// Ends a recording that cannot be written, with a log line: the sender matters more than its recording.
     fn stop(&self, recorder: &mut Option<Recorder>, why: &recorder::Error) {
         tracing::warn!("recorder: {}: {why}; recording ends", self.folder.display());
         *recorder = None;
     }
 
-    /// Ends the recording: another process goes on in the same folder.
+    /// Ends the recording, so that another process can go on in the same folder.
     pub fn close(&self) {
         self.recorder.borrow_mut().take();
     }
 
-    /// Writes all that is recorded to a file of its own; none where it is off.
+    /// Writes all that is recorded to a new file and returns its path; `None` if the recorder is off.
     pub fn dump(&self) -> io::Result<Option<PathBuf>> {
-        // A panic while a turn is recorded finds it in use; the whole records before it are in the store.
+        // During a panic while a turn is being recorded the recorder is in use; the complete records before
+        // it are in the recorder's store.
         let Ok(recorder) = self.recorder.try_borrow() else { return Ok(None) };
         let Some(recorder) = recorder.as_ref() else { return Ok(None) };
         let mut old: Vec<PathBuf> = fs::read_dir(&self.folder)?.flatten().map(|e| e.path()).collect();
-        let dump = |p: &PathBuf| {
+        let is_dump = |p: &PathBuf| {
             let name = p.file_name().and_then(|n| n.to_str()).unwrap_or_default();
             name.starts_with("dump-") && name.ends_with(".nptrec")
         };
-        old.retain(dump);
+        old.retain(is_dump);
         old.sort();
-        for path in old.iter().take((old.len() + 1).saturating_sub(DUMPS)) {
+        for path in old.iter().take((old.len() + 1).saturating_sub(MAX_DUMPS)) {
             fs::remove_file(path)?;
         }
         self.dumps.set(self.dumps.get() + 1);
@@ -138,8 +140,8 @@
         Ok(Some(path))
     }
 
-    /// From now on a panic leaves a dump.
-    pub fn watch_panics(self: &Rc<Self>) {
+    /// Makes a panic of this thread write a dump.
+    pub fn dump_on_panic(self: &Rc<Self>) {
         if self.recorder.borrow().is_none() {
             return;
         }
@@ -150,7 +152,7 @@
             let flight = AT_PANIC.try_with(|f| f.try_borrow().ok().and_then(|f| f.clone())).ok().flatten();
             match flight.map(|f| f.dump()) {
                 Some(Ok(Some(path))) => tracing::warn!("recording written to {}", path.display()),
-                Some(Err(why)) => tracing::warn!("the recording could not be written: {why}"),
+                Some(Err(why)) => tracing::warn!("recording could not be written: {why}"),
                 _ => {}
             }
         }));
@@ -164,7 +166,7 @@
     use notchpoint_seam::system::SystemClock;
 
     #[test]
-    fn a_panic_leaves_what_was_recorded() {
+    fn a_panic_dumps_the_recording() {
         let folder = tempfile::tempdir().expect("a folder");
         let set = operator::RecorderSettings {
             store: RecorderStore::Memory,
@@ -172,17 +174,17 @@
             limit_mb: 1.0,
         };
         let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
-        let flight = Flight::open(&set, &config, Rc::new(SystemClock)).expect("begun");
-        flight.watch_panics();
+        let flight = FlightRecorder::open(&set, &config, Rc::new(SystemClock)).expect("begun");
+        flight.dump_on_panic();
         let mut sender = Sender::new(config.settings.clone(), config.seed).expect("sound");
         let mut actions = Vec::new();
         for n in 0..10u64 {
             let at = crate::input::CLOCK_START + n;
             actions.clear();
             sender.handle(at, &[Event::Wake], &mut actions);
-            flight.turn(at, &[Event::Wake], &actions, &sender);
+            flight.record_turn(at, &[Event::Wake], &actions, &sender);
         }
-        assert!(std::panic::catch_unwind(|| panic!("a fault of ours")).is_err());
+        assert!(std::panic::catch_unwind(|| panic!("a fault in the sender")).is_err());
         let dumps: Vec<PathBuf> =
             fs::read_dir(folder.path()).expect("read").flatten().map(|e| e.path()).collect();
         assert_eq!(dumps.len(), 1, "{dumps:?}");
@@ -192,7 +194,7 @@
     }
 
     #[test]
-    fn a_recording_that_cannot_be_written_ends_and_the_turns_go_on() {
+    fn a_recording_that_cannot_be_written_ends_and_turns_continue() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("recording");
         let set = operator::RecorderSettings {
@@ -201,17 +203,17 @@
             limit_mb: 0.25,
         };
         let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
-        let flight = Flight::open(&set, &config, Rc::new(SystemClock)).expect("begun");
-        // The folder is taken away: the next segment cannot be begun.
+        let flight = FlightRecorder::open(&set, &config, Rc::new(SystemClock)).expect("begun");
+        // Without the folder the next segment cannot be created.
         fs::remove_dir_all(&path).expect("removed");
         let mut sender = Sender::new(config.settings.clone(), config.seed).expect("sound");
         let lines = vec![Action::Log("a line that takes room".repeat(100))];
         for n in 0..200u64 {
             let at = crate::input::CLOCK_START + n;
             sender.handle(at, &[Event::Wake], &mut Vec::new());
-            flight.turn(at, &[Event::Wake], &lines, &sender);
+            flight.record_turn(at, &[Event::Wake], &lines, &sender);
         }
-        assert!(flight.recorder.borrow().is_none(), "it goes on into nowhere");
+        assert!(flight.recorder.borrow().is_none(), "recording continues without its folder");
         assert!(flight.dump().is_ok_and(|d| d.is_none()));
     }
 }
--- a/crates/daemon/src/reasons.rs
+++ b/crates/daemon/src/reasons.rs
@@ -1,48 +1,48 @@
-//! Why requests are refused, connections end, attempts end and messages are given up: closed sets of reasons,
-//! counted, so that operators see which of them it was.
+//! Counts, by reason, how often requests are refused, connections end, attempts end and messages are given
+//! up. The sets of reasons are closed, and operators see the counts by `/status`.
 
 use crate::state::journal::Verdict;
 use notchpoint_policy::Outcome;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 
-/// Why a request is answered 503, or with an error.
+/// Why a request is answered with 503 or another error.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Refusal {
-    /// The process ends.
+    /// The process is shutting down.
     ShuttingDown,
-    /// No list has named its destination lately.
+    /// No recent list has named its destination.
     UnknownDestination,
-    /// As many messages are held as may be, its time is up, or the folder takes nothing.
+    /// The limit of held messages is reached, its deadline has passed, or the store accepts no records.
     NoRoom,
-    /// As many bodies are being read as may be.
+    /// The limit for bodies that are being read is reached.
     BodiesFull,
-    /// Its record was not safe in time, and was taken back.
+    /// Its record was not durable in time and was withdrawn.
     NotDurable,
-    /// Its record was not safe in time, and could not be taken back.
+    /// Its record was not durable in time and could not be withdrawn.
     NotWithdrawn,
-    /// The process that has taken over refused it.
+    /// The successor process refused it.
     Successor,
-    /// It is malformed, its id is in use, or its method or path is none.
+    /// It is malformed, its id is in use, or its method or path does not exist.
     Invalid,
 }
 
 /// Why a client's connection ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Close {
-    /// The client ended it, it broke, or its last answer said so.
+    /// The client closed it, it broke, or its last response closed it.
     Finished,
-    /// Its time was up: nothing came, or no whole request.
+    /// It timed out: nothing arrived, or no complete request.
     TimedOut,
-    /// Its place was wanted by another.
+    /// Its connection slot was needed for another client.
     PlaceWanted,
-    /// The process ends, or is drained, and nothing was open on it.
+    /// The process is shutting down or drained, and no request was open on it.
     Drained,
 }
 
 type Counts<K> = RefCell<BTreeMap<K, u64>>;
 
-/// How often what happened for which reason, since the start.
+/// Counts by reason since the process started.
 #[derive(Debug, Default)]
 pub struct ReasonCounts {
     refusals: Counts<Refusal>,
@@ -56,39 +56,39 @@
 }
 
 impl ReasonCounts {
-    /// A request was refused.
+    /// Counts a refused request.
     pub fn count_refusal(&self, why: Refusal) {
         count(&self.refusals, why);
     }
 
-    /// A client's connection ended.
+    /// Counts the end of a client's connection.
     pub fn count_close(&self, why: Close) {
         count(&self.closes, why);
     }
 
-    /// An attempt ended.
+    /// Counts the end of an attempt.
     pub fn count_attempt(&self, outcome: Outcome) {
         count(&self.attempts, outcome_name(outcome));
     }
 
-    /// A message was given up.
+    /// Counts a message that was given up.
     pub fn count_notice(&self, verdict: Verdict) {
         let name = if verdict == Verdict::Dead { "Dead" } else { "Bounced" };
         count(&self.notices, name);
     }
 
-    /// All counts, as operators see them.
+    /// Returns all counts in the form of `/status`.
     pub fn to_json(&self) -> serde_json::Value {
         serde_json::json!({
-            "refusals": named(&self.refusals),
-            "closes": named(&self.closes),
+            "refusals": counts_by_name(&self.refusals),
+            "closes": counts_by_name(&self.closes),
             "attempts": &*self.attempts.borrow(),
             "notices": &*self.notices.borrow(),
         })
     }
 }
 
-fn named<K: std::fmt::Debug>(counts: &Counts<K>) -> BTreeMap<String, u64> {
+fn counts_by_name<K: std::fmt::Debug>(counts: &Counts<K>) -> BTreeMap<String, u64> {
     counts.borrow().iter().map(|(key, count)| (format!("{key:?}"), *count)).collect()
 }
 
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -1,17 +1,19 @@
-//! One real sender: its parts, its start and its end.
+//! Start, sessions and shutdown of one sender process.
 
-use crate::calls::{Calls, End};
+use crate::calls::{AttemptEnd, Calls};
 use crate::clients::accept_queue::AcceptQueue;
 use crate::clients::admission::{Admission, FRONT_DRAIN_TIME};
 use crate::clients::inbound::Inbound;
 use crate::copies::service::ReplicationService;
 use crate::decision_loop::{Components, DecisionLoop};
-use crate::handover::protocol::{ForwardResult, Frame, Next, State, after_silence, told};
+use crate::handover::protocol::{
+    AfterDisconnect, ForwardResult, Frame, HandoverState, after_disconnect, frame_for,
+};
 use crate::handover::successor::Successor;
-use crate::handover::transport::{self, Ends, Found};
+use crate::handover::transport::{self, FrameChannel, HandoverReply};
 use crate::input::Input;
-use crate::operators::admin::{self, Admin, Shown};
-use crate::operators::flight::Flight;
+use crate::operators::admin::{self, AdminServer, StatusSources};
+use crate::operators::flight_recorder::FlightRecorder;
 use crate::platform::discovery::Discovery;
 use crate::platform::peers::Peers;
 use crate::platform::reports::Reports;
@@ -41,42 +43,44 @@
 use tokio::task::JoinHandle;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-/// After SIGTERM: until then calls are started: what starts later may not end in time, and may then not be
-/// repeated.
-const SENDING: Duration = Duration::from_millis(2_200);
-/// Then the process ends, whatever is still out.
-const LAST: Duration = Duration::from_millis(3_300);
-/// For so long nobody has been inside: the queue of connections is empty too.
-const QUEUE: Duration = Duration::from_millis(50);
-/// How often it is looked whether all has ended.
-const LOOK: Duration = Duration::from_millis(10);
-
-/// Senders that keep copies know this one within this, or it begins without them: until they do, it promises
-/// nothing.
-const KNOWN: Duration = Duration::from_secs(1);
-const KNOWN_AGAIN: Duration = Duration::from_millis(100);
-/// The last word to the new process is written within this.
-const WRITTEN: Duration = Duration::from_millis(200);
-/// A configuration that could not be read is tried again after this.
-const READ_AGAIN: Duration = Duration::from_millis(100);
-/// The place where the next process asks is tried again after this.
-const PLACE_AGAIN: Duration = Duration::from_secs(1);
-/// Mistakes in a configuration that are told one by one.
-const MISTAKES: usize = 20;
+/// Time after SIGTERM in which calls are still started. A call that starts later may not end in time, and
+/// some messages must not be repeated then.
+const START_CALLS_FOR: Duration = Duration::from_millis(2_200);
+/// Time after SIGTERM at which the process ends, even if calls are still in progress.
+const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(3_300);
+/// Once no connection has been open for this time, the accept queue is empty, too.
+const QUEUE_QUIET_TIME: Duration = Duration::from_millis(50);
+/// Interval of the checks whether everything has ended.
+const POLL_INTERVAL: Duration = Duration::from_millis(10);
+
+/// The replicas have to know this sender within this time, or it starts without them. Until they do, it
+/// acknowledges nothing.
+const REPLICAS_TIMEOUT: Duration = Duration::from_secs(1);
+/// The same when the process takes over, while clients are already waiting.
+const REPLICAS_TIMEOUT_AT_TAKEOVER: Duration = Duration::from_millis(100);
+/// Time to write the last frames to the successor.
+const FINAL_WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// Interval of the retries to read the configuration.
+const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(100);
+/// Interval of the retries to open the socket for hand-overs.
+const SOCKET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
+/// Limit of the mistakes in a configuration that are logged.
+const MAX_LOGGED_MISTAKES: usize = 20;
 
 pub type Failure = Box<dyn std::error::Error>;
 
-/// What a sender needs, from the environment that the platform gives it.
+/// Builds the environment of a sender from the environment variables that the platform sets.
 ///
 /// # Errors
 /// A variable is missing, or signals cannot be watched.
-pub fn surroundings() -> Result<Environment, Failure> {
+pub fn environment_from_variables() -> Result<Environment, Failure> {
     let variable =
         |name: &str| std::env::var_os(name).map(PathBuf::from).ok_or_else(|| format!("{name} is not set"));
-    let within = std::env::var_os("TMPDIR").map(PathBuf::from);
+    let local_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
     let (state, config) = (variable("BALANCER_STATE")?, variable("BALANCER_CONFIG")?);
-    // Before anything else is opened: a number that is free by mistake is not taken for the socket.
-    let accept = match std::env::var("BALANCER_ACCEPT_FD").ok().filter(|n| !n.is_empty()) {
+    // Checked before anything else is opened: otherwise a file that is opened here could get a number that
+    // was not open at the start, and pass for the socket.
+    let client_listener = match std::env::var("BALANCER_ACCEPT_FD").ok().filter(|n| !n.is_empty()) {
         Some(number) => Some(
             (number.parse().map_err(|e: std::num::ParseIntError| e.to_string()))
                 .and_then(|n| notchpoint_seam::system::inherited_listener(n).map_err(|e| e.to_string()))
@@ -84,231 +88,252 @@
         ),
         None => None,
     };
-    let world = notchpoint_seam::system::environment(&state, config, within)?;
-    let admin = std::env::var("BALANCER_ADMIN_ADDR").ok().filter(|a| !a.is_empty());
-    let admin = admin.map(|a| a.parse().map_err(|e| format!("BALANCER_ADMIN_ADDR: {a}: {e}"))).transpose()?;
-    Ok(Environment { admin_addr: admin, client_listener: accept, ..world })
+    let environment = notchpoint_seam::system::environment(&state, config, local_dir)?;
+    let admin_addr = std::env::var("BALANCER_ADMIN_ADDR").ok().filter(|a| !a.is_empty());
+    let admin_addr =
+        admin_addr.map(|a| a.parse().map_err(|e| format!("BALANCER_ADMIN_ADDR: {a}: {e}"))).transpose()?;
+    Ok(Environment { admin_addr, client_listener, ..environment })
 }
 
-/// Runs one sender until it is told to end. It belongs inside a `LocalSet`.
+/// Runs one sender until it is asked to end. It has to run inside a `LocalSet`.
 ///
 /// # Errors
-/// Why it could not start.
-pub async fn run(world: Environment, operator: OperatorSettings) -> Result<(), Failure> {
-    let Environment { net, clock, disk, signals, config: source, admin_addr, client_listener: accept } =
-        world;
-    let operators = Rc::new(Admin::default());
-    let told = Rc::new(Told { operator: operator.clone(), ..Told::default() });
+/// The sender could not start.
+pub async fn run(environment: Environment, operator: OperatorSettings) -> Result<(), Failure> {
+    let Environment { net, clock, disk, signals, config: source, admin_addr, client_listener } = environment;
+    let operators = Rc::new(AdminServer::default());
+    let signal_handler = Rc::new(SignalHandler { operator: operator.clone(), ..SignalHandler::default() });
     let source = Rc::new(source);
-    tokio::task::spawn_local(told.clone().heed(signals, source.clone()));
-    let trouble = RateLimitedWarning::default();
-    let fixed = Fixed { net, clock, disk, accept, operator, operators, told, trouble };
-    let own = match fixed.patiently("the configuration", || source()).await {
+    tokio::task::spawn_local(signal_handler.clone().run(signals, source.clone()));
+    let warnings = RateLimitedWarning::default();
+    let process =
+        Process { net, clock, disk, client_listener, operator, operators, signal_handler, warnings };
+    let own_config = match process.run_with_retries("configuration", || source()).await {
         Ok(None) => return Ok(()),
         Ok(Some(text)) => crate::settings::config::read(&text).map(|c| (c, text)).map_err(Failure::from),
         Err(why) => Err(why.into()),
     };
-    // Before anything else: operators are told that it starts while it does.
-    let mut admin = admin_addr.or(own.as_ref().ok().and_then(|(config, _)| config.admin_addr));
-    let known = admin.is_some();
-    if let Some(address) = admin
-        && !fixed.listen_for_operators(address).await?
+    // The operators' address is opened first, so that operators can see that the process is starting.
+    let mut admin_addr = admin_addr.or(own_config.as_ref().ok().and_then(|(config, _)| config.admin_addr));
+    let is_admin_known = admin_addr.is_some();
+    if let Some(address) = admin_addr
+        && !process.listen_for_operators(address).await?
     {
         return Ok(());
     }
-    let mut before = Before::Nobody;
-    if fixed.accept.is_some() {
-        before = fixed.ask().await;
+    let mut start_from = StartFrom::Store;
+    if process.client_listener.is_some() {
+        start_from = process.request_handover().await;
     }
-    let mut own = Some(own);
+    let mut own_config = Some(own_config);
     loop {
-        let (config, text) = match (&before, own.take()) {
-            // What is in force there; whether the file says something else is looked at afterwards.
-            (Before::Given(state, _), _) => (crate::settings::config::read(&state.text)?, state.text.clone()),
-            (_, Some(own)) => own?,
+        let (config, text) = match (&start_from, own_config.take()) {
+            // The predecessor's configuration is in force; whether the file differs is checked afterwards.
+            (StartFrom::Handover(state, _), _) => {
+                (crate::settings::config::read(&state.config_text)?, state.config_text.clone())
+            }
+            (_, Some(own_config)) => own_config?,
             (_, None) => {
-                let text = fixed.told.text();
+                let text = process.signal_handler.config_text();
                 (crate::settings::config::read(&text)?, text)
             }
         };
-        // Where the file cannot be read just now, the address stands in what the other process had in force.
-        if let Some(address) = config.admin_addr.filter(|_| !known && admin.is_none()) {
-            admin = Some(address);
-            if !fixed.listen_for_operators(address).await? {
+        // If the file could not be read, the address comes from the predecessor's configuration.
+        if let Some(address) = config.admin_addr.filter(|_| !is_admin_known && admin_addr.is_none()) {
+            admin_addr = Some(address);
+            if !process.listen_for_operators(address).await? {
                 return Ok(());
             }
         }
-        match fixed.live(config, text, before, &source).await? {
-            Some(next) => before = next,
+        match process.run_session(config, text, start_from, &source).await? {
+            Some(next) => start_from = next,
             None => return Ok(()),
         }
     }
 }
 
-/// Who served before.
-enum Before {
-    Nobody,
-    /// Another process, which gave its state.
-    Given(Box<State>, Ends),
-    /// What is left of this process's own earlier life, beside the folder.
-    Rest(Ends, Left),
+/// What a session starts from.
+enum StartFrom {
+    /// The store alone.
+    Store,
+    /// The state of a predecessor. It may be an earlier session of this process.
+    Handover(Box<HandoverState>, FrameChannel),
+    /// The store, after an earlier session of this process had handed over; some of its messages are still
+    /// open there.
+    StoreAfterHandover(FrameChannel, OpenElsewhere),
 }
 
-/// Messages of which something is still open in an earlier life of this process.
+/// Messages that are still open in an earlier session of this process.
 #[derive(Default)]
-struct Left {
-    /// A call is out there.
-    out: BTreeSet<MessageId>,
-    /// Their clients have not heard yet that they were taken on.
-    unheard: BTreeSet<MessageId>,
+struct OpenElsewhere {
+    /// They have an attempt in flight there.
+    attempts: BTreeSet<MessageId>,
+    /// Their clients have not received the acknowledgement yet.
+    unacknowledged: BTreeSet<MessageId>,
 }
 
-/// What lasts as long as the process, however often it takes over.
-struct Fixed {
+/// What stays the same for the whole process, over all of its sessions.
+struct Process {
     net: Rc<dyn Network>,
     clock: Rc<dyn Clock>,
     disk: Rc<dyn Disk>,
-    accept: Option<Rc<dyn Listener>>,
+    client_listener: Option<Rc<dyn Listener>>,
     operator: OperatorSettings,
-    operators: Rc<Admin>,
-    told: Rc<Told>,
-    /// What fails while it starts.
-    trouble: RateLimitedWarning,
+    operators: Rc<AdminServer>,
+    signal_handler: Rc<SignalHandler>,
+    /// Warnings about failures during the start.
+    warnings: RateLimitedWarning,
 }
 
-impl Fixed {
-    /// Does one step of the start; gives nothing where the process is told to end meanwhile.
-    async fn patiently<T>(&self, what: &str, step: impl FnMut() -> io::Result<T>) -> io::Result<Option<T>> {
-        startup::patiently(&self.trouble, &self.told.terminate, what, step).await
+impl Process {
+    /// Runs one start-up step with retries; returns `None` if the process is asked to end meanwhile.
+    async fn run_with_retries<T>(
+        &self,
+        what: &str,
+        step: impl FnMut() -> io::Result<T>,
+    ) -> io::Result<Option<T>> {
+        startup::run_with_retries(&self.warnings, &self.signal_handler.terminate, what, step).await
     }
 
-    /// Opens the operators' address. Whether to go on: not where the process is told to end meanwhile.
+    /// Opens the operators' address. Returns false if the process is asked to end meanwhile.
     async fn listen_for_operators(&self, address: SocketAddr) -> Result<bool, Failure> {
         let what = format!("operators' address (admin_addr) {address}");
-        let opened = self.patiently(&what, || self.net.listen(address)).await;
+        let opened = self.run_with_retries(&what, || self.net.listen(address)).await;
         let Some(listener) = opened.map_err(|e| format!("{what}: {e}"))? else { return Ok(false) };
         tracing::info!("operators at {}", listener.local_addr()?);
         tokio::task::spawn_local(admin::serve(self.operators.clone(), listener));
         Ok(true)
     }
 
-    /// Opens the place where the next process asks this one to hand over; tried again where it cannot be had.
-    fn place_for_hand_over(&self) -> Option<Rc<dyn Listener>> {
-        let place = self.net.listen_local(transport::PLACE);
-        place.inspect_err(|e| self.trouble.warn(&format_args!("no hand-over is possible yet: {e}"))).ok()
+    /// Opens the socket on which a successor requests the hand-over. The caller retries after a failure.
+    fn listen_for_handover(&self) -> Option<Rc<dyn Listener>> {
+        let socket = self.net.listen_local(transport::SOCKET_NAME);
+        socket
+            .inspect_err(|e| self.warnings.warn(&format_args!("hand-over: cannot open its socket: {e}")))
+            .ok()
     }
 
-    /// Asks who serves to hand over.
-    async fn ask(&self) -> Before {
-        match transport::ask(&*self.net).await {
-            Found::Nobody => Before::Nobody,
-            Found::Refused(why) => {
+    /// Asks the process that serves, if there is one, to hand over.
+    async fn request_handover(&self) -> StartFrom {
+        match transport::request_handover(&*self.net).await {
+            HandoverReply::NoPredecessor => StartFrom::Store,
+            HandoverReply::Refused(why) => {
                 tracing::warn!("hand-over: {why}; waiting for the store");
-                Before::Nobody
+                StartFrom::Store
             }
-            Found::State(state, ends) => {
-                tracing::info!("hand-over: {} attempts are out there", state.out.len());
-                Before::Given(state, ends)
+            HandoverReply::State(state, channel) => {
+                tracing::info!(
+                    "hand-over: {} attempts are in flight at the predecessor",
+                    state.attempts_in_flight.len()
+                );
+                StartFrom::Handover(state, channel)
             }
         }
     }
 
-    /// Opens the store. Where processes may take turns it waits for the one that has it, and goes on asking
-    /// that one to hand over; none where this one was told to end meanwhile.
-    async fn open(
+    /// Opens the store. Where one process may take over from another, it waits for the one that owns the
+    /// store and keeps requesting the hand-over. Returns `None` if this process is asked to end meanwhile.
+    async fn open_store(
         &self,
         options: notchpoint_store::Options,
-        before: &mut Before,
+        start_from: &mut StartFrom,
     ) -> Result<Option<(Journal, notchpoint_store::Notes)>, Failure> {
-        let (mut said, begun) = (false, Instant::now());
+        let (mut is_logged, begun) = (false, Instant::now());
         loop {
             match Journal::open(self.disk.clone(), self.clock.clone(), options.clone()) {
                 Ok(opened) => return Ok(Some(opened)),
                 Err(notchpoint_store::Error::Io(e))
-                    if e.kind() == ErrorKind::WouldBlock && self.accept.is_some() =>
+                    if e.kind() == ErrorKind::WouldBlock && self.client_listener.is_some() =>
                 {
-                    if !std::mem::replace(&mut said, true) {
+                    if !std::mem::replace(&mut is_logged, true) {
                         tracing::info!("waiting: {e}");
                     }
                 }
-                Err(notchpoint_store::Error::Io(e)) if startup::may_pass(&e, begun) => {
-                    self.trouble.warn(&format_args!("the folder cannot be opened yet: {e}"));
+                Err(notchpoint_store::Error::Io(e)) if startup::should_retry(&e, begun) => {
+                    self.warnings.warn(&format_args!("the store's folder cannot be opened yet: {e}"));
                 }
                 Err(e) => return Err(storage::describe_open_error(e)),
             }
-            if !startup::rest(&self.told.terminate).await {
+            if !startup::wait_before_retry(&self.signal_handler.terminate).await {
                 return Ok(None);
             }
-            // One that had given its store away and finds yet another owner asks for nothing: it would take
-            // the store from a process that is newer.
-            if matches!(before, Before::Nobody) {
-                *before = self.ask().await;
+            // A process that has handed its store over and finds another owner does not request a hand-over:
+            // it would take the store from a newer process.
+            if matches!(start_from, StartFrom::Store) {
+                *start_from = self.request_handover().await;
             }
         }
     }
 
-    /// Takes up copies, where operators want any, and waits until others know this sender.
-    async fn copies(
+    /// Starts replication if it is configured, and waits until the replicas know this sender.
+    async fn start_copies(
         &self,
         config: &Config,
         journal: &Rc<RefCell<Journal>>,
         durability: &Rc<DurabilityTracker>,
-        terms: &Rc<RefCell<ActiveSettings>>,
+        active_settings: &Rc<RefCell<ActiveSettings>>,
         inputs: &UnboundedSender<Input>,
-        before: &Before,
+        start_from: &StartFrom,
     ) -> Result<Option<Rc<ReplicationService>>, Failure> {
         let Some(set) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let careful = |open: &OpenMessage| terms.borrow().is_unsafe_to_repeat(&open.class);
+        let careful = |open: &OpenMessage| active_settings.borrow().is_unsafe_to_repeat(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
         let copies =
             ReplicationService::open(set, config, net, journal, durability, inputs.clone(), careful)?;
         copies.listen(set.listen)?;
-        // Where clients wait already, they wait no longer than for a slow disk.
-        let taking_over = !matches!(before, Before::Nobody);
-        copies.wait_until_ready(if taking_over { KNOWN_AGAIN } else { KNOWN }).await;
+        // When clients are waiting already, the delay is kept as short as that of a slow disk.
+        let is_taking_over = !matches!(start_from, StartFrom::Store);
+        copies
+            .wait_until_ready(if is_taking_over { REPLICAS_TIMEOUT_AT_TAKEOVER } else { REPLICAS_TIMEOUT })
+            .await;
         Ok(Some(copies))
     }
 
-    /// How long ago nobody waited at the clients' socket. One that is opened here has nobody yet; of one that
-    /// the platform holds only the process that served before may know.
-    fn queue_seen_empty(&self, before: &Before, journal: &Journal) -> Option<Duration> {
-        match before {
-            _ if self.accept.is_none() => Some(Duration::ZERO),
-            Before::Given(state, _) => {
-                let gap = journal.unix_now().saturating_sub(state.unix);
+    /// How long ago the accept queue of the clients' socket was empty, if that is known. The queue of a
+    /// socket that this process opens is empty; about the queue of one that the platform passed in, only the
+    /// predecessor may know.
+    fn queue_seen_empty(&self, start_from: &StartFrom, journal: &Journal) -> Option<Duration> {
+        match start_from {
+            _ if self.client_listener.is_none() => Some(Duration::ZERO),
+            StartFrom::Handover(state, _) => {
+                let gap = journal.unix_now().saturating_sub(state.unix_time);
                 state.queue_seen_empty.map(|ago| Duration::from_micros(ago + gap))
             }
-            Before::Nobody | Before::Rest(..) => None,
+            StartFrom::Store | StartFrom::StoreAfterHandover(..) => None,
         }
     }
 
-    /// One life: from the store's opening until the end, or until another process that had taken over falls
-    /// silent.
-    async fn live(
+    /// Runs one session: from opening the store until the process ends or has handed over. Returns what the
+    /// next session starts from if the successor has ended before this process.
+    async fn run_session(
         &self,
         mut config: Config,
         mut text: String,
-        mut before: Before,
+        mut start_from: StartFrom,
         source: &Rc<ConfigSource>,
-    ) -> Result<Option<Before>, Failure> {
+    ) -> Result<Option<StartFrom>, Failure> {
         let options = storage::options(&config, &self.operator.store);
-        let Some((journal, notes)) = self.open(options, &mut before).await? else { return Ok(None) };
+        let Some((journal, notes)) = self.open_store(options, &mut start_from).await? else {
+            return Ok(None);
+        };
         tracing::info!("journal: {notes}");
-        if let Before::Given(state, ends) = &before {
-            let _ = ends.to.send(Frame::Owned);
-            (config, text) = (crate::settings::config::read(&state.text)?, state.text.clone());
+        if let StartFrom::Handover(state, channel) = &start_from {
+            let _ = channel.outgoing.send(Frame::Owned);
+            (config, text) = (crate::settings::config::read(&state.config_text)?, state.config_text.clone());
         }
         let descriptors = DescriptorBudget::new(&config);
-        if let Some(doubt) = descriptors.warning(&config) {
-            tracing::warn!("{doubt}: {}", descriptors.describe(&config));
+        if let Some(warning) = descriptors.warning(&config) {
+            tracing::warn!("{warning}: {}", descriptors.describe(&config));
         }
         self.operators.limit(descriptors.operator_connections);
         let journal = Rc::new(RefCell::new(journal));
-        let terms = Rc::new(RefCell::new(terms(&config, &before, &mut journal.borrow_mut())));
+        let active_settings =
+            Rc::new(RefCell::new(initial_settings(&config, &start_from, &mut journal.borrow_mut())));
         let durability = DurabilityTracker::new(journal.clone());
         tokio::task::spawn_local(pending_writes::retry_pending_writes(Rc::downgrade(&journal)));
         let (inputs, received) = unbounded_channel();
-        let copies = self.copies(&config, &journal, &durability, &terms, &inputs, &before).await?;
+        let copies =
+            self.start_copies(&config, &journal, &durability, &active_settings, &inputs, &start_from).await?;
         let calls = Calls::new(
             &config,
             self.net.clone(),
@@ -318,21 +343,21 @@
             inputs.clone(),
         );
         let reports = Reports::new(config.discovery_addr, self.net.clone(), journal.clone());
-        let revision = match &before {
-            Before::Given(state, _) => state.revision,
+        let revision = match &start_from {
+            StartFrom::Handover(state, _) => state.revision,
             _ => config.initial_list.revision,
         };
         let discovery = Discovery::new(config.discovery_addr, revision, self.net.clone(), inputs.clone());
         let discovery = Rc::new(discovery);
-        let flight = Flight::open(&self.operator.recorder, &config, self.clock.clone())?;
-        flight.watch_panics();
+        let flight = FlightRecorder::open(&self.operator.recorder, &config, self.clock.clone())?;
+        flight.dump_on_panic();
         let admission = Rc::new(Admission::default());
         let zone_monitor = ZoneMonitor::from_settings(&self.operator.zones, &config, &inputs);
-        self.told.begin(&text, &inputs, &flight, zone_monitor.clone());
+        self.signal_handler.start_session(&text, &inputs, &flight, zone_monitor.clone());
         let peers = match config.peer_listen_addr.filter(|_| config.settings.may_send_notes) {
             Some(address) => {
                 let bind = || Peers::bind(address, &config, &*self.net, inputs.clone(), zone_monitor.clone());
-                match self.patiently("address for notes", bind).await? {
+                match self.run_with_retries("address for notes", bind).await? {
                     Some(peers) => Some(peers),
                     None => return Ok(None),
                 }
@@ -340,13 +365,13 @@
             None => None,
         };
         if let Some(zone_monitor) = &zone_monitor {
-            calls.watched_by(zone_monitor.clone());
+            calls.set_zone_monitor(zone_monitor.clone());
             zone_monitor.start(peers.as_ref().map(Peers::note_sender));
         }
-        let parts = Components {
+        let components = Components {
             flight,
             journal: journal.clone(),
-            terms: terms.clone(),
+            active_settings: active_settings.clone(),
             calls: calls.clone(),
             copies: copies.clone(),
             reports: reports.clone(),
@@ -360,7 +385,7 @@
             max_connections: crate::clients::inbound::max_connections(&config),
             max_body_bytes: crate::clients::inbound::max_body_bytes(&config),
             body_bytes: Cell::new(0),
-            active_settings: terms,
+            active_settings,
             journal: journal.clone(),
             durability: durability.clone(),
             copies: copies.clone(),
@@ -369,34 +394,40 @@
             admission: admission.clone(),
             successor: RefCell::default(),
             unanswered: RefCell::default(),
-            accept_queue: RefCell::new(AcceptQueue::new(self.queue_seen_empty(&before, &journal.borrow()))),
+            accept_queue: RefCell::new(AcceptQueue::new(
+                self.queue_seen_empty(&start_from, &journal.borrow()),
+            )),
             accepting_since: Instant::now(),
             is_queue_polled: Cell::new(false),
             first_stream: RefCell::default(),
         });
-        let mut node = match before {
-            Before::Given(mut state, ends) => {
-                let gap = journal.borrow().unix_now().saturating_sub(state.unix);
-                state.grow_older(gap);
-                calls.adopt(&state.out, &state.waits, ends.to.clone());
-                tokio::task::spawn_local(inherit(inbound.clone(), ends, BTreeSet::new()));
-                // One that is silent: the watch is begun anew, from where the other's had come.
+        let mut decision_loop = match start_from {
+            StartFrom::Handover(mut state, channel) => {
+                let gap = journal.borrow().unix_now().saturating_sub(state.unix_time);
+                state.subtract_elapsed(gap);
+                calls.adopt_attempts(&state.attempts_in_flight, &state.waits, channel.outgoing.clone());
+                tokio::task::spawn_local(follow_predecessor(inbound.clone(), channel, BTreeSet::new()));
+                // The predecessor's watch has ended: a new one starts at the revision that it had reached.
                 discovery.watch();
-                DecisionLoop::continued(&config, *state, parts)
+                DecisionLoop::resume_from_handover(&config, *state, components)
             }
-            Before::Rest(ends, left) => {
-                calls.adopt(&[], &[], ends.to.clone());
-                tokio::task::spawn_local(inherit(inbound.clone(), ends, left.unheard.clone()));
-                DecisionLoop::new(&config, &text, (left.out, left.unheard), parts)?
+            StartFrom::StoreAfterHandover(channel, open) => {
+                calls.adopt_attempts(&[], &[], channel.outgoing.clone());
+                tokio::task::spawn_local(follow_predecessor(
+                    inbound.clone(),
+                    channel,
+                    open.unacknowledged.clone(),
+                ));
+                DecisionLoop::new(&config, &text, (open.attempts, open.unacknowledged), components)?
             }
-            Before::Nobody => DecisionLoop::new(&config, &text, Default::default(), parts)?,
+            StartFrom::Store => DecisionLoop::new(&config, &text, Default::default(), components)?,
         };
-        // What was left open is taken up: only now is the sender ready.
-        let listener = match &self.accept {
+        // The sender is ready only now that it has resumed the open messages.
+        let listener = match &self.client_listener {
             Some(listener) => listener.clone(),
             None => {
                 let listen = || self.net.listen(config.listen_addr);
-                match self.patiently("clients' address", listen).await? {
+                match self.run_with_retries("clients' address", listen).await? {
                     Some(listener) => listener,
                     None => return Ok(None),
                 }
@@ -408,126 +439,141 @@
         let watched = admission.clone();
         let watching = tokio::task::spawn_local(async move { watched.close_idle_after_drain().await });
         admission.start();
-        let told_of = Shown {
+        let status_sources = StatusSources {
             copies: copies.clone(),
             zone_monitor: zone_monitor.clone(),
             reasons: calls.reasons.clone(),
         };
-        self.operators.open(&config.name, &admission, &durability, told_of, &inputs);
-        self.told.look_again(source);
-        let mut asked = None;
+        self.operators.open(&config.name, &admission, &durability, status_sources, &inputs);
+        self.signal_handler.reload_if_changed(source);
+        let mut handover_listener = None;
         loop {
-            if self.accept.is_some() && asked.is_none() {
-                asked = self.place_for_hand_over();
+            if self.client_listener.is_some() && handover_listener.is_none() {
+                handover_listener = self.listen_for_handover();
             }
-            let asking = async {
-                match &asked {
-                    Some(listener) => return Some(transport::asked(&**listener).await),
-                    None if self.accept.is_some() => sleep(PLACE_AGAIN).await,
+            let handover_request = async {
+                match &handover_listener {
+                    Some(listener) => return Some(transport::accept_request(&**listener).await),
+                    None if self.client_listener.is_some() => sleep(SOCKET_RETRY_INTERVAL).await,
                     None => pending().await,
                 }
                 None
             };
             let stream = tokio::select! {
                 biased;
-                () = node.run() => break,
-                () = self.told.terminate.notified() => break,
-                stream = asking => stream,
+                () = decision_loop.run() => break,
+                () = self.signal_handler.terminate.notified() => break,
+                stream = handover_request => stream,
             };
             let Some(stream) = stream else { continue };
-            // From here to the frames nothing waits: no event falls between the two owners.
+            // Nothing awaits from here until the frames are queued, so that no event is lost between the
+            // owners.
             let released = journal.borrow_mut().release();
             if let Err(why) = released {
-                tracing::warn!("hand-over: the store cannot be given up: {why}");
-                transport::refuse(&*stream, &why.to_string()).await;
+                tracing::warn!("hand-over: the store cannot be released: {why}");
+                transport::send_refusal(&*stream, &why.to_string()).await;
                 continue;
             }
             accepting.abort();
             watching.abort();
-            drop(asked);
+            drop(handover_listener);
             copies.iter().for_each(|c| c.stop());
             zone_monitor.iter().for_each(|z| z.stop());
             admission.is_handed_over.set(true);
-            let (mut state, received) = node.give();
+            let (mut state, received) = decision_loop.into_handover_state();
             state.queue_seen_empty = inbound.queue_seen_empty().map(|ago| ago.as_micros() as Micros);
-            let (ends, written) = transport::give(stream, state.clone());
-            *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(ends.to.clone())));
+            let (channel, written) = transport::send_state(stream, state.clone());
+            *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(channel.outgoing.clone())));
             admission.close_signal.set();
             self.operators.close();
-            tracing::info!("handed over; {} calls end here", calls.out());
-            let rest = Rest { inbound, received, told: Vec::new() };
-            return Ok(rest.end(&self.told.terminate, state, ends, written).await);
+            tracing::info!("hand-over: state sent; {} calls end in this process", calls.active_calls());
+            let retired = RetiredSession { inbound, received, unconfirmed: Vec::new() };
+            return Ok(retired.finish(&self.signal_handler.terminate, state, channel, written).await);
         }
-        let told = Instant::now();
+        let terminated_at = Instant::now();
         admission.is_shutting_down.set(true);
-        calls.start_until(told + SENDING);
-        let _ = timeout_at(told + FRONT_DRAIN_TIME, node.run()).await;
-        // Idle connections end between two requests; one that crosses this comes again on a new connection.
+        calls.start_until(terminated_at + START_CALLS_FOR);
+        let _ = timeout_at(terminated_at + FRONT_DRAIN_TIME, decision_loop.run()).await;
+        // Idle connections are closed between two requests. A client whose request arrives just then sends it
+        // again on a new connection.
         admission.close_signal.set();
-        while told.elapsed() < SENDING && !node.is_done() {
-            let _ = timeout_at(Instant::now() + LOOK, node.run()).await;
+        while terminated_at.elapsed() < START_CALLS_FOR && !decision_loop.has_no_messages() {
+            let _ = timeout_at(Instant::now() + POLL_INTERVAL, decision_loop.run()).await;
         }
-        // No decision is made any more. What ends from here on is recorded, and the rest is for the next
-        // process.
-        // Who has come in is answered first: a connection that ends on a request loses it. Those that wait in
-        // the system's queue come in as others leave.
-        let owing = || journal.borrow().has_pending_writes();
-        let open =
-            || calls.out() > 0 || !reports.is_empty() || admission.open_connections.get() > 0 || owing();
-        let mut quiet = Instant::now();
-        while told.elapsed() < LAST && quiet.elapsed() < QUEUE {
-            if open() {
-                quiet = Instant::now();
+        // No more decisions are made. Calls that end from here on are recorded, and the rest is left to the
+        // next process. Connected clients are answered first, since closing a connection with an open request
+        // loses the request. Connections in the accept queue are accepted as others end.
+        let is_owing = || journal.borrow().has_pending_writes();
+        let is_open = || {
+            calls.active_calls() > 0
+                || !reports.is_empty()
+                || admission.open_connections.get() > 0
+                || is_owing()
+        };
+        let mut quiet_since = Instant::now();
+        while terminated_at.elapsed() < SHUTDOWN_TIMEOUT && quiet_since.elapsed() < QUEUE_QUIET_TIME {
+            if is_open() {
+                quiet_since = Instant::now();
             }
-            sleep(LOOK).await;
+            sleep(POLL_INTERVAL).await;
         }
         Ok(None)
     }
 }
 
-/// The terms that a life begins with.
-fn terms(config: &Config, before: &Before, journal: &mut Journal) -> ActiveSettings {
-    if let Before::Given(state, _) = before {
+/// Returns the settings that a session starts with.
+fn initial_settings(config: &Config, start_from: &StartFrom, journal: &mut Journal) -> ActiveSettings {
+    if let StartFrom::Handover(state, _) = start_from {
         return ActiveSettings::from_predecessor(config, state.sender.settings(), &state.classes);
     }
-    let (terms, changes) = {
+    let (active_settings, changes) = {
         let used = journal.iter().map(|(_, m)| m.class.as_str()).collect();
         ActiveSettings::new(config, journal.stored_classes(), &used)
     };
-    // Without room for them messages would only lose their class to a change of it and a restart at once.
+    // If they cannot be stored, a message loses its class only by a change of that class together with a
+    // restart, so the start goes on.
     if let Err(why) = journal.update_classes(&changes) {
-        tracing::warn!("journal: {why}; classes are known for this process only");
+        tracing::warn!("journal: cannot store the classes: {why}; they are known to this process only");
     }
-    let deadline = |tag: &str| Some(terms.settings.classes.get(terms.classes.index_of(tag)?)?.deadline);
+    let deadline = |tag: &str| {
+        Some(active_settings.settings.classes.get(active_settings.classes.index_of(tag)?)?.deadline)
+    };
     journal.bound_deadlines(deadline);
-    terms
+    active_settings
 }
 
-/// Hears what the process before this one still tells, until it has ended. `unheard` may have been recorded
-/// by one in between, which did not live to say so.
-async fn inherit(inbound: Rc<Inbound>, ends: Ends, unheard: BTreeSet<MessageId>) {
-    let Ends { to, mut from } = ends;
-    // What was recorded for clients that have not heard yet; none once nobody can tell them any more.
-    let taken = Rc::new(RefCell::new(Some(BTreeSet::<MessageId>::new())));
-    let forget = |id: MessageId| taken.borrow_mut().as_mut().is_some_and(|ids| ids.remove(&id));
-    while let Some(frame) = from.recv().await {
+/// Processes the frames of the predecessor until it has ended. A process in between may have recorded the
+/// messages in `unacknowledged` and ended before it could respond.
+async fn follow_predecessor(
+    inbound: Rc<Inbound>,
+    channel: FrameChannel,
+    unacknowledged: BTreeSet<MessageId>,
+) {
+    let FrameChannel { outgoing, mut incoming } = channel;
+    // Messages that were recorded here and whose clients have not received the acknowledgement yet; `None`
+    // once the predecessor, which has their connections, has ended.
+    let forwarded = Rc::new(RefCell::new(Some(BTreeSet::<MessageId>::new())));
+    let forget = |id: MessageId| forwarded.borrow_mut().as_mut().is_some_and(|ids| ids.remove(&id));
+    while let Some(frame) = incoming.recv().await {
         match frame {
-            Frame::Ended { id, attempt, outcome, over, allowance } => {
-                inbound.calls.adopted_ended(id, attempt, End { outcome, over, allowance });
+            Frame::AttemptEnded { id, attempt, outcome, is_final, allowance } => {
+                inbound.calls.adopted_attempt_ended(id, attempt, AttemptEnd { outcome, is_final, allowance });
             }
-            Frame::ForwardRequest { number, handed } => {
-                let (inbound, to, recorded, id) = (inbound.clone(), to.clone(), taken.clone(), handed.id);
-                let before = unheard.contains(&id);
+            Frame::ForwardRequest { number, request } => {
+                let (inbound, outgoing, recorded, id) =
+                    (inbound.clone(), outgoing.clone(), forwarded.clone(), request.id);
+                let may_be_recorded = unacknowledged.contains(&id);
                 tokio::task::spawn_local(async move {
-                    let taken = crate::clients::inbound::record_handed_over(&inbound, handed, before).await;
-                    if matches!(taken, ForwardResult::Recorded { .. }) {
+                    let result =
+                        crate::clients::inbound::record_handed_over(&inbound, request, may_be_recorded).await;
+                    if matches!(result, ForwardResult::Recorded { .. }) {
                         match &mut *recorded.borrow_mut() {
                             Some(ids) => _ = ids.insert(id),
-                            // Who asked has ended meanwhile, and its client with it.
+                            // The predecessor has ended meanwhile, and its connection to the client with it.
                             None => _ = inbound.journal.borrow_mut().record_end(id),
                         }
                     }
-                    let _ = to.send(Frame::Answer { number, taken });
+                    let _ = outgoing.send(Frame::ForwardResponse { number, result });
                 });
             }
             Frame::Acknowledged(accepted) => {
@@ -539,119 +585,127 @@
                 inbound.journal.borrow_mut().record_end(id);
                 let _ = inbound.inputs.send(Input::Unacknowledged(id));
             }
-            other => tracing::warn!("hand-over: {other:?} came from the process before"),
+            other => tracing::warn!("hand-over: unexpected frame {other:?} from the predecessor"),
         }
     }
-    tracing::info!("hand-over: the process before has ended");
-    inbound.calls.orphan();
-    let taken = taken.take().unwrap_or_default();
-    let _ = inbound.inputs.send(Input::PredecessorEnded(taken));
+    tracing::info!("hand-over: the predecessor has ended");
+    inbound.calls.predecessor_ended();
+    let forwarded = forwarded.take().unwrap_or_default();
+    let _ = inbound.inputs.send(Input::PredecessorEnded(forwarded));
 }
 
-/// What is left of a life whose store and decisions another process has.
-struct Rest {
+/// A session that has handed over its store and its decisions, and still has open calls and connections.
+struct RetiredSession {
     inbound: Rc<Inbound>,
     received: UnboundedReceiver<Input>,
-    /// What was told to an owner that has not said yet that it is one.
-    told: Vec<Frame>,
+    /// Frames that were sent before the successor reported that it owns the store.
+    unconfirmed: Vec<Frame>,
 }
 
-impl Rest {
-    /// Nothing is open here any more, nor at a process before this one, whose word passes through here.
+impl RetiredSession {
+    /// Whether nothing is open here any more, nor at this process's predecessor, whose frames pass through
+    /// here.
     fn is_done(&self) -> bool {
         let calls = &self.inbound.calls;
-        // A request whose client has gone meanwhile is recorded over there, and withdrawn by a word from
-        // here.
-        let waits = self.inbound.successor.borrow().as_ref().is_some_and(|s| s.is_asked());
-        let open =
-            calls.out() > 0 || calls.attempts_out() > 0 || self.inbound.admission.open_connections.get() > 0;
-        !open && !waits && !calls.has_before()
+        // A forwarded request whose client has gone is recorded by the successor, and a frame from here has
+        // to withdraw it.
+        let has_pending = self.inbound.successor.borrow().as_ref().is_some_and(|s| s.has_pending());
+        let is_open = calls.active_calls() > 0
+            || calls.attempts_in_flight() > 0
+            || self.inbound.admission.open_connections.get() > 0;
+        !is_open && !has_pending && !calls.has_predecessor()
     }
 
-    /// Tells the new process how things end here. Gives who served before for a next life, where the new
-    /// process falls silent.
-    async fn end(
+    /// Reports to the successor how calls and requests end here. Returns what the next session of this
+    /// process starts from if the successor ends first.
+    async fn finish(
         mut self,
         terminate: &Notify,
-        state: State,
-        ends: Ends,
+        state: HandoverState,
+        channel: FrameChannel,
         written: JoinHandle<()>,
-    ) -> Option<Before> {
-        let Ends { to, mut from } = ends;
-        let (mut owned, mut ending) = (false, None::<Instant>);
+    ) -> Option<StartFrom> {
+        let FrameChannel { outgoing, mut incoming } = channel;
+        let (mut is_owned, mut ending_since) = (false, None::<Instant>);
         let next = loop {
-            if ending.is_some_and(|since| since.elapsed() >= LAST) || (owned && self.is_done()) {
-                break Next::Leave;
+            if ending_since.is_some_and(|since| since.elapsed() >= SHUTDOWN_TIMEOUT)
+                || (is_owned && self.is_done())
+            {
+                break AfterDisconnect::Exit;
             }
             tokio::select! {
                 biased;
-                frame = from.recv() => match frame {
+                frame = incoming.recv() => match frame {
                     Some(Frame::Owned) => {
-                        owned = true;
-                        self.told.clear();
+                        is_owned = true;
+                        self.unconfirmed.clear();
                     }
-                    Some(frame) => self.heed(frame),
-                    None => break after_silence(owned, ending.is_some()),
+                    Some(frame) => self.process_frame(frame),
+                    None => break after_disconnect(is_owned, ending_since.is_some()),
                 },
                 Some(input) = self.received.recv() => {
-                    if let Some(frame) = told(input) {
-                        if !owned {
-                            self.told.push(frame.clone());
+                    if let Some(frame) = frame_for(input) {
+                        if !is_owned {
+                            self.unconfirmed.push(frame.clone());
                         }
-                        let _ = to.send(frame);
+                        let _ = outgoing.send(frame);
                     }
                 }
-                () = terminate.notified(), if ending.is_none() => ending = Some(Instant::now()),
-                () = sleep(LOOK) => {}
+                () = terminate.notified(), if ending_since.is_none() => ending_since = Some(Instant::now()),
+                () = sleep(POLL_INTERVAL) => {}
             }
         };
-        if next == Next::Leave {
+        if next == AfterDisconnect::Exit {
             while let Ok(input) = self.received.try_recv() {
-                told(input).into_iter().for_each(|frame| drop(to.send(frame)));
+                frame_for(input).into_iter().for_each(|frame| drop(outgoing.send(frame)));
             }
-            // Nothing is told any more: the writer ends once all of it is written.
-            self.inbound.successor.borrow_mut().take().inspect(|s| s.gone());
-            drop((to, self));
-            let _ = timeout(WRITTEN, written).await;
+            // No more frames follow: the writer ends once all of them are written.
+            self.inbound.successor.borrow_mut().take().inspect(|s| s.close());
+            drop((outgoing, self));
+            let _ = timeout(FINAL_WRITE_TIMEOUT, written).await;
             return None;
         }
-        tracing::warn!("hand-over: the new process has ended; this one serves again ({next:?})");
-        let (near, far) = transport::pair();
-        self.told.drain(..).for_each(|frame| drop(near.to.send(frame)));
-        let out = state.out.iter().map(|o| o.0).collect();
-        let left = Left { out, unheard: self.inbound.unacknowledged() };
+        tracing::warn!("hand-over: the successor has ended; this process serves again ({next:?})");
+        let (near, far) = transport::channel_pair();
+        self.unconfirmed.drain(..).for_each(|frame| drop(near.outgoing.send(frame)));
+        let attempts = state.attempts_in_flight.iter().map(|o| o.0).collect();
+        let open = OpenElsewhere { attempts, unacknowledged: self.inbound.unacknowledged() };
         if let Some(successor) = &*self.inbound.successor.borrow() {
-            successor.replaced_by(near.to.clone());
+            successor.redirect(near.outgoing.clone());
         }
-        tokio::task::spawn_local(self.linger(near));
-        Some(if next == Next::GoOn { Before::Given(Box::new(state), far) } else { Before::Rest(far, left) })
+        tokio::task::spawn_local(self.report_to_next_session(near));
+        Some(if next == AfterDisconnect::Resume {
+            StartFrom::Handover(Box::new(state), far)
+        } else {
+            StartFrom::StoreAfterHandover(far, open)
+        })
     }
 
-    /// The same towards a next life of this process.
-    async fn linger(mut self, ends: Ends) {
-        let Ends { to, mut from } = ends;
+    /// Reports to the next session of this process how calls and requests end in this one.
+    async fn report_to_next_session(mut self, channel: FrameChannel) {
+        let FrameChannel { outgoing, mut incoming } = channel;
         while !self.is_done() {
             tokio::select! {
                 biased;
-                Some(frame) = from.recv() => self.heed(frame),
+                Some(frame) = incoming.recv() => self.process_frame(frame),
                 Some(input) = self.received.recv() => {
-                    told(input).into_iter().for_each(|frame| drop(to.send(frame)));
+                    frame_for(input).into_iter().for_each(|frame| drop(outgoing.send(frame)));
                 }
-                () = sleep(LOOK) => {}
+                () = sleep(POLL_INTERVAL) => {}
             }
         }
         while let Ok(input) = self.received.try_recv() {
-            told(input).into_iter().for_each(|frame| drop(to.send(frame)));
+            frame_for(input).into_iter().for_each(|frame| drop(outgoing.send(frame)));
         }
         self.inbound.successor.borrow_mut().take();
     }
 
-    fn heed(&self, frame: Frame) {
+    fn process_frame(&self, frame: Frame) {
         match frame {
-            Frame::Cancel { id, attempt } => self.inbound.calls.cancel(id, attempt),
-            Frame::Answer { number, taken } => {
+            Frame::CancelAttempt { id, attempt } => self.inbound.calls.cancel(id, attempt),
+            Frame::ForwardResponse { number, result } => {
                 if let Some(successor) = &*self.inbound.successor.borrow() {
-                    successor.answered(number, taken);
+                    successor.complete(number, result);
                 }
             }
             _ => {}
@@ -659,49 +713,50 @@
     }
 }
 
-/// What signals are about.
+/// Handles signals: reload, termination and dumps.
 #[derive(Default)]
-struct Told {
+struct SignalHandler {
     /// The operator's file as it was at the start.
     operator: OperatorSettings,
     terminate: Notify,
-    /// The configuration could not be read when it was to be, and is tried again.
-    unread: Cell<bool>,
-    life: RefCell<Option<Life>>,
+    /// The last reload could not read the configuration, and it is retried.
+    is_reload_pending: Cell<bool>,
+    session: RefCell<Option<SessionHandle>>,
 }
 
-/// What signals change in a life of this process.
-struct Life {
-    /// The configuration's text.
-    in_force: String,
+/// What signals change in a session.
+struct SessionHandle {
+    /// Text of the configuration in force.
+    config_text: String,
     inputs: UnboundedSender<Input>,
-    flight: Rc<Flight>,
+    flight: Rc<FlightRecorder>,
     zone_monitor: Option<Rc<ZoneMonitor>>,
 }
 
-impl Told {
-    fn begin(
+impl SignalHandler {
+    fn start_session(
         &self,
         text: &str,
         inputs: &UnboundedSender<Input>,
-        flight: &Rc<Flight>,
+        flight: &Rc<FlightRecorder>,
         zone_monitor: Option<Rc<ZoneMonitor>>,
     ) {
-        let (in_force, inputs, flight) = (text.to_owned(), inputs.clone(), flight.clone());
-        let life = Life { in_force, inputs, flight, zone_monitor };
-        *self.life.borrow_mut() = Some(life);
+        let (config_text, inputs, flight) = (text.to_owned(), inputs.clone(), flight.clone());
+        let session = SessionHandle { config_text, inputs, flight, zone_monitor };
+        *self.session.borrow_mut() = Some(session);
     }
 
-    /// The configuration in force.
-    fn text(&self) -> String {
-        self.life.borrow().as_ref().map_or(String::new(), |l| l.in_force.clone())
+    /// Returns the text of the configuration in force.
+    fn config_text(&self) -> String {
+        self.session.borrow().as_ref().map_or(String::new(), |s| s.config_text.clone())
     }
 
-    async fn heed(self: Rc<Self>, mut signals: Receiver<Signal>, source: Rc<ConfigSource>) {
+    /// Handles signals until their source ends.
+    async fn run(self: Rc<Self>, mut signals: Receiver<Signal>, source: Rc<ConfigSource>) {
         while let Some(signal) = signals.recv().await {
             match signal {
                 Signal::Reload => {
-                    self.reload_operator();
+                    self.reload_operator_file();
                     self.reload(&source);
                 }
                 Signal::Terminate => self.terminate.notify_one(),
@@ -710,74 +765,77 @@
         }
     }
 
-    /// What was in force where this process took over may not be what the file says by now.
-    fn look_again(self: &Rc<Self>, source: &Rc<ConfigSource>) {
-        let same = source().is_ok_and(|text| text == self.text());
-        if !same {
+    /// Reloads the configuration if the file differs from the one in force, as it may after a hand-over.
+    fn reload_if_changed(self: &Rc<Self>, source: &Rc<ConfigSource>) {
+        let is_same = source().is_ok_and(|text| text == self.config_text());
+        if !is_same {
             self.reload(source);
         }
     }
 
-    /// Of the operator's file, what is said of zones is taken up anew. One with a mistake changes nothing.
-    fn reload_operator(&self) {
+    /// Reloads the section about zones of the operator's file. A file with a mistake changes nothing.
+    fn reload_operator_file(&self) {
         let Some(file) = &self.operator.file else { return };
         let new = match operator::read(file) {
             Ok(new) => new,
-            Err(why) => return tracing::warn!("the operator's file stays as it was: {why}"),
+            Err(why) => return tracing::warn!("operator's file not reloaded: {why}"),
         };
         let waits = self.operator.changes_needing_restart(&new);
         if !waits.is_empty() {
-            tracing::warn!("operator's file: some of it waits for the next start: {}", waits.join(", "));
+            tracing::warn!(
+                "operator's file: changes that take effect at the next start: {}",
+                waits.join(", ")
+            );
         }
-        if let Some(zone_monitor) = self.life.borrow().as_ref().and_then(|l| l.zone_monitor.as_ref()) {
+        if let Some(zone_monitor) = self.session.borrow().as_ref().and_then(|s| s.zone_monitor.as_ref()) {
             zone_monitor.update_operator_settings(&new.zones);
         }
     }
 
-    /// The configuration is read anew, checked whole, and handed to the node as one step. One with a mistake
-    /// changes nothing; one that cannot be read is tried again.
+    /// Reads the configuration again, checks it as a whole, and passes it to the decision loop in one step. A
+    /// configuration with a mistake changes nothing; one that cannot be read is retried.
     fn reload(self: &Rc<Self>, source: &Rc<ConfigSource>) {
-        let mut life = self.life.borrow_mut();
-        // While this process starts: it reads the file itself.
-        let Some(life) = life.as_mut() else { return };
+        let mut session = self.session.borrow_mut();
+        // Without a session the process is starting, and reads the file itself.
+        let Some(session) = session.as_mut() else { return };
         let text = match source() {
             Ok(text) => text,
             Err(why) => {
-                if !self.unread.replace(true) {
-                    tracing::warn!("the configuration stays as it was until it can be read: {why}");
-                    tokio::task::spawn_local(self.clone().reload_until_read(source.clone()));
+                if !self.is_reload_pending.replace(true) {
+                    tracing::warn!("configuration not reloaded, retrying until it can be read: {why}");
+                    tokio::task::spawn_local(self.clone().retry_reload(source.clone()));
                 }
                 return;
             }
         };
-        self.unread.set(false);
-        match active::read_replacement(&text, &life.in_force) {
+        self.is_reload_pending.set(false);
+        match active::read_replacement(&text, &session.config_text) {
             Ok(config) => {
-                life.in_force.clone_from(&text);
-                let _ = life.inputs.send(Input::ConfigurationChanged(Box::new(config), text));
+                session.config_text.clone_from(&text);
+                let _ = session.inputs.send(Input::ConfigurationChanged(Box::new(config), text));
             }
-            Err(wrong) => {
-                tracing::warn!("the configuration stays as it was; mistakes in the new one: {}", wrong.len());
-                wrong.iter().take(MISTAKES).for_each(|w| tracing::warn!("configuration: {w}"));
+            Err(mistakes) => {
+                tracing::warn!("configuration not reloaded; mistakes in the new one: {}", mistakes.len());
+                mistakes.iter().take(MAX_LOGGED_MISTAKES).for_each(|m| tracing::warn!("configuration: {m}"));
             }
         }
     }
 
-    async fn reload_until_read(self: Rc<Self>, source: Rc<ConfigSource>) {
-        while self.unread.get() {
-            sleep(READ_AGAIN).await;
+    async fn retry_reload(self: Rc<Self>, source: Rc<ConfigSource>) {
+        while self.is_reload_pending.get() {
+            sleep(CONFIG_RETRY_INTERVAL).await;
             self.reload(&source);
         }
     }
 
-    /// What is recorded is written to a file of its own.
+    /// Writes the recording to a new file.
     fn dump(&self) {
-        let life = self.life.borrow();
-        let Some(life) = life.as_ref() else { return };
-        match life.flight.dump() {
+        let session = self.session.borrow();
+        let Some(session) = session.as_ref() else { return };
+        match session.flight.dump() {
             Ok(Some(path)) => tracing::info!("recording written to {}", path.display()),
-            Ok(None) => tracing::warn!("nothing is recorded: the recorder is off"),
-            Err(why) => tracing::warn!("the recording could not be written: {why}"),
+            Ok(None) => tracing::warn!("no recording written: the recorder is off"),
+            Err(why) => tracing::warn!("recording could not be written: {why}"),
         }
     }
 }
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -1,5 +1,5 @@
-//! A start that meets an error of a moment waits for it to pass: a process that ends for one is not ready in
-//! time, and its messages wait for the next.
+//! Retries of start-up steps that fail with a transient error: a process that exits because of one is not
+//! ready in time, and its messages wait for the next process.
 
 use crate::rate_limited_warning::RateLimitedWarning;
 use std::io::{self, ErrorKind};
@@ -7,14 +7,15 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep};
 
-/// A start is to be ready within 30 s. What has not passed by then is told as the reason why it is not.
-const WITHIN: Duration = Duration::from_secs(25);
-const AGAIN: Duration = Duration::from_millis(50);
+/// A process has to be ready within 30 s of its start. An error that lasts longer than this is reported as
+/// the reason why it is not.
+const RETRY_FOR: Duration = Duration::from_secs(25);
+const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Whether an error that a start met may pass, and there is time to wait for that. Waiting helps against no
-/// mistake in the settings, no missing right and no damage.
-pub fn may_pass(why: &io::Error, begun: Instant) -> bool {
-    let stays = matches!(
+/// Whether an error of a start-up step may be transient, and there is time left to retry. Waiting does not
+/// help against a mistake in the settings, a missing permission or damaged data.
+pub fn should_retry(why: &io::Error, begun: Instant) -> bool {
+    let is_permanent = matches!(
         why.kind(),
         ErrorKind::NotFound
             | ErrorKind::PermissionDenied
@@ -24,25 +25,25 @@
             | ErrorKind::Unsupported
             | ErrorKind::WouldBlock
     );
-    !stays && begun.elapsed() < WITHIN
+    !is_permanent && begun.elapsed() < RETRY_FOR
 }
 
-/// Rests before a step is tried again. Whether to go on: not where the process is told to end meanwhile.
-pub async fn rest(terminate: &Notify) -> bool {
+/// Waits before a step is retried. Returns false if the process is asked to end meanwhile.
+pub async fn wait_before_retry(terminate: &Notify) -> bool {
     tokio::select! {
         biased;
         () = terminate.notified() => false,
-        () = sleep(AGAIN) => true,
+        () = sleep(RETRY_INTERVAL) => true,
     }
 }
 
-/// Does one step of a start, again and again while it fails for a reason that may pass. Gives nothing where
-/// the process is told to end meanwhile.
+/// Runs one start-up step and retries it while it fails with a transient error. Returns `None` if the
+/// process is asked to end meanwhile.
 ///
 /// # Errors
-/// The last one.
-pub async fn patiently<T>(
-    trouble: &RateLimitedWarning,
+/// The last error of the step.
+pub async fn run_with_retries<T>(
+    warnings: &RateLimitedWarning,
     terminate: &Notify,
     what: &str,
     mut step: impl FnMut() -> io::Result<T>,
@@ -50,10 +51,10 @@
     let begun = Instant::now();
     loop {
         match step() {
-            Err(why) if may_pass(&why, begun) => trouble.warn(&format_args!("{what}: {why}; tried again")),
+            Err(why) if should_retry(&why, begun) => warnings.warn(&format_args!("{what}: {why}; retrying")),
             done => return done.map(Some),
         }
-        if !rest(terminate).await {
+        if !wait_before_retry(terminate).await {
             return Ok(None);
         }
     }
--- a/crates/daemon/src/stdout.rs
+++ b/crates/daemon/src/stdout.rs
@@ -1,8 +1,8 @@
-//! What commands print.
+//! Output of the commands.
 
 use std::io::{self, Write};
 
-/// Standard output may be a pipe that its reader has closed, which is no failure.
+/// Writes to standard output. A pipe that its reader has closed is not an error.
 pub fn print(text: &str) -> io::Result<()> {
     match io::stdout().write_all(text.as_bytes()) {
         Err(e) if e.kind() != io::ErrorKind::BrokenPipe => Err(e),
--- a/crates/daemon/tests/fleet/zones.rs
+++ b/crates/daemon/tests/fleet/zones.rs
@@ -348,7 +348,7 @@
     calls_pass(&fleet, 500);
     assert!(called(&fleet, 'b', since) <= 60, "what was under way");
     write("[zones]\nleave = true\nout = [\"b\"]\nstay = [\"b\"]\n");
-    all_say(&fleet, "the operator's file stays as it was");
+    all_say(&fleet, "operator's file not reloaded");
     assert!((0..SENDERS).all(|i| !whole(&fleet, i, "b")));
     write("[zones]\nleave = true\nstay = [\"b\"]\n");
     all_returned(&fleet, "b");
--- a/crates/daemon/tests/sockets/upgrade.rs
+++ b/crates/daemon/tests/sockets/upgrade.rs
@@ -127,7 +127,7 @@
     // Wherever the signals meet its start, behind the state: the old one has a call out, so it is still
     // there.
     let signals = ["-HUP", "-TERM", "-TERM"];
-    assert!(node.next_until("attempts are out there", &signals), "it ends as it should");
+    assert!(node.next_until("attempts are in flight at the predecessor", &signals), "it ends as it should");
     until("the old one serves", || node.hand_in("update", 2, 3, LONG, b"x").status() == 202);
     say.send(ok()).expect("it waits");
     say.send(ok()).expect("it waits");
@@ -294,7 +294,7 @@
 fn a_request_that_the_new_process_recorded_before_it_died_is_not_refused_and_sent() {
     // What callers see: a payment is refused with 503, which says that handing it in again is harmless, and
     // is sent all the same. Why: the old process took the other's silence for "not recorded", refused, and
-    // then read the folder, where the record was ("this one serves again (FromFolder)" in its log).
+    // then read the folder, where the record was ("this process serves again (ReloadFromStore)" in its log).
     let (endpoint, mut node, faults, mut client, _old) = handing_on(Duration::from_secs(2));
     node.kill();
     faults.slow_writes(Duration::ZERO).expect("set");
@@ -359,7 +359,7 @@
     // What callers see: its end is told seconds too late, once the old process has ended. Why: the next
     // process found its record without an attempt and took it for one whose client had not heard yet. The
     // soak saw it (seed 1303, 60 troubles with hand-overs): promised at 2.1 s with 6 s left, never called,
-    // ended at 10.2 s, in the moment of "the process before has ended".
+    // ended at 10.2 s, in the moment of "the predecessor has ended".
     const TIME: Duration = Duration::from_millis(2_000);
     let begun = Instant::now();
     let (endpoint, mut node, _say) = serving_again(TIME);
