--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -137,7 +137,7 @@
         copies: Option<Rc<ReplicationService>>,
         inputs: UnboundedSender<Input>,
     ) -> Rc<Self> {
-        let set = &config.settings;
+        let settings = &config.settings;
         let calls = Rc::new(Self {
             net,
             targets: RefCell::default(),
@@ -157,10 +157,10 @@
             copies,
             zone_monitor: RefCell::default(),
             inputs,
-            connect_timeout: Duration::from_micros(set.connect_timeout),
-            idle_timeout: Duration::from_micros(set.conn_idle).mul_f64(IDLE_SHARE),
+            connect_timeout: Duration::from_micros(settings.connect_timeout),
+            idle_timeout: Duration::from_micros(settings.conn_idle).mul_f64(IDLE_SHARE),
             max_idle: DescriptorBudget::new(config).idle_connections,
-            parallel_attempts: set.parallel_attempts,
+            parallel_attempts: settings.parallel_attempts,
             warnings: RateLimitedWarning::default(),
             reasons: Rc::default(),
         });
@@ -195,11 +195,11 @@
         self.active_calls.get()
     }
 
-    /// Whether any attempt of this message is open.
+    /// Whether any attempt of this message is in flight.
     pub fn has_attempt_in_flight(&self, id: MessageId) -> bool {
         let all = (id, 0)..=(id, u32::MAX);
-        let own = self.cancels.borrow().range(all.clone()).next().is_some();
-        own || self.adopted_attempts.borrow().range(all).next().is_some()
+        let has_own = self.cancels.borrow().range(all.clone()).next().is_some();
+        has_own || self.adopted_attempts.borrow().range(all).next().is_some()
     }
 
     /// Updates an endpoint from the list; `None` removes it. Idle connections to an endpoint that changed its
@@ -219,7 +219,8 @@
         known.extend(target.map(|t| (t.dest, None)));
     }
 
-    /// Counts an endpoint that was added, removed or changed. Returns the destination that lost its last one.
+    /// Counts an endpoint that was added, removed or changed. Returns the destination that lost its last
+    /// endpoint.
     fn count_endpoint(&self, old: Option<Target>, new: Option<Target>) -> Option<DestinationId> {
         let mut counts = self.endpoint_counts.borrow_mut();
         if let Some(target) = new {
@@ -236,9 +237,9 @@
 
     /// Takes an endpoint out of service by an operator's command, or returns it. Calls that are not written
     /// yet are not made, and idle connections are closed, since the endpoint will be restarted.
-    pub fn set_out_of_service(&self, id: EndpointId, out: bool) {
+    pub fn set_out_of_service(&self, id: EndpointId, is_out: bool) {
         let mut all = self.out_of_service.borrow_mut();
-        if out {
+        if is_out {
             all.insert(id);
             let closed = self.pool.borrow_mut().remove(&id).map_or(0, |idle| idle.len());
             self.report_closed(id, closed);
--- a/crates/daemon/src/calls/progress.rs
+++ b/crates/daemon/src/calls/progress.rs
@@ -67,9 +67,9 @@
 fn parse_status(line: &[u8]) -> Option<u16> {
     let (version, rest) = line.split_at_checked(9)?;
     let (digits, end) = rest.split_at_checked(3)?;
-    let fits = version.starts_with(b"HTTP/1.") && version[7].is_ascii_digit() && version[8] == b' ';
-    let fits = fits && digits.iter().all(u8::is_ascii_digit) && !end.first()?.is_ascii_digit();
-    std::str::from_utf8(digits).ok()?.parse().ok().filter(|_| fits)
+    let is_valid = version.starts_with(b"HTTP/1.") && version[7].is_ascii_digit() && version[8] == b' ';
+    let is_valid = is_valid && digits.iter().all(u8::is_ascii_digit) && !end.first()?.is_ascii_digit();
+    std::str::from_utf8(digits).ok()?.parse().ok().filter(|_| is_valid)
 }
 
 impl Progress {
--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -45,16 +45,16 @@
         /// A recording: a dump, or the folder that the recorder writes to
         file: PathBuf,
         /// One message, by its X-Request-ID
-        #[arg(long, value_name = "ID", value_parser = read_id)]
+        #[arg(long, value_name = "ID", value_parser = parse_id)]
         message: Option<MessageId>,
         /// One destination, by its number, with its window over time
         #[arg(long, value_name = "N")]
         dest: Option<u64>,
         /// Only what was in force from this second on
-        #[arg(long, value_name = "T", value_parser = read_seconds)]
+        #[arg(long, value_name = "T", value_parser = parse_seconds)]
         from: Option<Micros>,
         /// Only what was in force up to this second
-        #[arg(long, value_name = "T", value_parser = read_seconds)]
+        #[arg(long, value_name = "T", value_parser = parse_seconds)]
         to: Option<Micros>,
         /// Write JSON, one object for each process
         #[arg(long)]
@@ -90,22 +90,23 @@
     },
 }
 
-fn read_id(text: &str) -> Result<MessageId, String> {
-    let hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
-    let id = u64::from_str_radix(text, 16).ok().filter(|_| hex);
+fn parse_id(text: &str) -> Result<MessageId, String> {
+    let is_hex = text.len() == 16 && text.bytes().all(|b| b.is_ascii_hexdigit());
+    let id = u64::from_str_radix(text, 16).ok().filter(|_| is_hex);
     id.map(MessageId).ok_or_else(|| "an id consists of 16 hex digits".to_owned())
 }
 
-fn read_seconds(text: &str) -> Result<Micros, String> {
+fn parse_seconds(text: &str) -> Result<Micros, String> {
     let seconds: f64 = text.parse().map_err(|_| "not a number of seconds, such as 12.5".to_owned())?;
-    let fits = (0.0..1e9).contains(&seconds);
-    fits.then_some((seconds * 1e6) as Micros)
+    let is_valid = (0.0..1e9).contains(&seconds);
+    is_valid
+        .then_some((seconds * 1e6) as Micros)
         .ok_or_else(|| "the number of seconds is negative or too large".to_owned())
 }
 
 /// Runs the command that the command line names.
 pub fn run(cli: Cli) -> ExitCode {
-    let done = match cli.command {
+    let result = match cli.command {
         None => serve(cli.operator),
         Some(Command::Replay { file }) => replay_command(&file),
         Some(Command::Store { what }) => storage::run(what),
@@ -121,7 +122,7 @@
             Ok(ExitCode::SUCCESS)
         }),
     };
-    done.unwrap_or_else(|why| {
+    result.unwrap_or_else(|why| {
         eprintln!("notchpoint: {why}");
         ExitCode::from(2)
     })
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -69,7 +69,7 @@
     members: BTreeMap<EndpointId, Member>,
     /// A newer configuration whose classes the store has not accepted yet.
     pending_config: Option<(Box<Config>, String)>,
-    /// Messages with an attempt of the predecessor in flight, or of an earlier session: they are decided on
+    /// Messages with an attempt in flight at the predecessor, or in an earlier session: they are decided on
     /// once it ends.
     predecessor_attempts: BTreeSet<MessageId>,
     /// Messages that the predecessor recorded and whose clients have not received the acknowledgement yet.
@@ -291,12 +291,12 @@
 
     /// Returns the event that resumes a message; `None` if it cannot be resumed.
     fn resume_event(&self, id: MessageId, open: &OpenMessage, attempts: u32) -> Option<Event> {
-        let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
+        let index_of = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
         let active_settings = self.active_settings.borrow();
         let message = Message {
             id,
             class: active_settings.classes.index_of(&open.class)? as u32,
-            tenant: place(&active_settings.names.tenants, &open.tenant),
+            tenant: index_of(&active_settings.names.tenants, &open.tenant),
             key: None,
             dest: DestinationId(open.dest),
             is_retry: true,
@@ -421,7 +421,7 @@
         if let Err(why) = self.journal.borrow_mut().update_classes(&changes) {
             tracing::warn!("configuration not applied yet: the store does not accept its classes: {why}");
             self.pending_config = Some((config, text));
-            self.retry_configuration();
+            self.schedule_config_retry();
             return None;
         }
         self.config_text = text;
@@ -438,7 +438,8 @@
         event
     }
 
-    fn retry_configuration(&self) {
+    /// Schedules another attempt to apply the pending configuration.
+    fn schedule_config_retry(&self) {
         let inputs = self.calls.inputs();
         tokio::task::spawn_local(async move {
             tokio::time::sleep(CONFIG_RETRY_INTERVAL).await;
@@ -569,9 +570,9 @@
         };
         if let Event::Ended { id, .. } = event {
             let is_open = self.journal.borrow().get(id).is_some_and(|m| m.verdict.is_none());
-            if let Some(a) = self.attempts.get_mut(&id) {
-                a.in_flight = a.in_flight.saturating_sub(1);
-                if a.in_flight == 0 && !is_open {
+            if let Some(counts) = self.attempts.get_mut(&id) {
+                counts.in_flight = counts.in_flight.saturating_sub(1);
+                if counts.in_flight == 0 && !is_open {
                     self.attempts.remove(&id);
                 }
             }
@@ -625,11 +626,11 @@
         if is_whole {
             self.members.clear();
         }
-        for (e, m) in entries.iter().zip(&list.members) {
-            if m.phase == MemberPhase::Removed {
-                self.members.remove(&e.endpoint);
+        for (entry, member) in entries.iter().zip(&list.members) {
+            if member.phase == MemberPhase::Removed {
+                self.members.remove(&entry.endpoint);
             } else {
-                self.members.insert(e.endpoint, m.clone());
+                self.members.insert(entry.endpoint, member.clone());
             }
         }
         if is_whole {
@@ -637,15 +638,22 @@
             let removed = self.calls.listed().into_iter().filter(|id| !named.contains(id));
             removed.for_each(|id| self.calls.update_endpoint(id, None));
         }
-        for (e, m) in entries.iter().zip(&list.members) {
+        for (entry, member) in entries.iter().zip(&list.members) {
             // The policy does not use an endpoint whose kind the settings do not name.
-            let Some(&Kind { per_endpoint, max_bundle }) = self.kinds.get(e.kind as usize) else { continue };
-            let (live, max_bundle) = (e.phase == Phase::Live, max_bundle as usize);
-            let target = Target { address: m.address, dest: e.dest, live, per_endpoint, max_bundle };
-            self.calls.update_endpoint(e.endpoint, (e.phase != Phase::Gone).then_some(target));
-            self.flight.record_name(e.endpoint, &m.id);
+            let Some(&Kind { per_endpoint, max_bundle }) = self.kinds.get(entry.kind as usize) else {
+                continue;
+            };
+            let (live, max_bundle) = (entry.phase == Phase::Live, max_bundle as usize);
+            let target = Target { address: member.address, dest: entry.dest, live, per_endpoint, max_bundle };
+            self.calls.update_endpoint(entry.endpoint, (entry.phase != Phase::Gone).then_some(target));
+            self.flight.record_name(entry.endpoint, &member.id);
             if let Some(zone_monitor) = &self.zone_monitor {
-                zone_monitor.update_endpoint(e.endpoint, e.dest, &m.zone, e.phase == Phase::Gone);
+                zone_monitor.update_endpoint(
+                    entry.endpoint,
+                    entry.dest,
+                    &member.zone,
+                    entry.phase == Phase::Gone,
+                );
             }
         }
         self.flight.keep_names(|id| self.calls.is_listed(id));
@@ -656,15 +664,15 @@
     }
 
     /// Converts a member of the list into the policy's form.
-    fn policy_entry(&self, m: &Member) -> ListEntry {
-        let place = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
+    fn policy_entry(&self, member: &Member) -> ListEntry {
+        let index_of = |list: &[String], name: &str| list.iter().position(|n| n == name).map(|n| n as u32);
         let names = &self.active_settings.borrow().names;
         ListEntry {
-            endpoint: endpoint_id(&m.id),
-            dest: DestinationId(m.dest),
-            zone: place(&names.zones, &m.zone).unwrap_or(u32::MAX),
-            kind: place(&names.kinds, &m.kind).unwrap_or(u32::MAX),
-            phase: match m.phase {
+            endpoint: endpoint_id(&member.id),
+            dest: DestinationId(member.dest),
+            zone: index_of(&names.zones, &member.zone).unwrap_or(u32::MAX),
+            kind: index_of(&names.kinds, &member.kind).unwrap_or(u32::MAX),
+            phase: match member.phase {
                 MemberPhase::Up => Phase::Live,
                 MemberPhase::Draining => Phase::Draining,
                 MemberPhase::Removed => Phase::Gone,
--- a/crates/daemon/src/operations.rs
+++ b/crates/daemon/src/operations.rs
@@ -46,15 +46,18 @@
 /// # Errors
 /// The path or the method is not supported, or the request names no endpoint.
 pub fn parse_request(method: &Method, path: &str, query: Option<&str>) -> Result<AdminRequest, Rejection> {
-    let wanted = match path {
+    let allowed = match path {
         "/status" => "GET",
         "/maintenance/enter" | "/maintenance/exit" | "/standby" | "/active" => "POST",
         _ => return Err(Rejection::new(StatusCode::NOT_FOUND, format!("path {path} does not exist"))),
     };
-    let fits = method.as_str() == wanted || (wanted == "GET" && method == Method::HEAD);
-    if !fits {
-        let why = format!("{path} requires method {wanted}");
-        return Err(Rejection { allow: Some(wanted), ..Rejection::new(StatusCode::METHOD_NOT_ALLOWED, why) });
+    let is_allowed = method.as_str() == allowed || (allowed == "GET" && method == Method::HEAD);
+    if !is_allowed {
+        let why = format!("{path} requires method {allowed}");
+        return Err(Rejection {
+            allow: Some(allowed),
+            ..Rejection::new(StatusCode::METHOD_NOT_ALLOWED, why)
+        });
     }
     Ok(match path {
         "/status" => AdminRequest::Status,
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -275,12 +275,12 @@
         inputs: &UnboundedSender<Input>,
         start_from: &StartFrom,
     ) -> Result<Option<Rc<ReplicationService>>, Failure> {
-        let Some(set) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let careful = |open: &OpenMessage| active_settings.borrow().is_unsafe_to_repeat(&open.class);
+        let Some(settings) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
+        let is_unsafe = |open: &OpenMessage| active_settings.borrow().is_unsafe_to_repeat(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
         let copies =
-            ReplicationService::open(set, config, net, journal, durability, inputs.clone(), careful)?;
-        copies.listen(set.listen)?;
+            ReplicationService::open(settings, config, net, journal, durability, inputs.clone(), is_unsafe)?;
+        copies.listen(settings.listen)?;
         // When clients are waiting already, the delay is kept as short as that of a slow disk.
         let is_taking_over = !matches!(start_from, StartFrom::Store);
         copies
@@ -503,12 +503,12 @@
         // No more decisions are made. Calls that end from here on are recorded, and the rest is left to the
         // next process. Connected clients are answered first, since closing a connection with an open request
         // loses the request. Connections in the accept queue are accepted as others end.
-        let is_owing = || journal.borrow().has_pending_writes();
+        let is_writing = || journal.borrow().has_pending_writes();
         let is_open = || {
             calls.active_calls() > 0
                 || !reports.is_empty()
                 || admission.open_connections.get() > 0
-                || is_owing()
+                || is_writing()
         };
         let mut quiet_since = Instant::now();
         while terminated_at.elapsed() < SHUTDOWN_TIMEOUT && quiet_since.elapsed() < QUEUE_QUIET_TIME {
