--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -636,15 +636,15 @@
     tenant: Option<u32>,
     tenant_name: String,
     dest: DestinationId,
-    again: bool,
+    is_retry: bool,
     timeout: Duration,
     idempotency_key: String,
 }
 
 impl ParsedHeaders {
     fn accepted(&self, class: u32) -> AcceptedMessage {
-        let Self { id, tenant, dest, again, .. } = *self;
-        AcceptedMessage { id, class, tenant, dest, is_retry: again }
+        let Self { id, tenant, dest, is_retry, .. } = *self;
+        AcceptedMessage { id, class, tenant, dest, is_retry }
     }
 }
 
@@ -690,7 +690,7 @@
         tenant,
         tenant_name: tenant_name.to_owned(),
         dest: DestinationId(parse_number(dest).ok_or(bad)?),
-        again: text("X-Retried")?.is_some_and(|v| !v.is_empty() && v != "0"),
+        is_retry: text("X-Retried")?.is_some_and(|v| !v.is_empty() && v != "0"),
         timeout: Duration::from_millis(ms),
         idempotency_key: idempotency_key.to_owned(),
     })
