--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -202,11 +202,11 @@
         if durations.into_iter().chain(classes).any(|t| t > 1 << 50) {
             return reject("durations must be shorter than thirty years");
         }
-        for c in &self.classes {
-            if c.target_time == 0
-                || c.deadline < c.target_time
-                || !is_valid(c.worth)
-                || !is_share(c.late_share)
+        for class in &self.classes {
+            if class.target_time == 0
+                || class.deadline < class.target_time
+                || !is_valid(class.worth)
+                || !is_share(class.late_share)
             {
                 return reject(
                     "a class needs a target time, a deadline not before it, a worth and a late share",
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -89,7 +89,7 @@
         since: Micros,
         /// No probe is sent before this time.
         until: Micros,
-        /// A call failed, which tells an outage from silence.
+        /// A call failed, which distinguishes an outage from silence.
         failed: bool,
         /// The number of the probe in flight.
         probe: Option<u64>,
@@ -186,7 +186,7 @@
     pub warm_up_until: Micros,
     /// The number of calls in flight.
     pub in_flight: u32,
-    /// The sum of [`Call::unheard`] over its calls.
+    /// The sum of [`Call::unproven`] over its calls.
     pub unproven: u32,
     /// For each idle connection, when it became idle.
     pub idle_since: Vec<Micros>,
@@ -308,7 +308,7 @@
             life_table: LifeTable::default(),
             sent_this_turn: BTreeSet::new(),
             zone_shares: BTreeMap::new(),
-            settings: settings,
+            settings,
         })
     }
 
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -206,8 +206,8 @@
 
     /// Ends all attempts that are in flight now with the same outcome.
     pub fn end_all(&mut self, outcome: Outcome) {
-        for o in self.in_flight.clone() {
-            self.end(o.id, outcome);
+        for attempt in self.in_flight.clone() {
+            self.end(attempt.id, outcome);
         }
     }
 
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -155,34 +155,38 @@
         }
         // Messages of one turn to one endpoint share a call, and thus a slot, if the kind allows bundles.
         let (mut singles, mut per_dest) = (0, BTreeMap::<u64, usize>::new());
-        for (id, t) in &self.messages {
-            for y in t.attempts.iter().filter(|y| y.outcome.is_none()) {
-                let bundles = self.set.kinds[kind(t.dest, &self.set) as usize].max_bundle > 1;
+        for (id, message) in &self.messages {
+            for y in message.attempts.iter().filter(|y| y.outcome.is_none()) {
+                let bundles = self.set.kinds[kind(message.dest, &self.set) as usize].max_bundle > 1;
                 let tag = if bundles { usize::MAX } else { *id as usize };
                 if calls.insert((y.at, y.endpoint, tag)) {
                     singles += 1;
-                    *per_dest.entry(t.dest).or_default() += 1;
+                    *per_dest.entry(message.dest).or_default() += 1;
                 }
             }
         }
         assert!(singles <= self.set.slots as usize, "more calls than slots");
         let ceiling = (self.set.slots as f64 * 0.75).floor().max(1.0) as usize;
         assert!(per_dest.values().all(|&n| n <= ceiling), "a destination exceeds its share of the slots");
-        for (id, t) in &self.messages {
-            assert!(t.done || self.now <= t.expires + 20 * MS, "message {id} has no final status in time");
+        for (id, message) in &self.messages {
+            assert!(
+                message.done || self.now <= message.expires + 20 * MS,
+                "message {id} has no final status in time"
+            );
         }
     }
 
     fn send(&mut self, id: u64, endpoint: u32, timeout: Micros) {
-        let t = &self.messages[&id];
-        assert!(!t.done, "sent after its final status");
-        assert!(timeout > 0 && self.now < t.expires, "sent after its deadline");
-        assert_eq!(owner(endpoint), t.dest, "sent to another destination");
+        let message = &self.messages[&id];
+        assert!(!message.done, "sent after its final status");
+        assert!(timeout > 0 && self.now < message.expires, "sent after its deadline");
+        assert_eq!(owner(endpoint), message.dest, "sent to another destination");
         assert!(self.live.contains(&endpoint), "sent to an endpoint that is draining or removed");
-        assert!(t.attempts.len() < self.set.max_attempts as usize, "too many attempts");
-        assert!(t.attempts.iter().all(|y| y.outcome.is_some()), "two attempts in flight");
-        let class = &self.set.classes[t.class as usize];
-        let ran: Vec<&Attempt> = t.attempts.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
+        assert!(message.attempts.len() < self.set.max_attempts as usize, "too many attempts");
+        assert!(message.attempts.iter().all(|y| y.outcome.is_some()), "two attempts in flight");
+        let class = &self.set.classes[message.class as usize];
+        let ran: Vec<&Attempt> =
+            message.attempts.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
         match class.effect {
             Effect::Idempotent => {}
             Effect::AtMostOnce => {
@@ -201,30 +205,30 @@
                 }
             }
         }
-        if let Some(k) = t.key {
-            let before = |o: &&Submitted| o.key == Some(k) && o.order < t.order;
+        if let Some(k) = message.key {
+            let before = |o: &&Submitted| o.key == Some(k) && o.order < message.order;
             for o in self.messages.values().filter(before) {
                 assert!(o.done && o.attempts.iter().all(|y| y.outcome.is_some()), "out of order");
             }
-            let has_earlier_attempt = t.attempts.iter().any(|y| y.outcome.is_some());
+            let has_earlier_attempt = message.attempts.iter().any(|y| y.outcome.is_some());
             let blocked_until = self.key_rest.get(&k).copied().unwrap_or(0);
             assert!(has_earlier_attempt || self.now >= blocked_until, "sent while its key is blocked");
         }
         let wait = self.waits.get(&self.route(endpoint)).copied().unwrap_or(0);
         assert!(self.now >= wait, "sent before the requested wait was over");
-        let t = Attempt { endpoint, at: self.now, timeout, outcome: None };
-        self.messages.get_mut(&id).expect("known").attempts.push(t);
+        let attempt = Attempt { endpoint, at: self.now, timeout, outcome: None };
+        self.messages.get_mut(&id).expect("known").attempts.push(attempt);
     }
 
     fn answer(&mut self, id: u64, refusal: bool) {
-        let t = self.messages.get_mut(&id).expect("known");
-        assert!(!t.done, "two final statuses");
-        t.done = true;
+        let message = self.messages.get_mut(&id).expect("known");
+        assert!(!message.done, "two final statuses");
+        message.done = true;
         if !refusal {
             return;
         }
-        let class = &self.set.classes[t.class as usize];
-        let clean = t.attempts.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
+        let class = &self.set.classes[message.class as usize];
+        let clean = message.attempts.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
         let allowed = match class.effect {
             Effect::Idempotent => true,
             Effect::AtMostOnce => clean,
@@ -236,10 +240,10 @@
     /// Ends an attempt and reports that to the sender.
     pub fn end(&mut self, id: u64, n: usize, outcome: Outcome) {
         let now = self.now;
-        let t = self.messages.get_mut(&id).expect("known");
-        t.attempts[n].outcome = Some(outcome);
-        t.done |= outcome == Outcome::Served;
-        let (is_final, endpoint, key) = (t.done, t.attempts[n].endpoint, t.key);
+        let message = self.messages.get_mut(&id).expect("known");
+        message.attempts[n].outcome = Some(outcome);
+        message.done |= outcome == Outcome::Served;
+        let (is_final, endpoint, key) = (message.done, message.attempts[n].endpoint, message.key);
         if matches!(outcome, Outcome::TimedOut | Outcome::Reset | Outcome::Cancelled)
             && let Some(k) = key
         {
--- a/crates/policy/tests/failed_connections.rs
+++ b/crates/policy/tests/failed_connections.rs
@@ -15,9 +15,9 @@
         while rig.sender.waiting_count() < 20 {
             rig.submit(IDEMPOTENT);
         }
-        for o in rig.in_flight.clone() {
+        for attempt in rig.in_flight.clone() {
             ended += 1;
-            rig.end(o.id, if ended % every == 0 { Outcome::Reset } else { Outcome::Served });
+            rig.end(attempt.id, if ended % every == 0 { Outcome::Reset } else { Outcome::Served });
         }
         rig.advance(100 * MS);
         if step + 100 >= seconds * 10 {
@@ -48,8 +48,8 @@
     rig.advance(50 * MS);
     let in_flight = rig.in_flight.len();
     assert!(in_flight >= 10, "{in_flight}");
-    for o in rig.in_flight.clone() {
-        rig.end(o.id, Outcome::Reset);
+    for attempt in rig.in_flight.clone() {
+        rig.end(attempt.id, Outcome::Reset);
     }
     let window = rig.sender.route_views(None)[0].window;
     assert!(
@@ -99,15 +99,15 @@
     let mut rig = Rig::new(settings(), 0, 2);
     rig.submit_many(60);
     rig.serve(20);
-    for o in rig.in_flight.clone() {
-        rig.end(o.id, Outcome::Reset);
+    for attempt in rig.in_flight.clone() {
+        rig.end(attempt.id, Outcome::Reset);
     }
     rig.advance(500 * MS);
     let (returned, from) = (1, rig.now);
     while rig.now < from + 4 * SEC {
-        for o in rig.in_flight.clone() {
-            let serves = o.endpoint == returned;
-            rig.end(o.id, if serves { Outcome::Served } else { Outcome::ConnectFailed });
+        for attempt in rig.in_flight.clone() {
+            let serves = attempt.endpoint == returned;
+            rig.end(attempt.id, if serves { Outcome::Served } else { Outcome::ConnectFailed });
         }
         rig.advance(50 * MS);
     }
@@ -141,8 +141,8 @@
     let failing = rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
     for _ in 0..150 {
         rig.submit_to(AT_MOST_ONCE, 1, None, 1_000 * SEC);
-        for o in rig.in_flight.clone() {
-            rig.end(o.id, if o.id == failing { Outcome::Failed } else { Outcome::Served });
+        for attempt in rig.in_flight.clone() {
+            rig.end(attempt.id, if attempt.id == failing { Outcome::Failed } else { Outcome::Served });
         }
         rig.advance(100 * MS);
     }
@@ -184,8 +184,8 @@
                     continue;
                 }
             };
-            if let Some(o) = rig.in_flight.first() {
-                let id = o.id;
+            if let Some(attempt) = rig.in_flight.first() {
+                let id = attempt.id;
                 rig.end(id, outcome);
             }
         }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -74,9 +74,9 @@
     let mut served = 0;
     while rig.now < start + 2 * SEC {
         rig.advance(100 * MS);
-        for o in rig.in_flight.clone() {
+        for attempt in rig.in_flight.clone() {
             served += 1;
-            rig.end(o.id, Outcome::Served);
+            rig.end(attempt.id, Outcome::Served);
         }
     }
     assert!(served >= 8, "{served} served");
@@ -182,7 +182,7 @@
 fn a_failed_watch_is_renewed_with_backoff() {
     let mut rig = Rig::new(Settings { list: ListMode::Ask, ..settings() }, 0, 1);
     let watches = |rig: &Rig| rig.actions.iter().filter(|(_, a)| *a == Action::Watch).count();
-    assert_eq!(watches(&rig), 1, "watched at the start, since the restored list may be dropped");
+    assert_eq!(watches(&rig), 1, "watched at the start, since the restored list may be stale");
     for n in 2..6 {
         rig.feed(&[Event::List(ListUpdate::Unavailable)]);
         rig.advance(1_490 * MS);
@@ -290,7 +290,7 @@
     let mut restarted = Rig::new(Settings { list: ListMode::Ask, ..settings() }, 0, 2);
     restarted.submit_many(20);
     assert_eq!(restarted.in_flight.len(), 1, "the window starts at one");
-    assert!(restarted.actions.iter().any(|(_, a)| *a == Action::Watch), "the old list may be dropped");
+    assert!(restarted.actions.iter().any(|(_, a)| *a == Action::Watch), "the old list may be stale");
     // Outcomes of attempts before the restart are ignored.
     let (id, attempt, outcome) = (MessageId(500), 0, Outcome::Full { wait: None });
     restarted.feed(&[Event::Ended { id, attempt, outcome, is_final: false, allowance: None }]);
@@ -326,8 +326,8 @@
     let hung = rig.in_flight[0].endpoint;
     for _ in 0..100 {
         rig.advance(50 * MS);
-        for o in rig.in_flight.clone().iter().filter(|o| o.endpoint != hung) {
-            rig.end(o.id, Outcome::Served);
+        for attempt in rig.in_flight.clone().iter().filter(|o| o.endpoint != hung) {
+            rig.end(attempt.id, Outcome::Served);
         }
         rig.submit_many(12);
     }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -56,7 +56,7 @@
                 }
                 for (from, body) in received.iter().filter(|(from, _)| *from != n as u32) {
                     if random.u64(..100) >= self.lost.unwrap_or(0) {
-                        note(rig, *from, body);
+                        receive_note(rig, *from, body);
                     }
                 }
                 rig.advance(50 * MS);
@@ -64,13 +64,13 @@
                     rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
                     *next += gap;
                 }
-                for o in rig.in_flight.clone() {
+                for attempt in rig.in_flight.clone() {
                     if !*has_restarted {
                         calls.push(now as i64 - self.return_at as i64);
                     }
                     let asks_to_wait = self.asks_to_wait && now + 20 * SEC >= self.return_at;
                     rig.end(
-                        o.id,
+                        attempt.id,
                         match (is_up, asks_to_wait) {
                             (true, _) => Outcome::Served,
                             (false, true) => Outcome::Full { wait: Some(self.return_at - now) },
@@ -78,7 +78,7 @@
                         },
                     );
                 }
-                notes.extend(self::notes(rig).into_iter().map(|body| (n as u32, body)));
+                notes.extend(self::sent_notes(rig).into_iter().map(|body| (n as u32, body)));
                 rig.actions.clear();
             }
         }
@@ -111,8 +111,8 @@
             let from = second * SEC;
             // Twice its capacity within two seconds overloads it; the bound leaves some slack for chance.
             let capacity = 10.0 * (0.2 + 0.8 * second as f64 / 10.0);
-            let came = rate(&calls, from, from + 2 * SEC);
-            assert!(came < 2.0 * capacity * 1.5, "second {second}: {came}, notes {lost:?}");
+            let arrived = rate(&calls, from, from + 2 * SEC);
+            assert!(arrived < 2.0 * capacity * 1.5, "second {second}: {arrived}, notes {lost:?}");
         }
         assert!(rate(&calls, 0, 10 * SEC) > 1.0, "calls resume");
         // Held messages are sent before they expire: more than the seven per second that arrive. With notes
@@ -148,7 +148,7 @@
             for seed in seeds.clone() {
                 let calls = Fleet { restart_one_of, asks_to_wait, lost, ..Fleet::of(senders, seed) }.run();
                 for from in (0..8 * SEC).step_by(100_000) {
-                    let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
+                    let arrived = rate(&calls, from, from + window) * window as f64 / SEC as f64;
                     // It serves ten per second when warm; its capacity grows linearly meanwhile.
                     let warm = (from as f64 / set.warm_up as f64).min(1.0);
                     let capacity = 10.0 * (set.start_capacity + (1.0 - set.start_capacity) * warm);
@@ -156,9 +156,9 @@
                     let max = allowed + 2.0 * allowed.sqrt() + 2.0;
                     let ms = from / MS;
                     assert!(
-                        came <= max,
+                        arrived <= max,
                         "{senders} senders, seed {seed}, restarts {restart_one_of}, waits {asks_to_wait}, \
-                         notes {lost:?}: {came} calls from {ms} ms on, where {allowed:.1} are allowed and \
+                         notes {lost:?}: {arrived} calls from {ms} ms on, where {allowed:.1} are allowed and \
                          {max:.1} may occur by chance"
                     );
                 }
@@ -187,18 +187,18 @@
             for (seed, warm_rate) in (1..=6).flat_map(|seed| [10.0, 8.4, 7.0].map(|rate| (seed, rate))) {
                 let calls = Fleet { restart_one_of, asks_to_wait, lost, ..Fleet::of(senders, seed) }.run();
                 for from in (0..8 * SEC).step_by(100_000) {
-                    let came = rate(&calls, from, from + window) * window as f64 / SEC as f64;
+                    let arrived = rate(&calls, from, from + window) * window as f64 / SEC as f64;
                     let warm = (from as f64 / set.warm_up as f64).min(1.0);
                     let capacity = warm_rate * (set.start_capacity + (1.0 - set.start_capacity) * warm);
                     let max = tolerated(set.overload_factor * capacity * window as f64 / SEC as f64);
-                    if came / max > worst.0 {
+                    if arrived / max > worst.0 {
                         let ms = from / MS;
                         worst = (
-                            came / max,
+                            arrived / max,
                             format!(
                                 "{senders} senders, seed {seed}, {warm_rate} per second when warm, restarts \
-                                 {restart_one_of}, waits {asks_to_wait}, notes {lost:?}: {came} calls from \
-                                 {ms} ms on, where {max:.1} are tolerated"
+                                 {restart_one_of}, waits {asks_to_wait}, notes {lost:?}: {arrived} calls \
+                                 from {ms} ms on, where {max:.1} are tolerated"
                             ),
                         );
                     }
@@ -236,13 +236,13 @@
     assert!(without_refusal > with_refusal, "{without_refusal} and {with_refusal}");
 }
 
-fn note(rig: &mut Rig, from: u32, body: &[u8]) -> Vec<Action> {
+fn receive_note(rig: &mut Rig, from: u32, body: &[u8]) -> Vec<Action> {
     rig.feed(&[Event::Note { from, body: body.to_vec() }])
 }
 
-fn notes(rig: &Rig) -> Vec<Vec<u8>> {
-    let one = |a: &Action| if let Action::Note { body, .. } = a { Some(body.clone()) } else { None };
-    rig.actions.iter().filter_map(|(_, a)| one(a)).collect()
+fn sent_notes(rig: &Rig) -> Vec<Vec<u8>> {
+    let body = |a: &Action| if let Action::Note { body, .. } = a { Some(body.clone()) } else { None };
+    rig.actions.iter().filter_map(|(_, a)| body(a)).collect()
 }
 
 /// Returns a sender's notes that destination 1 fails and that it serves again.
@@ -256,7 +256,7 @@
     rig.submit_many(20);
     rig.advance(20 * SEC);
     rig.end_all(Outcome::Served);
-    let sent = notes(&rig);
+    let sent = sent_notes(&rig);
     assert_eq!(sent.len(), 2, "one note of each kind, not one for each call: {sent:?}");
     [sent[0].clone(), sent[1].clone()]
 }
@@ -266,20 +266,20 @@
     let [down, up] = down_and_up_notes();
     let set = || Settings { may_send_notes: true, ..sparse(9) };
     let mut rig = Rig::new(set(), 0, 1);
-    note(&mut rig, 1, &down);
-    note(&mut rig, 1, &down);
+    receive_note(&mut rig, 1, &down);
+    receive_note(&mut rig, 1, &down);
     let one = rig.submit(IDEMPOTENT);
     assert!(rig.is_in_flight(one), "notes of one sender, even two of them, do not open the breaker");
     // Some senders send a probe at once, by chance; most of them hold the message.
     let mut held = 0;
     for seed in 0..40 {
         let mut rig = Rig::seeded(set(), 0, 1, seed);
-        note(&mut rig, 1, &down);
-        note(&mut rig, 2, &down);
+        receive_note(&mut rig, 1, &down);
+        receive_note(&mut rig, 2, &down);
         let one = rig.submit(IDEMPOTENT);
         if !rig.is_in_flight(one) {
             held += 1;
-            note(&mut rig, 3, &up);
+            receive_note(&mut rig, 3, &up);
             rig.advance(10 * MS);
             assert!(rig.is_in_flight(one), "served within three seconds: a false alarm without a slow start");
         }
@@ -304,7 +304,7 @@
     }
     assert!(rig.log_has("paused"), "it has detected the outage");
     rig.end_all(Outcome::ConnectFailed);
-    note(&mut rig, 3, &up);
+    receive_note(&mut rig, 3, &up);
     let mut sent = rig.in_flight.len();
     for _ in 0..10 {
         rig.end_all(Outcome::Served);
@@ -340,7 +340,7 @@
         rig.advance(1_200 * MS);
         assert!(rig.log_has("no answer"), "the breaker is open again");
         if by_note {
-            note(&mut rig, 3, &up);
+            receive_note(&mut rig, 3, &up);
         }
         let mut sent = 0;
         for _ in 0..10 {
@@ -356,15 +356,15 @@
 fn notes_that_are_not_allowed_are_neither_sent_nor_processed() {
     let [down, _] = down_and_up_notes();
     let mut rig = Rig::new(sparse(9), 0, 1);
-    note(&mut rig, 1, &down);
-    note(&mut rig, 2, &down);
+    receive_note(&mut rig, 1, &down);
+    receive_note(&mut rig, 2, &down);
     let one = rig.submit(IDEMPOTENT);
     assert!(rig.is_in_flight(one));
     for _ in 0..3 {
         rig.end_all(Outcome::TimedOut);
     }
     rig.advance(5 * SEC);
-    assert!(notes(&rig).is_empty());
+    assert!(sent_notes(&rig).is_empty());
 }
 
 #[test]
@@ -373,17 +373,17 @@
     let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
     for valid in [down, up] {
         for length in 0..valid.len() {
-            note(&mut rig, 1, &valid[..length]);
-            note(&mut rig, 2, &valid[..length]);
+            receive_note(&mut rig, 1, &valid[..length]);
+            receive_note(&mut rig, 2, &valid[..length]);
         }
         for byte in 0..valid.len() {
             let mut changed = valid.clone();
             changed[byte] ^= 0x55;
-            note(&mut rig, 1, &changed);
-            note(&mut rig, 2, &changed);
+            receive_note(&mut rig, 1, &changed);
+            receive_note(&mut rig, 2, &changed);
         }
     }
-    note(&mut rig, 1, &[0xff; 256]);
+    receive_note(&mut rig, 1, &[0xff; 256]);
     let one = rig.submit(IDEMPOTENT);
     assert!(rig.is_in_flight(one));
 }
@@ -477,7 +477,7 @@
         rig.advance(50 * MS);
         rig.end_all(Outcome::ConnectFailed);
     }
-    let before = notes(&rig).len();
+    let before = sent_notes(&rig).len();
     for n in 0..400 {
         if n % 20 == 0 {
             rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
@@ -488,7 +488,7 @@
     assert!(rig.log_has("answers again"));
     let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
     assert_eq!(closes, 0, "connections are kept, since the outage is over");
-    assert_eq!(notes(&rig).len(), before + 1, "only the note that it serves again is sent");
+    assert_eq!(sent_notes(&rig).len(), before + 1, "only the note that it serves again is sent");
 }
 
 #[test]
@@ -501,14 +501,14 @@
     rig.advance(200 * MS);
     let refused = rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
     rig.end(refused, Outcome::ConnectFailed);
-    note(&mut rig, 1, &down);
-    note(&mut rig, 2, &down);
+    receive_note(&mut rig, 1, &down);
+    receive_note(&mut rig, 2, &down);
     for _ in 0..50 {
         rig.advance(100 * MS);
         rig.end_all(Outcome::ConnectFailed);
     }
-    note(&mut rig, 3, &up);
-    let before = notes(&rig).len();
+    receive_note(&mut rig, 3, &up);
+    let before = sent_notes(&rig).len();
     for n in 0..160 {
         if n % 20 == 0 {
             rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
@@ -517,7 +517,7 @@
         rig.end_all(Outcome::Served);
     }
     let closes = rig.actions.iter().filter(|(_, a)| matches!(a, Action::CloseIdle { .. })).count();
-    assert_eq!((closes, notes(&rig).len()), (0, before), "connections were not scarce");
+    assert_eq!((closes, sent_notes(&rig).len()), (0, before), "connections were not scarce");
 }
 
 /// Returns the notes that a sender sends when a destination asks it to wait.
@@ -530,7 +530,7 @@
 
 /// Returns the notes of waits that a sender sent; only they have this length.
 fn wait_notes(rig: &Rig) -> Vec<Vec<u8>> {
-    notes(rig).into_iter().filter(|body| body.len() == 14).collect()
+    sent_notes(rig).into_iter().filter(|body| body.len() == 14).collect()
 }
 
 #[test]
@@ -540,7 +540,7 @@
     let mut first: Vec<Micros> = Vec::new();
     for seed in 0..100 {
         let mut rig = Rig::seeded(Settings { may_send_notes: true, ..sparse(100) }, 0, 1, seed);
-        note(&mut rig, 1, wait_note);
+        receive_note(&mut rig, 1, wait_note);
         let received_at = rig.now;
         rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
         while rig.in_flight.is_empty() && rig.now < received_at + 20 * SEC {
@@ -563,7 +563,7 @@
     let [wait_note] = &notes_after_wait(3 * SEC)[..] else { panic!("one note") };
     let mut rig = Rig::new(Settings { may_send_notes: true, slots: 16, ..sparse(100) }, 0, 1);
     let id = rig.submit(IDEMPOTENT);
-    note(&mut rig, 1, wait_note);
+    receive_note(&mut rig, 1, wait_note);
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
     assert!(wait_notes(&rig).is_empty(), "all senders know it");
     rig.advance(8 * SEC);
@@ -574,18 +574,18 @@
     let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(1) }, 0, 1);
     let id = rig.submit(IDEMPOTENT);
     rig.end(id, Outcome::Full { wait: Some(3 * SEC) });
-    assert!(notes(&rig).is_empty());
+    assert!(sent_notes(&rig).is_empty());
 }
 
 #[test]
 fn a_reported_wait_is_respected_for_a_limited_time() {
     let [wait_note] = &notes_after_wait(100_000 * SEC)[..] else { panic!("one note") };
     let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(100) }, 0, 1);
-    note(&mut rig, 4, wait_note);
+    receive_note(&mut rig, 4, wait_note);
     rig.submit_to(IDEMPOTENT, 1, None, 60 * SEC);
     for _ in 0..16 {
         // A faulty sender repeats the note.
-        note(&mut rig, 4, wait_note);
+        receive_note(&mut rig, 4, wait_note);
         rig.advance(500 * MS);
     }
     assert_eq!(rig.in_flight.len(), 1, "it calls to check");
@@ -606,9 +606,9 @@
     for n in 0..20 {
         rig.submit_to(IDEMPOTENT, 2 + n % 4, None, 20 * SEC);
         rig.advance(200 * MS);
-        for o in rig.in_flight.clone().iter().filter(|o| o.id != hung) {
+        for attempt in rig.in_flight.clone().iter().filter(|o| o.id != hung) {
             served += 1;
-            rig.end(o.id, Outcome::Served);
+            rig.end(attempt.id, Outcome::Served);
         }
     }
     assert!(served >= 19, "{served}");
--- a/crates/policy/tests/rate.rs
+++ b/crates/policy/tests/rate.rs
@@ -46,8 +46,8 @@
                     rig.submit_to(IDEMPOTENT, 1, None, 1_000 * SEC);
                 }
                 rig.advance(step);
-                for o in rig.in_flight.clone() {
-                    if self.calls.iter().any(|s| (s.0, s.1) == (n, o.id)) {
+                for attempt in rig.in_flight.clone() {
+                    if self.calls.iter().any(|s| (s.0, s.1) == (n, attempt.id)) {
                         continue;
                     }
                     let busy = self.calls.iter().filter(|s| s.3 == Outcome::Served).count();
@@ -56,7 +56,7 @@
                     let refusal = Outcome::Full { wait: None };
                     let (duration, outcome) =
                         if is_admitted { (100 * MS, Outcome::Served) } else { (20 * MS, refusal) };
-                    self.calls.push((n, o.id, rig.now + duration, outcome));
+                    self.calls.push((n, attempt.id, rig.now + duration, outcome));
                 }
                 let now = rig.now;
                 for (_, id, _, outcome) in self.calls.extract_if(.., |s| s.0 == n && s.2 <= now) {
@@ -73,35 +73,35 @@
 #[test]
 fn a_shared_rate_limit_is_used_with_few_refusals() {
     // Guards against retries every quarter of a second at a limit of one call per second for each sender.
-    let mut w = World::new(3, 3.0, 100);
-    w.run(20 * SEC);
-    let (served, refused) = w.run(60 * SEC);
+    let mut world = World::new(3, 3.0, 100);
+    world.run(20 * SEC);
+    let (served, refused) = world.run(60 * SEC);
     assert!(served > 2.0 && refused < 0.35, "{served:.2} a second, {refused:.2} refused");
     // The limit is lowered and raised.
-    w.per_s = 1.5;
-    w.run(15 * SEC);
-    let (served, refused) = w.run(60 * SEC);
+    world.per_s = 1.5;
+    world.run(15 * SEC);
+    let (served, refused) = world.run(60 * SEC);
     assert!(served > 0.9 && refused < 0.45, "{served:.2} a second, {refused:.2} refused");
-    w.per_s = 6.0;
-    w.run(30 * SEC);
-    let (served, _) = w.run(60 * SEC);
+    world.per_s = 6.0;
+    world.run(30 * SEC);
+    let (served, _) = world.run(60 * SEC);
     assert!(served > 3.5, "{served:.2} a second");
 }
 
 #[test]
 fn a_concurrency_limit_and_a_rate_limit_are_used_together() {
-    let mut w = World::new(2, 12.0, 1);
-    w.run(20 * SEC);
-    let (served, refused) = w.run(60 * SEC);
+    let mut world = World::new(2, 12.0, 1);
+    world.run(20 * SEC);
+    let (served, refused) = world.run(60 * SEC);
     // One concurrent call of a tenth of a second allows ten per second at most, and fewer on average.
     assert!(served > 4.0 && refused < 0.4, "{served:.2} a second, {refused:.2} refused");
 }
 
 #[test]
 fn a_destination_without_a_limit_gets_all_messages() {
-    let mut w = World::new(1, 1e9, 1_000);
-    w.depth = 1e9;
-    let (served, refused) = w.run(20 * SEC);
+    let mut world = World::new(1, 1e9, 1_000);
+    world.depth = 1e9;
+    let (served, refused) = world.run(20 * SEC);
     assert!(served > 40.0 && refused == 0.0, "{served:.2} a second, {refused:.2} refused");
 }
 
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -198,9 +198,9 @@
     let mut calls = 0;
     while rig.now < down + 8 * SEC {
         rig.advance(50 * MS);
-        for o in rig.in_flight.clone() {
+        for attempt in rig.in_flight.clone() {
             calls += 1;
-            rig.end(o.id, Outcome::ConnectFailed);
+            rig.end(attempt.id, Outcome::ConnectFailed);
         }
     }
     assert!(calls < 30, "{calls} calls to a destination that is down");
@@ -209,9 +209,9 @@
     let mut sent = 0;
     while rig.now < returned + 4 * SEC {
         rig.advance(50 * MS);
-        for o in rig.in_flight.clone() {
+        for attempt in rig.in_flight.clone() {
             sent += 1;
-            rig.end(o.id, Outcome::Served);
+            rig.end(attempt.id, Outcome::Served);
         }
     }
     assert!((1..=8).contains(&sent), "{sent} calls in the first four seconds");
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -41,7 +41,7 @@
             Class { target_time: SEC, deadline: 6 * SEC, ..set.classes[IDEMPOTENT as usize].clone() };
         let sender = Sender::new(set, 5).expect("valid settings");
         let (calls, attempts, events) = Default::default();
-        let mut w = Self {
+        let mut world = Self {
             sender,
             now: 100 * SEC,
             calls,
@@ -58,8 +58,8 @@
         };
         // Three destinations accept five messages per call, three others one.
         let list = (0..12).map(|e| entry(e, u64::from(e) / 2, if e < 6 { 2 } else { 0 }, Phase::Live));
-        w.events.push(Event::List(ListUpdate::Restored(list.collect())));
-        w
+        world.events.push(Event::List(ListUpdate::Restored(list.collect())));
+        world
     }
 
     fn submit(&mut self) {
@@ -95,8 +95,8 @@
         self.wasted_slots += self.calls.values().filter(|c| !c.0).count() as u64;
         let (events, mut actions) = (std::mem::take(&mut self.events), Vec::new());
         self.sender.handle(now, &events, &mut actions);
-        for a in actions {
-            match a {
+        for action in actions {
+            match action {
                 Action::Send { id, endpoint, timeout, .. } => {
                     let n = self.attempts.entry(id).or_default();
                     let attempt = std::mem::replace(n, *n + 1);
@@ -145,30 +145,33 @@
         healthy.served,
         healthy.next_id
     );
-    let mut w = World::new(20, true);
-    w.run(90, 30);
-    let held = w.wasted_slots as f64 / w.ticks as f64;
-    let shares = [w.served, w.failed, w.refused].map(|n| n as f64 / w.next_id as f64);
+    let mut world = World::new(20, true);
+    world.run(90, 30);
+    let held = world.wasted_slots as f64 / world.ticks as f64;
+    let shares = [world.served, world.failed, world.refused].map(|n| n as f64 / world.next_id as f64);
     assert!(shares[0] >= 0.8, "served, failed, refused {shares:?}; {held:.2} slots wasted");
     assert!(held <= 2.0, "{held:.2} of 7 slots wasted in the mean");
 }
 
 #[test]
 fn all_messages_of_a_call_are_cancelled_together() {
-    // Guards against a call that counts as cancelled but holds its slot until one of its messages expires.
-    let mut w = World::new(4, true);
-    w.run(90, 5);
+    // Guards against a call that counts as cancelled but holds its slot until the last of its messages
+    // expires.
+    let mut world = World::new(4, true);
+    world.run(90, 5);
     let mut before: BTreeMap<_, usize> = BTreeMap::new();
     let mut cancelled = 0;
     for n in 0..2_000 {
         if n % 2 == 0 {
-            w.submit();
+            world.submit();
         }
         before.clear();
-        before.extend(w.calls.iter().map(|(k, c)| (*k, c.1.iter().filter(|m| w.now < k.1 + m.2).count())));
-        w.tick();
+        before.extend(
+            world.calls.iter().map(|(k, c)| (*k, c.1.iter().filter(|m| world.now < k.1 + m.2).count())),
+        );
+        world.tick();
         for (key, n) in &before {
-            let now = w.calls.get(key).map_or(0, |c| c.1.len());
+            let now = world.calls.get(key).map_or(0, |c| c.1.len());
             assert!(now == 0 || now >= *n, "of {n} messages in a call {now} are left");
             cancelled += usize::from(*n > 1 && now == 0);
         }
@@ -178,15 +181,15 @@
 
 #[test]
 fn a_late_at_most_once_call_is_not_cancelled_while_slots_are_free() {
-    let mut w = World::new(10, true);
+    let mut world = World::new(10, true);
     // Five messages per second need one or two slots.
-    w.run(5, 12);
-    assert_eq!(w.failed, 0, "given up although no message needed the slot");
+    world.run(5, 12);
+    assert_eq!(world.failed, 0, "given up although no message needed the slot");
 }
 
 #[test]
 fn nothing_is_cancelled_if_cancelling_is_not_allowed() {
-    let mut w = World::new(20, false);
-    w.run(90, 10);
-    assert!(w.wasted_slots > 0 && w.failed == 0);
+    let mut world = World::new(20, false);
+    world.run(90, 10);
+    assert!(world.wasted_slots > 0 && world.failed == 0);
 }
--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -68,24 +68,24 @@
 impl Host {
     /// Processes one line and returns the reply if the line ends a batch.
     pub fn process_line(&mut self, line: &str) -> Parsed<Option<String>> {
-        let mut p = Parts::new(line);
+        let mut parts = Parts::new(line);
         if let Some((list, left)) = self.filling {
-            if p.name() != "ENTRY" {
-                return Err(Malformed(format!("expected an ENTRY line, found {}", p.name())));
+            if parts.name() != "ENTRY" {
+                return Err(Malformed(format!("expected an ENTRY line, found {}", parts.name())));
             }
-            let entry = entry(&mut p)?;
+            let entry = entry(&mut parts)?;
             self.lists.entry(list).or_default().push(entry);
             self.filling = (left > 1).then_some((list, left - 1));
             return Ok(None);
         }
-        match (p.name(), self.batch) {
+        match (parts.name(), self.batch) {
             ("TURN", None) => {
-                let clock = p.seconds("clock", Round::Nearest)?;
+                let clock = parts.seconds("clock", Round::Nearest)?;
                 if clock < self.clock {
                     return Err(Malformed("the clock went backwards".into()));
                 }
                 self.clock = clock;
-                self.batch = Some(p.number("batch")?);
+                self.batch = Some(parts.number("batch")?);
                 Ok(None)
             }
             ("TURN", Some(_)) => Err(Malformed("TURN within a batch".into())),
@@ -95,85 +95,86 @@
                 Ok(Some(self.reply(batch)))
             }
             ("DEFINE_LIST", _) => {
-                let list = p.number("buffer")?;
+                let list = parts.number("buffer")?;
                 if list > 15 {
                     return Err(Malformed(format!("list number out of range: {list}")));
                 }
-                let count: usize = p.number("items")?;
+                let count: usize = parts.number("items")?;
                 self.lists.insert(list, Vec::new());
                 self.filling = (count > 0).then_some((list, count));
                 Ok(None)
             }
-            _ => self.event(p).map(|()| None),
+            _ => self.event(parts).map(|()| None),
         }
     }
 
     /// Processes a line that is addressed to an instance.
-    fn event(&mut self, mut p: Parts) -> Parsed<()> {
-        let name = p.name();
+    fn event(&mut self, mut parts: Parts) -> Parsed<()> {
+        let name = parts.name();
         if !EVENTS.contains(&name) {
             return Err(Malformed(format!("unknown message {name:?}")));
         }
-        let i: u32 = p.number("i")?;
+        let number: u32 = parts.number("i")?;
         if name == "BEGIN" {
-            let seed = p.number("rngSeed")?;
-            let (settings, names) = settings(p.rest())?;
+            let seed = parts.number("rngSeed")?;
+            let (settings, names) = settings(parts.rest())?;
             let sender = Sender::new(settings, seed).map_err(|e| Malformed(e.to_string()))?;
             let addresses = BTreeMap::new();
             let instance = Instance { sender, names, addresses, events: vec![], touched: true };
-            self.instances.insert(i, instance);
+            self.instances.insert(number, instance);
             return Ok(());
         }
         if name == "KILL" {
-            self.instances.remove(&i);
+            self.instances.remove(&number);
             return Ok(());
         }
-        let Some(instance) = self.instances.get_mut(&i) else {
-            return Err(Malformed(format!("{name} for instance {i}, which has not started")));
+        let Some(instance) = self.instances.get_mut(&number) else {
+            return Err(Malformed(format!("{name} for instance {number}, which has not started")));
         };
         instance.touched = true;
         let event = match name {
             "WORK_ITEM" => {
-                let id = p.id("corr")?;
-                let class = position(&instance.names.classes, p.text("type")?, "class")?;
+                let id = parts.id("corr")?;
+                let class = position(&instance.names.classes, parts.text("type")?, "class")?;
                 let tenant =
-                    p.optional("userGroup")?.filter(|t| !instance.names.tenants.is_empty() && *t != "0");
+                    parts.optional("userGroup")?.filter(|t| !instance.names.tenants.is_empty() && *t != "0");
                 let tenant = tenant.map(|t| position(&instance.names.tenants, t, "tenant")).transpose()?;
-                let key = p.optional("key")?.map(Box::from);
-                let expires_in = p.seconds("expiresInS", Round::Down)?;
-                p.optional("workHintS")?;
-                let dest = DestinationId(p.number("addresseeNo")?);
-                let bits: u32 = p.number("bitmap")?;
+                let key = parts.optional("key")?.map(Box::from);
+                let expires_in = parts.seconds("expiresInS", Round::Down)?;
+                parts.optional("workHintS")?;
+                let dest = DestinationId(parts.number("addresseeNo")?);
+                let bits: u32 = parts.number("bitmap")?;
                 let is_retry = bits & (2 | 16) != 0;
                 Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in })
             }
             "REPORT_BACK" => {
-                let (id, is_final, reason) = (p.id("corr")?, p.flag("complete")?, p.text("reason")?);
-                p.text("endpoint")?;
-                let outcome = outcome(reason, p.optional("holdMs")?)?;
-                let attempt = p.number("try")?;
-                p.optional("waitTimeS")?;
-                let allowance = allowance(p.optional("report")?)?;
+                let (id, is_final, reason) =
+                    (parts.id("corr")?, parts.flag("complete")?, parts.text("reason")?);
+                parts.text("endpoint")?;
+                let outcome = outcome(reason, parts.optional("holdMs")?)?;
+                let attempt = parts.number("try")?;
+                parts.optional("waitTimeS")?;
+                let allowance = allowance(parts.optional("report")?)?;
                 Event::Ended { id, attempt, outcome, is_final, allowance }
             }
-            "GONE" => Event::Withdrawn(p.id("corr")?),
+            "GONE" => Event::Withdrawn(parts.id("corr")?),
             "FIRED" => {
-                p.number::<u64>("cookie")?;
+                parts.number::<u64>("cookie")?;
                 Event::Wake
             }
             "INBOX" => {
-                let from = p.number("sender")?;
-                Event::Note { from, body: p.optional("body")?.map_or(Ok(Vec::new()), unhex)? }
+                let from = parts.number("sender")?;
+                Event::Note { from, body: parts.optional("body")?.map_or(Ok(Vec::new()), unhex)? }
             }
             "CHECK_RESULT" => {
-                let endpoint = p.text("endpoint")?;
+                let endpoint = parts.text("endpoint")?;
                 let endpoint = instance.endpoint(endpoint);
-                Event::Probed { endpoint, outcome: outcome(p.text("reason")?, None)? }
+                Event::Probed { endpoint, outcome: outcome(parts.text("reason")?, None)? }
             }
             "DIRECTORY_UPDATE" => {
-                let scope = p.text("scope")?;
-                p.optional("version")?;
-                let buffer = p.optional("buffer")?;
+                let scope = parts.text("scope")?;
+                parts.optional("version")?;
+                let buffer = parts.optional("buffer")?;
                 let mut entries = || {
                     let known = buffer.and_then(|b| b.parse().ok()).and_then(|b: u8| self.lists.get(&b));
                     match known {
@@ -200,13 +201,13 @@
     fn reply(&mut self, batch: u64) -> String {
         let mut text = String::new();
         let mut actions = Vec::new();
-        for (i, instance) in &mut self.instances {
+        for (number, instance) in &mut self.instances {
             if !std::mem::take(&mut instance.touched) {
                 continue;
             }
             instance.sender.handle(self.clock, &instance.events, &mut actions);
             instance.events.clear();
-            actions.drain(..).for_each(|a| write_action(&mut text, *i, &a, &instance.addresses));
+            actions.drain(..).for_each(|a| write_action(&mut text, *number, &a, &instance.addresses));
         }
         let _ = writeln!(text, "YIELD\t{batch}");
         text
@@ -228,52 +229,58 @@
 ];
 
 /// Reads an entry of an endpoint list.
-fn entry(p: &mut Parts) -> Parsed<NamedEntry> {
-    let zone = p.optional("regionPart")?.unwrap_or("").to_owned();
-    p.optional("weight")?;
-    let kind = p.optional("sku")?.unwrap_or("").to_owned();
-    let phase = match p.text("phase")? {
+fn entry(parts: &mut Parts) -> Parsed<NamedEntry> {
+    let zone = parts.optional("regionPart")?.unwrap_or("").to_owned();
+    parts.optional("weight")?;
+    let kind = parts.optional("sku")?.unwrap_or("").to_owned();
+    let phase = match parts.text("phase")? {
         "live" => Phase::Live,
         "quiescing" => Phase::Draining,
         "dead" => Phase::Gone,
         other => return Err(Malformed(format!("unknown phase {other}"))),
     };
-    Ok(NamedEntry { zone, kind, phase, dest: p.number("ownerNo")?, endpoint: p.text("endpoint")?.to_owned() })
+    Ok(NamedEntry {
+        zone,
+        kind,
+        phase,
+        dest: parts.number("ownerNo")?,
+        endpoint: parts.text("endpoint")?.to_owned(),
+    })
 }
 
 /// Appends an action to a reply.
-fn write_action(text: &mut String, i: u32, action: &Action, addresses: &BTreeMap<EndpointId, String>) {
+fn write_action(text: &mut String, number: u32, action: &Action, addresses: &BTreeMap<EndpointId, String>) {
     let address = |e: &EndpointId| addresses.get(e).map_or("-", String::as_str);
     // Writes to a `String` never fail.
     let _ = match action {
         Action::Send { id, endpoint, timeout, .. } => {
             writeln!(
                 text,
-                "CALL_OUT\t{i}\t{:016x}\t{}\t{}",
+                "CALL_OUT\t{number}\t{:016x}\t{}\t{}",
                 id.0,
                 format_seconds(*timeout),
                 address(endpoint)
             )
         }
-        Action::Cancel { id, attempt } => writeln!(text, "RETRACT\t{i}\t{:016x}\t{attempt}", id.0),
+        Action::Cancel { id, attempt } => writeln!(text, "RETRACT\t{number}\t{:016x}\t{attempt}", id.0),
         Action::Refuse { id, retry_after } => {
-            writeln!(text, "OVERLOAD_REPLY\t{i}\t{:016x}\t{}", id.0, format_seconds(*retry_after))
+            writeln!(text, "OVERLOAD_REPLY\t{number}\t{:016x}\t{}", id.0, format_seconds(*retry_after))
         }
-        Action::Fail { id } => writeln!(text, "LOSE\t{i}\t{:016x}", id.0),
-        Action::WakeAt(at) => writeln!(text, "AFTER\t{i}\t0\t{}", format_seconds(*at)),
-        Action::Watch => writeln!(text, "TRACK\t{i}\t1"),
-        Action::Fetch => writeln!(text, "RESOLVE\t{i}"),
-        Action::Probe { endpoint } => writeln!(text, "POLL\t{i}\t{}", address(endpoint)),
+        Action::Fail { id } => writeln!(text, "LOSE\t{number}\t{:016x}", id.0),
+        Action::WakeAt(at) => writeln!(text, "AFTER\t{number}\t0\t{}", format_seconds(*at)),
+        Action::Watch => writeln!(text, "TRACK\t{number}\t1"),
+        Action::Fetch => writeln!(text, "RESOLVE\t{number}"),
+        Action::Probe { endpoint } => writeln!(text, "POLL\t{number}\t{}", address(endpoint)),
         Action::Note { to, body } => {
             let receiver = to.map_or("all".to_owned(), |n| n.to_string());
             writeln!(
                 text,
-                "POST\t{i}\t{receiver}\t{}",
+                "POST\t{number}\t{receiver}\t{}",
                 if body.is_empty() { "-".to_owned() } else { hex(body) }
             )
         }
-        Action::CloseIdle { endpoint } => writeln!(text, "CLOSE_IDLE\t{i}\t{}", address(endpoint)),
-        Action::Log(line) => writeln!(text, "DEBUG\t{i}\t{line}"),
+        Action::CloseIdle { endpoint } => writeln!(text, "CLOSE_IDLE\t{number}\t{}", address(endpoint)),
+        Action::Log(line) => writeln!(text, "DEBUG\t{number}\t{line}"),
     };
 }
 
