--- a/crates/daemon/tests/sockets/clock.rs
+++ b/crates/daemon/tests/sockets/clock.rs
@@ -24,7 +24,7 @@
             assert_eq!(node.hand_in("payment", id, 3, LONG, b"x").status(), 202);
         }
         until("a call", || endpoint.calls() > 0);
-        faults.step_wall_clock(step).expect("stepped");
+        faults.set_wall_clock_offset(step).expect("stepped");
         until("a call of each, or an end", || endpoint.calls() > 1 || node.platform.has_notice(2));
         // One that is handed in after the step has its time too.
         assert_eq!(node.hand_in("payment", 3, 3, LONG, b"x").status(), 202);
@@ -43,7 +43,7 @@
     let (mut node, faults) = Node::with_faults(&known, |text| text);
     assert_eq!(node.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
     node.kill();
-    faults.step_wall_clock(HOUR).expect("stepped");
+    faults.set_wall_clock_offset(HOUR).expect("stepped");
     let config = node.config().replace("\"draining\"", "\"up\"");
     std::fs::write(node.folder.path().join("config.json"), config).expect("a file");
     node.start_again();
@@ -56,7 +56,7 @@
     let begun = Instant::now();
     assert_eq!(node.hand_in("payment", 2, 3, 2_000, b"x").status(), 202);
     node.kill();
-    faults.step_wall_clock(-HOUR).expect("stepped");
+    faults.set_wall_clock_offset(-HOUR).expect("stepped");
     node.start_again();
     let ended = || node.platform.has_notice(2);
     until("an end, or far too late", || ended() || begun.elapsed() > Duration::from_secs(6));
@@ -70,7 +70,7 @@
     until("a call", || hangs.calls() > 0);
     node.kill();
     thread::sleep(WINDOW);
-    faults.step_wall_clock(-HOUR).expect("stepped");
+    faults.set_wall_clock_offset(-HOUR).expect("stepped");
     node.start_again();
     until("an end, or a repeat", || hangs.calls() > 1 || node.platform.has_notice(3));
     assert_eq!(hangs.calls(), 1, "a keyed message was repeated beyond its window");
--- a/crates/daemon/tests/sockets/delays.rs
+++ b/crates/daemon/tests/sockets/delays.rs
@@ -41,10 +41,10 @@
 fn a_message_whose_record_took_long_is_ended_when_its_time_is_up() {
     const TIME: Duration = Duration::from_millis(1_500);
     let (node, faults) = Node::with_faults(&[drained()], |text| text);
-    faults.slow_writes(SLOW).expect("set");
+    faults.delay_writes(SLOW).expect("set");
     let begun = Instant::now();
     assert_eq!(node.hand_in("payment", 1, 9, TIME.as_millis() as u64, b"x").status(), 202);
-    faults.slow_writes(Duration::ZERO).expect("set");
+    faults.delay_writes(Duration::ZERO).expect("set");
     ends_by(&node, 1, begun + TIME);
 }
 
@@ -60,11 +60,11 @@
     assert_eq!(node.ask("GET /up", &[], b"").status(), 200);
     let _old = node.upgrade();
     // The old process has read its beginning, and the new one records it.
-    faults.slow_writes(SLOW).expect("set");
+    faults.delay_writes(SLOW).expect("set");
     let begun = Instant::now();
     client.raw(&whole.as_bytes()[40..]);
     assert!(client.until_end().starts_with("HTTP/1.1 202"), "it is taken on");
-    faults.slow_writes(Duration::ZERO).expect("set");
+    faults.delay_writes(Duration::ZERO).expect("set");
     ends_by(&node, 1, begun + TIME);
 }
 
--- a/crates/daemon/tests/sockets/faults.rs
+++ b/crates/daemon/tests/sockets/faults.rs
@@ -3,7 +3,7 @@
 
 use crate::growth::Needs;
 use crate::world::*;
-use notchpoint_faults::{ALWAYS, Faults, Word};
+use notchpoint_faults::{ALWAYS, Fault, FaultController};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -14,15 +14,15 @@
 const TRIES_A_SECOND: u64 = 20;
 
 /// A node with one endpoint of destination 3, and its faults.
-fn one(does: impl FnMut(&Heard) -> Reply + Send + 'static) -> (Node, Endpoint, Faults) {
+fn one(does: impl FnMut(&Heard) -> Reply + Send + 'static) -> (Node, Endpoint, FaultController) {
     let endpoint = Endpoint::new(does);
     let (node, faults) = Node::with_faults(&[member("s-1", endpoint.address, "shop", 3, "up")], |text| text);
     (node, endpoint, faults)
 }
 
 /// Injected so often, and not more often than paced tries are.
-fn assert_paced(faults: &Faults, what: Word, span: Duration) {
-    let injected = faults.injected(what).expect("a count");
+fn assert_paced(faults: &FaultController, what: Fault, span: Duration) {
+    let injected = faults.injected_count(what).expect("a count");
     assert!(injected > 0, "{what:?} was never tried");
     assert!(injected < TRIES_A_SECOND * span.as_secs(), "{what:?}: {injected} tries in {span:?}");
 }
@@ -30,7 +30,7 @@
 #[test]
 fn a_connect_that_fails_on_this_side_spends_no_try_and_is_blamed_on_nobody() {
     let (node, endpoint, faults) = one(|_| answer("200 OK", "", ""));
-    faults.fail(Word::Connect, libc::EADDRNOTAVAIL, ALWAYS).expect("set");
+    faults.fail(Fault::Connect, libc::EADDRNOTAVAIL, ALWAYS).expect("set");
     for (id, class) in [(1, "payment"), (2, "update")] {
         assert_eq!(node.hand_in(class, id, 3, LONG, b"x").status(), 202);
     }
@@ -39,7 +39,7 @@
         !node.platform.has_notice(1) && !node.platform.has_notice(2),
         "given back while nothing was sent"
     );
-    assert_paced(&faults, Word::Connect, TROUBLE);
+    assert_paced(&faults, Fault::Connect, TROUBLE);
     faults.clear().expect("set");
     let healed = Instant::now();
     until("both are delivered", || endpoint.calls() >= 2);
@@ -57,11 +57,11 @@
         assert_eq!(node.hand_in("payment", id, 3, LONG, b"x").status(), 202);
     }
     until("a call", || endpoint.calls() > 0);
-    faults.fail(Word::FileWrite, libc::EIO, ALWAYS).expect("set");
+    faults.fail(Fault::FileWrite, libc::EIO, ALWAYS).expect("set");
     thread::sleep(TROUBLE);
     assert_eq!(endpoint.calls(), 1, "sent without a record");
     assert!((1..=3).all(|id| !node.platform.has_notice(id)), "given back, with most of its time left");
-    assert_paced(&faults, Word::FileWrite, TROUBLE);
+    assert_paced(&faults, Fault::FileWrite, TROUBLE);
     faults.clear().expect("set");
     let healed = Instant::now();
     until("all are delivered", || endpoint.calls() >= 3);
@@ -72,7 +72,7 @@
 fn a_start_meets_a_folder_that_fails_for_a_while_and_waits_for_it() {
     let endpoint = Endpoint::new(|_| answer("200 OK", "", ""));
     let known = [member("s-1", endpoint.address, "shop", 3, "draining")];
-    for (what, errno) in [(Word::FileWrite, libc::ENOSPC), (Word::FileOperation, libc::EIO)] {
+    for (what, errno) in [(Fault::FileWrite, libc::ENOSPC), (Fault::FileOperation, libc::EIO)] {
         let (mut node, faults) = Node::with_faults(&known, |text| text);
         assert_eq!(node.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
         node.kill();
@@ -82,7 +82,7 @@
         faults.fail(what, errno, ALWAYS).expect("set");
         let healer = thread::spawn(move || {
             thread::sleep(Duration::from_secs(3));
-            let injected = faults.injected(what).expect("a count");
+            let injected = faults.injected_count(what).expect("a count");
             faults.clear().expect("set");
             (injected, faults)
         });
@@ -113,8 +113,8 @@
     });
     assert_eq!(node.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
     until("a call", || endpoint.calls() > 0);
-    faults.fail(Word::FileWrite, libc::EIO, ALWAYS).expect("set");
-    until("its end cannot be recorded", || faults.injected(Word::FileWrite).expect("a count") > 0);
+    faults.fail(Fault::FileWrite, libc::EIO, ALWAYS).expect("set");
+    until("its end cannot be recorded", || faults.injected_count(Fault::FileWrite).expect("a count") > 0);
     faults.clear().expect("set");
     thread::sleep(Duration::from_millis(500));
     node.restart();
@@ -130,7 +130,7 @@
     let (node, faults) = Node::with_faults(&known, |text| text);
     let begun = Instant::now();
     assert_eq!(node.hand_in("payment", 1, 3, 1_500, b"x").status(), 202);
-    faults.fail(Word::FileWrite, libc::EIO, ALWAYS).expect("set");
+    faults.fail(Fault::FileWrite, libc::EIO, ALWAYS).expect("set");
     let notice = node.platform.notice(1);
     let took = begun.elapsed();
     assert!(notice.contains("\"dead\""), "{notice}");
@@ -153,17 +153,17 @@
     const EACH: usize = 40;
     let (node, endpoint, faults) = one(|_| answer("200 OK", "", ""));
     let kinds = [
-        (Word::SocketIo, libc::EINTR, 300),
-        (Word::ShortIo, 0, 700),
-        (Word::Accept, libc::ECONNABORTED, 500),
-        (Word::NoDelay, libc::ENOBUFS, 500),
+        (Fault::SocketIo, libc::EINTR, 300),
+        (Fault::ShortIo, 0, 700),
+        (Fault::Accept, libc::ECONNABORTED, 500),
+        (Fault::NoDelay, libc::ENOBUFS, 500),
     ];
     for (round, (what, errno, per_mille)) in (1..).zip(kinds) {
         faults.fail(what, errno, per_mille).expect("set");
         let first = round as u64 * 1_000;
         assert_eq!(taken_on(&node, first..first + EACH as u64), EACH, "{what:?}");
         until("a call of each", || endpoint.calls() >= round * EACH);
-        assert!(faults.injected(what).expect("a count") > 0, "{what:?} was never injected");
+        assert!(faults.injected_count(what).expect("a count") > 0, "{what:?} was never injected");
         faults.clear().expect("set");
     }
     assert_eq!(endpoint.calls(), kinds.len() * EACH, "each once");
@@ -178,12 +178,12 @@
     let operator = "[store]\ndurability = \"power\"\n";
     std::fs::write(node.folder.path().join("operator.toml"), operator).expect("a file");
     node.start_again();
-    faults.fail(Word::Thread, libc::EAGAIN, ALWAYS).expect("set");
+    faults.fail(Fault::ThreadCreate, libc::EAGAIN, ALWAYS).expect("set");
     for id in 1..=5 {
         assert_eq!(node.hand_in("payment", id, 3, LONG, b"x").status(), 202);
     }
     until("a call of each", || endpoint.calls() >= 5);
-    assert!(faults.injected(Word::Thread).expect("a count") > 0, "no thread was wanted");
+    assert!(faults.injected_count(Fault::ThreadCreate).expect("a count") > 0, "no thread was wanted");
 }
 
 /// An endpoint of destination 3 under a name of its own.
@@ -201,7 +201,7 @@
         let elsewhere = Platform::new();
         let (new, entry) = serving("s-2");
         let text = at(&elsewhere.address.to_string())(node.config());
-        faults.fail(Word::FileRead, errno, ALWAYS).expect("set");
+        faults.fail(Fault::FileRead, errno, ALWAYS).expect("set");
         node.reload(&text);
         let told = Instant::now();
         thread::sleep(Duration::from_millis(1_500));
@@ -226,13 +226,13 @@
     // Classes are kept beside the messages that name them.
     let text = node.config().replace("\"deadlineS\": 60.0", "\"deadlineS\": 40.0");
     assert_ne!(text, node.config(), "a class changes");
-    faults.fail(Word::FileWrite, libc::ENOSPC, ALWAYS).expect("set");
+    faults.fail(Fault::FileWrite, libc::ENOSPC, ALWAYS).expect("set");
     node.reload(&at(&elsewhere.address.to_string())(text));
     let told = Instant::now();
     // The place of the list is nothing that the folder has to know.
     until("a watch at the new place", || !elsewhere.watches.lock().expect("sound").is_empty());
     assert!(told.elapsed() < Duration::from_secs(1), "only after {:?}", told.elapsed());
-    until("the classes were to be kept", || faults.injected(Word::FileWrite).expect("a count") > 0);
+    until("the classes were to be kept", || faults.injected_count(Fault::FileWrite).expect("a count") > 0);
     faults.clear().expect("set");
     thread::sleep(Duration::from_secs(1));
     assert_eq!(node.hand_in("update", 1, 3, 39_000, b"x").status(), 202);
@@ -247,7 +247,7 @@
         let (mut node, faults) = Node::with_faults(&known, |text| text);
         assert_eq!(node.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
         node.kill();
-        faults.fail(Word::FileRead, errno, ALWAYS).expect("set");
+        faults.fail(Fault::FileRead, errno, ALWAYS).expect("set");
         let healer = thread::spawn(move || {
             thread::sleep(Duration::from_secs(2));
             faults.clear().expect("set");
@@ -259,7 +259,7 @@
         assert!(begun.elapsed() < Duration::from_secs(4), "ready only after {:?}", begun.elapsed());
         assert!(!node.platform.has_notice(1), "what was taken on is still owed");
         let faults = healer.join().expect("it healed");
-        assert!(faults.injected(Word::FileRead).expect("a count") > 0, "nothing was read");
+        assert!(faults.injected_count(Fault::FileRead).expect("a count") > 0, "nothing was read");
     }
 }
 
@@ -267,11 +267,11 @@
 fn a_start_that_waits_for_its_address_ends_when_it_is_told_to() {
     let (mut node, faults) = Node::with_faults(&[], |text| text);
     node.kill();
-    faults.fail(Word::Socket, libc::ENFILE, ALWAYS).expect("set");
+    faults.fail(Fault::Socket, libc::ENFILE, ALWAYS).expect("set");
     let begun = Instant::now();
     assert!(node.starts_until("address", &["-TERM"]), "an end with an error");
     assert!(begun.elapsed() < Duration::from_secs(3), "only after {:?}", begun.elapsed());
-    assert!(faults.injected(Word::Socket).expect("a count") > 0);
+    assert!(faults.injected_count(Fault::Socket).expect("a count") > 0);
 }
 
 #[test]
@@ -280,13 +280,13 @@
     const EACH: usize = 40;
     let (node, endpoint, faults) = one(|_| answer("200 OK", "", ""));
     for (round, errno) in (1..).zip([libc::ENOMEM, libc::ENOBUFS]) {
-        faults.fail(Word::SocketIo, errno, 300).expect("set");
+        faults.fail(Fault::SocketIo, errno, 300).expect("set");
         let first = round as u64 * 1_000;
         assert_eq!(taken_on(&node, first..first + EACH as u64), EACH, "errno {errno}");
         until("a call of each", || endpoint.calls() >= round * EACH);
         faults.clear().expect("set");
     }
-    assert!(faults.injected(Word::SocketIo).expect("a count") > 0, "never injected");
+    assert!(faults.injected_count(Fault::SocketIo).expect("a count") > 0, "never injected");
     thread::sleep(Duration::from_secs(1));
     assert_eq!(endpoint.calls(), 2 * EACH, "each once");
 }
@@ -299,7 +299,7 @@
     let (node, faults) = Node::with_faults(&[entry], |text| text);
     for round in 1..=3 {
         let elsewhere = Platform::new();
-        faults.fail(Word::Connect, libc::EADDRNOTAVAIL, ALWAYS).expect("set");
+        faults.fail(Fault::Connect, libc::EADDRNOTAVAIL, ALWAYS).expect("set");
         node.reload(&at(&elsewhere.address.to_string())(node.config()));
         thread::sleep(Duration::from_secs(3));
         faults.clear().expect("set");
@@ -318,21 +318,21 @@
     assert_eq!(client.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
     until("a first call", || endpoint.calls() == 1);
     for (round, errno) in (1..).zip([libc::ENOSPC, libc::ENOMEM]) {
-        faults.fail(Word::EpollAdd, errno, 700).expect("set");
+        faults.fail(Fault::EpollAdd, errno, 700).expect("set");
         for id in 0..10 {
             assert_eq!(client.hand_in("payment", round * 100 + id, 3, LONG, b"x").status(), 202);
         }
         until("a call of each", || endpoint.calls() as u64 > round * 10);
         faults.clear().expect("set");
     }
-    assert!(faults.injected(Word::EpollAdd).expect("a count") > 0, "never injected");
+    assert!(faults.injected_count(Fault::EpollAdd).expect("a count") > 0, "never injected");
     assert_eq!(endpoint.calls(), 21, "each once");
 }
 
 #[test]
 fn signals_that_come_while_socket_calls_are_interrupted_are_heeded_and_end_nothing() {
     let (mut node, endpoint, faults) = one(|_| answer("200 OK", "", ""));
-    faults.fail(Word::SocketIo, libc::EINTR, 500).expect("set");
+    faults.fail(Fault::SocketIo, libc::EINTR, 500).expect("set");
     for id in 1..=20 {
         node.signal("-HUP");
         assert_eq!(node.hand_in("payment", id, 3, LONG, b"x").status(), 202);
@@ -351,7 +351,7 @@
     let mut client = Client::new(node.address);
     assert_eq!(client.hand_in("payment", 1, 3, LONG, b"x").status(), 202);
     until("its call", || endpoint.calls() == 1);
-    faults.fail(Word::SocketIo, libc::EINTR, ALWAYS).expect("set");
+    faults.fail(Fault::SocketIo, libc::EINTR, ALWAYS).expect("set");
     let before = Needs::of(node.process()).cpu_seconds;
     client.send("POST /payment", &headers("0000000000000002", "payment", "9000", "3"), b"x");
     thread::sleep(Duration::from_secs(2));
--- a/crates/daemon/tests/sockets/outage.rs
+++ b/crates/daemon/tests/sockets/outage.rs
@@ -2,7 +2,7 @@
 //! is given back meanwhile, and why.
 
 use crate::world::*;
-use notchpoint_faults::{ALWAYS, Word};
+use notchpoint_faults::{ALWAYS, Fault};
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -51,7 +51,7 @@
         let at = EVERY * id as u32;
         thread::sleep(at.saturating_sub(begun.elapsed()));
         let fails = FAILS.contains(&begun.elapsed());
-        faults.fail(Word::Connect, errno, if fails { ALWAYS } else { 0 }).expect("set");
+        faults.fail(Fault::Connect, errno, if fails { ALWAYS } else { 0 }).expect("set");
         let class = if id % 2 == 0 { "update" } else { "payment" };
         let status = client.hand_in(class, id, id % DESTINATIONS, TIME.as_millis() as u64, b"x").status();
         refused += usize::from(status != 202);
--- a/crates/daemon/tests/sockets/upgrade.rs
+++ b/crates/daemon/tests/sockets/upgrade.rs
@@ -1,7 +1,7 @@
 //! A new process takes over from the old one while it serves.
 
 use crate::world::*;
-use notchpoint_faults::{Faults, Word};
+use notchpoint_faults::{Fault, FaultController};
 use std::io::{Read, Write};
 use std::os::unix::net::UnixListener;
 use std::process::Command;
@@ -272,16 +272,16 @@
 }
 
 /// An old process that has read the beginning of payment 1, and a new one whose next record takes so long.
-fn handing_on(by: Duration) -> (Endpoint, Node, Faults, Client, Old) {
+fn handing_on(by: Duration) -> (Endpoint, Node, FaultController, Client, Old) {
     let endpoint = Endpoint::new(|_| ok());
     let (mut node, faults) = Node::held_with_faults(&[member("s-1", endpoint.address, "shop", 3, "up")]);
     let mut client = Client::new(node.address);
     client.raw(&payment(1)[..40]);
     assert_eq!(node.ask("GET /up", &[], b"").status(), 200);
     let old = node.upgrade();
-    faults.slow_writes(by).expect("set");
+    faults.delay_writes(by).expect("set");
     client.raw(&payment(1)[40..]);
-    until("its record", || faults.injected(Word::SlowWrite).expect("a count") > 0);
+    until("its record", || faults.injected_count(Fault::SlowWrite).expect("a count") > 0);
     (endpoint, node, faults, client, old)
 }
 
@@ -297,7 +297,7 @@
     // then read the folder, where the record was ("this process serves again (ReloadFromStore)" in its log).
     let (endpoint, mut node, faults, mut client, _old) = handing_on(Duration::from_secs(2));
     node.kill();
-    faults.slow_writes(Duration::ZERO).expect("set");
+    faults.delay_writes(Duration::ZERO).expect("set");
     let said = client.until_end();
     until("the old one serves", || node.hand_in("update", 2, 3, LONG, b"x").status() == 202);
     until("its call", || has_run(&endpoint, 2));
@@ -316,7 +316,7 @@
     let (endpoint, node, faults, client, mut old) = handing_on(Duration::from_secs(1));
     drop(client);
     thread::sleep(Duration::from_millis(200));
-    faults.slow_writes(Duration::ZERO).expect("set");
+    faults.delay_writes(Duration::ZERO).expect("set");
     assert!(old.left());
     assert_eq!(node.hand_in("update", 2, 3, LONG, b"x").status(), 202);
     until("its call", || has_run(&endpoint, 2));
--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -1,7 +1,7 @@
 //! What stands round the program in the tests: endpoints, the platform, clients, all on loopback sockets.
 //! It waits on conditions; the one time limit is only there so that a failing test ends.
 
-use notchpoint_faults::{Faults, Word};
+use notchpoint_faults::{Fault, FaultController};
 use std::collections::BTreeMap;
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -352,16 +352,16 @@
 
     /// One whose system calls can be made to fail. Gives what controls that beside it; it goes on over
     /// restarts.
-    pub fn with_faults(members: &[String], change: impl Fn(String) -> String) -> (Self, Faults) {
+    pub fn with_faults(members: &[String], change: impl Fn(String) -> String) -> (Self, FaultController) {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = Faults::create(&folder.path().join(FAULTS)).expect("a control file");
+        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
         (Self::build_in(folder, members, change, None, false), faults)
     }
 
     /// One whose clients' socket the test holds, and whose system calls can be made to fail.
-    pub fn held_with_faults(members: &[String]) -> (Self, Faults) {
+    pub fn held_with_faults(members: &[String]) -> (Self, FaultController) {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = Faults::create(&folder.path().join(FAULTS)).expect("a control file");
+        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
         (Self::build_in(folder, members, |text| text, None, true), faults)
     }
 
@@ -369,8 +369,8 @@
     /// starts: so many times in a thousand each.
     pub fn held_short_of_sockets(members: &[String], per_mille: u32, span: Duration) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = Faults::create(&folder.path().join(FAULTS)).expect("a control file");
-        faults.fail(Word::Socket, libc::ENFILE, per_mille).expect("set");
+        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
+        faults.fail(Fault::Socket, libc::ENFILE, per_mille).expect("set");
         thread::spawn(move || {
             thread::sleep(span);
             faults.clear().expect("set");
--- a/crates/emulator/examples/curves.rs
+++ b/crates/emulator/examples/curves.rs
@@ -6,7 +6,7 @@
 //! throughput, over steady loads and over the seconds of a warm-up.
 
 use notchpoint_emulator::probe::{Answered, offer};
-use notchpoint_emulator::{Change, Cold, Micros, Partner, Service, Spec};
+use notchpoint_emulator::{Change, ColdStart, Micros, Partner, PartnerSpec, Service};
 use plotters::prelude::*;
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -20,8 +20,8 @@
 /// What four slots of 50 ms can do.
 const CAPACITY: f64 = SLOTS as f64 / MEAN_MS * 1e3;
 const RATE: f64 = 30.0;
-const COLD: Cold =
-    Cold { start_share: 0.2, warm_s: 10.0, fall_multiple: 100.0, fall_after_s: 1.0, down_s: 3.0 };
+const COLD: ColdStart =
+    ColdStart { start_share: 0.2, warm_s: 10.0, fall_multiple: 100.0, fall_after_s: 1.0, down_s: 3.0 };
 
 type Failure = Box<dyn std::error::Error>;
 type Line = (&'static str, RGBColor, Vec<(f64, f64)>);
@@ -30,9 +30,9 @@
 const STATED: RGBColor = RGBColor(120, 120, 120);
 const REFUSED: RGBColor = RGBColor(190, 40, 40);
 
-fn spec(cv: f64) -> Spec {
+fn spec(cv: f64) -> PartnerSpec {
     let service = BTreeMap::from([("default".to_owned(), Service { mean_ms: MEAN_MS, cv })]);
-    Spec { slots: SLOTS, queue: 8, service, ..Spec::default() }
+    PartnerSpec { slots: SLOTS, queue: 8, service, ..PartnerSpec::default() }
 }
 
 fn plot(path: PathBuf, title: &str, x: &str, lines: &[Line]) -> Result<(), Failure> {
@@ -104,7 +104,8 @@
     let (mut served, mut stated) = (vec![], vec![]);
     for step in 1..=24 {
         let offered = f64::from(step) * 2.5;
-        let mut p = Partner::new(Spec { rate_per_s: Some(RATE), burst: 5.0, slots: 50, ..spec(0.5) }, 2, 7);
+        let mut p =
+            Partner::new(PartnerSpec { rate_per_s: Some(RATE), burst: 5.0, slots: 50, ..spec(0.5) }, 2, 7);
         let (s, r, ms) = measure(&offer(&mut p, &[0, 1], 0, SECONDS, offered));
         let can = offered.min(RATE + 5.0 / SECONDS);
         worst = worst.max((s - can).abs() / can);
@@ -116,10 +117,10 @@
     let title = "30 calls a second over two endpoints: calls served a second";
     plot(folder.join("rate.svg"), title, "offered, calls a second", &lines)?;
 
-    let mut p = Partner::new(Spec { cold: Some(COLD), ..spec(0.5) }, 1, 7);
+    let mut p = Partner::new(PartnerSpec { cold: Some(COLD), ..spec(0.5) }, 1, 7);
     let mut out = Vec::new();
-    p.change(0, 0, Change::Die, &mut out);
-    p.change(SEC, 0, Change::Return, &mut out);
+    p.apply_change(0, 0, Change::Die, &mut out);
+    p.apply_change(SEC, 0, Change::Return, &mut out);
     let answers = offer(&mut p, &[0], SEC, 20.0, 2.0 * CAPACITY);
     let (mut served, mut stated) = (vec![], vec![]);
     for second in 0..20u64 {
--- a/crates/emulator/src/ledger.rs
+++ b/crates/emulator/src/ledger.rs
@@ -18,18 +18,18 @@
     /// Its caller had gone by then.
     pub abandoned: bool,
     /// It was dropped as a repeat: no second effect.
-    pub dropped: bool,
+    pub is_duplicate: bool,
 }
 
 /// A call that came.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct CallRecord {
     /// Its number.
     pub call: CallId,
     /// When its first byte came.
-    pub first: Micros,
+    pub first_byte_at: Micros,
     /// When its last byte came.
-    pub at: Micros,
+    pub received_at: Micros,
     /// At which endpoint.
     pub endpoint: usize,
     /// Which sender made it.
@@ -37,11 +37,11 @@
     /// The messages in it.
     pub messages: Vec<u64>,
     /// When it was answered, with which status; 0 for what is no answer.
-    pub answered: Option<(Micros, u16)>,
+    pub answer: Option<(Micros, u16)>,
     /// How long the answer told to wait.
-    pub wait: Option<Micros>,
+    pub retry_after: Option<Micros>,
     /// When its caller was gone.
-    pub gone: Option<Micros>,
+    pub caller_gone_at: Option<Micros>,
 }
 
 /// All of it. It grows with the run; a run has an end.
@@ -50,7 +50,7 @@
     /// In the order of time.
     pub effects: Vec<Effect>,
     /// In the order of their numbers, which is that of time.
-    pub calls: Vec<Seen>,
+    pub calls: Vec<CallRecord>,
     /// When an endpoint that was still cold got too much and fell over.
-    pub falls: Vec<(Micros, usize)>,
+    pub overload_failures: Vec<(Micros, usize)>,
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -10,9 +10,9 @@
 pub mod probe;
 pub mod spec;
 
-pub use ledger::{CallId, Effect, Ledger, Seen};
-pub use partner::{Change, Done, Partner, Reply, Word};
-pub use spec::{Cold, Faults, Service, Spec, Thrash};
+pub use ledger::{CallId, CallRecord, Effect, Ledger};
+pub use partner::{Change, Completion, MessageResult, Partner, Reply};
+pub use spec::{ColdStart, Faults, PartnerSpec, Service, Thrash};
 
 /// A moment or a span, in microseconds.
 pub type Micros = u64;
--- a/crates/emulator/src/partner.rs
+++ b/crates/emulator/src/partner.rs
@@ -1,8 +1,8 @@
 //! The model of a partner.
 
 use crate::Micros;
-use crate::ledger::{CallId, Effect, Ledger, Seen};
-use crate::spec::{Cold, Faults, Spec};
+use crate::ledger::{CallId, CallRecord, Effect, Ledger};
+use crate::spec::{ColdStart, Faults, PartnerSpec};
 use rand::{Rng, SeedableRng};
 use rand_distr::{Distribution, LogNormal};
 use rand_pcg::Pcg64Mcg;
@@ -11,7 +11,7 @@
 
 /// How one message of a call with several ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Word {
+pub enum MessageResult {
     /// Delivered.
     Done,
     /// It may have run.
@@ -24,7 +24,7 @@
     /// A status, and how long to wait.
     Status(u16, Option<Micros>),
     /// The end of each message.
-    Each(Vec<(u64, Word)>),
+    Each(Vec<(u64, MessageResult)>),
     /// Nothing.
     Silent,
     /// The connection is reset.
@@ -39,7 +39,7 @@
 
 /// A call's answer is due.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Done {
+pub struct Completion {
     /// Which call.
     pub call: CallId,
     /// What is answered.
@@ -63,21 +63,21 @@
 
 /// One message of a call, as its endpoint sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Arriving {
+pub struct IncomingMessage {
     /// Its id.
     pub id: u64,
     /// Its class.
     pub class: String,
     /// Repeats of it are dropped for so long after it ran.
-    pub memory: Option<Micros>,
+    pub dedup_window: Option<Micros>,
     /// What is the same for all of its hand-ins, by which repeats are known.
-    pub key: u64,
+    pub dedup_key: u64,
 }
 
 struct Call {
     seen: usize,
     endpoint: usize,
-    messages: Vec<Arriving>,
+    messages: Vec<IncomingMessage>,
     /// Work that is left when it begins.
     work: Micros,
     ends: Option<Micros>,
@@ -102,7 +102,7 @@
 
 /// A destination with its endpoints.
 pub struct Partner {
-    spec: Spec,
+    spec: PartnerSpec,
     endpoints: Vec<Endpoint>,
     calls: BTreeMap<CallId, Call>,
     due: BinaryHeap<Reverse<(Micros, CallId)>>,
@@ -121,7 +121,7 @@
 
 impl Partner {
     /// A partner with so many endpoints, all warm.
-    pub fn new(spec: Spec, endpoints: usize, seed: u64) -> Self {
+    pub fn new(spec: PartnerSpec, endpoints: usize, seed: u64) -> Self {
         let mut partner = Self {
             tokens: spec.burst,
             spec,
@@ -134,19 +134,19 @@
             random: Pcg64Mcg::seed_from_u64(seed),
         };
         for _ in 0..endpoints {
-            partner.add();
+            partner.add_endpoint();
         }
         partner
     }
 
     /// One more endpoint, warm; gives its number.
-    pub fn add(&mut self) -> usize {
+    pub fn add_endpoint(&mut self) -> usize {
         self.endpoints.push(Endpoint { up: true, slow: 1.0, ..Endpoint::default() });
         self.endpoints.len() - 1
     }
 
     /// What it is like.
-    pub fn spec(&self) -> &Spec {
+    pub fn spec(&self) -> &PartnerSpec {
         &self.spec
     }
 
@@ -167,7 +167,7 @@
     }
 
     /// The share of its capacity that an endpoint has: less than 1 while it is cold.
-    pub fn share(&self, endpoint: usize, now: Micros) -> f64 {
+    pub fn capacity_share(&self, endpoint: usize, now: Micros) -> f64 {
         let (Some(cold), Some(e)) = (self.spec.cold, self.endpoints.get(endpoint)) else { return 1.0 };
         e.since.map_or(1.0, |since| share(&cold, now.saturating_sub(since)))
     }
@@ -175,30 +175,30 @@
     /// What an endpoint can do now, in calls a second of this class.
     pub fn capacity(&self, endpoint: usize, class: &str, now: Micros) -> f64 {
         let mean = (self.spec.service(class).mean_ms / 1e3).max(1e-6);
-        f64::from(self.spec.slots) / mean * self.share(endpoint, now)
+        f64::from(self.spec.slots) / mean * self.capacity_share(endpoint, now)
     }
 
     /// A call came whole at `now`, its first byte at `first`.
-    pub fn call(
+    pub fn receive_call(
         &mut self,
         now: Micros,
         first: Micros,
         endpoint: usize,
         sender: usize,
-        messages: Vec<Arriving>,
-        out: &mut Vec<Done>,
+        messages: Vec<IncomingMessage>,
+        out: &mut Vec<Completion>,
     ) -> CallId {
         let call = CallId(self.ledger.calls.len() as u64);
-        self.ledger.calls.push(Seen {
+        self.ledger.calls.push(CallRecord {
             call,
-            first,
-            at: now,
+            first_byte_at: first,
+            received_at: now,
             endpoint,
             sender,
             messages: messages.iter().map(|m| m.id).collect(),
-            answered: None,
-            wait: None,
-            gone: None,
+            answer: None,
+            retry_after: None,
+            caller_gone_at: None,
         });
         self.offer(now, endpoint, messages.first().map_or("", |m| &m.class), out);
         if !self.is_up(endpoint) {
@@ -220,8 +220,8 @@
         now: Micros,
         call: CallId,
         endpoint: usize,
-        messages: Vec<Arriving>,
-        out: &mut Vec<Done>,
+        messages: Vec<IncomingMessage>,
+        out: &mut Vec<Completion>,
     ) {
         let e = &self.endpoints[endpoint];
         let busy = e.serving >= self.spec.slots;
@@ -242,7 +242,7 @@
         }
     }
 
-    fn work(&mut self, messages: &[Arriving]) -> Micros {
+    fn work(&mut self, messages: &[IncomingMessage]) -> Micros {
         let service = messages.first().map_or_else(Default::default, |m| self.spec.service(&m.class));
         let more = 1.0 + self.spec.each_more * messages.len().saturating_sub(1) as f64;
         let one = if service.cv > 0.0 && service.mean_ms > 0.0 {
@@ -259,7 +259,7 @@
     fn begin(&mut self, now: Micros, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else { return };
         let endpoint = c.endpoint;
-        let share = self.share(endpoint, now);
+        let share = self.capacity_share(endpoint, now);
         let e = &mut self.endpoints[endpoint];
         e.serving += 1;
         let load = (f64::from(e.serving) + e.queue.len() as f64) / f64::from(self.spec.slots);
@@ -285,7 +285,7 @@
     }
 
     /// A cold endpoint that gets too much for too long falls over, and what it was working on is lost.
-    fn offer(&mut self, now: Micros, endpoint: usize, class: &str, out: &mut Vec<Done>) {
+    fn offer(&mut self, now: Micros, endpoint: usize, class: &str, out: &mut Vec<Completion>) {
         let (Some(cold), Some(since)) = (self.spec.cold, self.endpoints[endpoint].since) else { return };
         let span = (cold.fall_after_s * 1e6) as Micros;
         let full = self.capacity(endpoint, class, Micros::MAX);
@@ -304,18 +304,18 @@
         }
         let middle = share(&cold, now - span / 2 - since);
         if e.offered.len() as f64 > (full * middle * cold.fall_multiple * cold.fall_after_s).max(1.0) {
-            self.ledger.falls.push((now, endpoint));
-            self.change(now, endpoint, Change::Die, out);
+            self.ledger.overload_failures.push((now, endpoint));
+            self.apply_change(now, endpoint, Change::Die, out);
             self.endpoints[endpoint].fallen = Some(now + (cold.down_s * 1e6) as Micros);
         }
     }
 
     /// The caller of a call has gone. What is in service runs on; what waits may.
-    pub fn gone(&mut self, now: Micros, call: CallId) {
+    pub fn abandon_call(&mut self, now: Micros, call: CallId) {
         let Some(c) = self.calls.get_mut(&call) else { return };
         c.gone = true;
         let (seen, endpoint, waits) = (c.seen, c.endpoint, c.ends.is_none());
-        self.ledger.calls[seen].gone.get_or_insert(now);
+        self.ledger.calls[seen].caller_gone_at.get_or_insert(now);
         if waits && !self.spec.runs_abandoned {
             self.endpoints[endpoint].queue.retain(|w| *w != call);
             self.calls.remove(&call);
@@ -323,7 +323,7 @@
     }
 
     /// Does to an endpoint what the scenario says.
-    pub fn change(&mut self, now: Micros, endpoint: usize, change: Change, out: &mut Vec<Done>) {
+    pub fn apply_change(&mut self, now: Micros, endpoint: usize, change: Change, out: &mut Vec<Completion>) {
         let Some(e) = self.endpoints.get_mut(endpoint) else { return };
         match change {
             Change::Pause(span) => {
@@ -358,17 +358,17 @@
     }
 
     /// When [`Self::poll`] is to be called next.
-    pub fn wake(&self) -> Option<Micros> {
+    pub fn next_wake(&self) -> Option<Micros> {
         let back = self.endpoints.iter().filter_map(|e| e.fallen).min();
         let due = self.due.peek().map(|d| d.0.0);
         back.into_iter().chain(due).min()
     }
 
     /// Does all that is due.
-    pub fn poll(&mut self, now: Micros, out: &mut Vec<Done>) {
+    pub fn poll(&mut self, now: Micros, out: &mut Vec<Completion>) {
         for endpoint in 0..self.endpoints.len() {
             if self.endpoints[endpoint].fallen.is_some_and(|t| t <= now) {
-                self.change(now, endpoint, Change::Return, out);
+                self.apply_change(now, endpoint, Change::Return, out);
             }
         }
         while let Some(&Reverse((at, call))) = self.due.peek()
@@ -382,23 +382,24 @@
         }
     }
 
-    fn finish(&mut self, at: Micros, call: CallId, out: &mut Vec<Done>) {
+    fn finish(&mut self, at: Micros, call: CallId, out: &mut Vec<Completion>) {
         let Some(c) = self.calls.remove(&call) else { return };
         let mut words = Vec::with_capacity(c.messages.len());
         for m in &c.messages {
             let failed = self.spec.error_share > 0.0 && self.random.random_bool(self.spec.error_share);
             let ran = !failed || self.random.random_bool(self.spec.error_ran_share);
-            words.push((m.id, if failed { Word::Failed } else { Word::Done }));
+            words.push((m.id, if failed { MessageResult::Failed } else { MessageResult::Done }));
             if ran {
-                let dropped = self.known.get(&m.key).is_some_and(|&until| m.memory.is_some() && at < until);
-                if let Some(memory) = m.memory.filter(|_| !dropped) {
+                let is_duplicate =
+                    self.known.get(&m.dedup_key).is_some_and(|&until| m.dedup_window.is_some() && at < until);
+                if let Some(window) = m.dedup_window.filter(|_| !is_duplicate) {
                     if self.known.len() >= KNOWN {
                         self.known.retain(|_, until| *until > at);
                     }
-                    self.known.insert(m.key, at + memory);
+                    self.known.insert(m.dedup_key, at + window);
                 }
                 let (message, endpoint, abandoned) = (m.id, c.endpoint, c.gone);
-                self.ledger.effects.push(Effect { at, message, endpoint, abandoned, dropped });
+                self.ledger.effects.push(Effect { at, message, endpoint, abandoned, is_duplicate });
             }
         }
         let e = &mut self.endpoints[c.endpoint];
@@ -413,7 +414,7 @@
         }
     }
 
-    fn reply(&mut self, words: Vec<(u64, Word)>, faults: &Faults) -> Reply {
+    fn reply(&mut self, words: Vec<(u64, MessageResult)>, faults: &Faults) -> Reply {
         if *faults != Faults::default() {
             let mut x: f64 = self.random.random();
             for (share, reply) in [
@@ -430,25 +431,25 @@
             }
         }
         match &words[..] {
-            [(_, Word::Done)] => Reply::Status(200, None),
-            [(_, Word::Failed)] => Reply::Status(500, None),
+            [(_, MessageResult::Done)] => Reply::Status(200, None),
+            [(_, MessageResult::Failed)] => Reply::Status(500, None),
             _ => Reply::Each(words),
         }
     }
 
-    fn answer(&mut self, now: Micros, call: CallId, reply: Reply, out: &mut Vec<Done>) {
+    fn answer(&mut self, now: Micros, call: CallId, reply: Reply, out: &mut Vec<Completion>) {
         let seen = &mut self.ledger.calls[call.0 as usize];
         let (status, wait) = match reply {
             Reply::Status(status, wait) => (status, wait),
             Reply::Each(_) => (200, None),
             _ => (0, None),
         };
-        (seen.answered, seen.wait) = (Some((now, status)), wait);
-        out.push(Done { call, reply });
+        (seen.answer, seen.retry_after) = (Some((now, status)), wait);
+        out.push(Completion { call, reply });
     }
 }
 
-fn share(cold: &Cold, up_for: Micros) -> f64 {
+fn share(cold: &ColdStart, up_for: Micros) -> f64 {
     let warm = (cold.warm_s * 1e6).max(1.0);
     (cold.start_share + (1.0 - cold.start_share) * up_for as f64 / warm).min(1.0)
 }
--- a/crates/emulator/src/probe.rs
+++ b/crates/emulator/src/probe.rs
@@ -1,8 +1,8 @@
 //! Offers calls to a partner evenly and says what came of them: for tests and plots that hold a model to its
 //! parameters.
 
-use crate::partner::Arriving;
-use crate::{CallId, Done, Micros, Partner, Reply};
+use crate::partner::IncomingMessage;
+use crate::{CallId, Completion, Micros, Partner, Reply};
 use std::collections::BTreeMap;
 
 /// What came of a call.
@@ -29,8 +29,8 @@
 }
 
 /// A call with one message of the class `update`.
-pub fn message(id: u64) -> Vec<Arriving> {
-    vec![Arriving { id, class: "update".into(), memory: None, key: id }]
+pub fn message(id: u64) -> Vec<IncomingMessage> {
+    vec![IncomingMessage { id, class: "update".into(), dedup_window: None, dedup_key: id }]
 }
 
 /// Offers `rate` calls a second, evenly, from `from` on for so many seconds, in turn to all endpoints that
@@ -44,8 +44,8 @@
 ) -> BTreeMap<CallId, Answered> {
     let mut answers = BTreeMap::new();
     let mut began = BTreeMap::new();
-    let mut out: Vec<Done> = Vec::new();
-    let mut settle = |out: &mut Vec<Done>, began: &BTreeMap<CallId, Micros>, answered: Micros| {
+    let mut out: Vec<Completion> = Vec::new();
+    let mut settle = |out: &mut Vec<Completion>, began: &BTreeMap<CallId, Micros>, answered: Micros| {
         for d in out.drain(..) {
             if let Some(&at) = began.get(&d.call) {
                 answers.insert(d.call, Answered { at, answered, reply: d.reply });
@@ -54,16 +54,16 @@
     };
     for n in 0..(seconds * rate) as u64 {
         let at = from + (n as f64 / rate * 1e6) as Micros;
-        while let Some(wake) = partner.wake().filter(|w| *w <= at) {
+        while let Some(wake) = partner.next_wake().filter(|w| *w <= at) {
             partner.poll(wake, &mut out);
             settle(&mut out, &began, wake);
         }
         let endpoint = endpoints[n as usize % endpoints.len()];
-        let call = partner.call(at, at, endpoint, 0, message(from + n), &mut out);
+        let call = partner.receive_call(at, at, endpoint, 0, message(from + n), &mut out);
         began.insert(call, at);
         settle(&mut out, &began, at);
     }
-    while let Some(wake) = partner.wake() {
+    while let Some(wake) = partner.next_wake() {
         partner.poll(wake, &mut out);
         settle(&mut out, &began, wake);
     }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -6,7 +6,7 @@
 /// A partner. Limits hold for each of its endpoints unless said otherwise.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
-pub struct Spec {
+pub struct PartnerSpec {
     /// Calls served at once.
     pub slots: u32,
     /// Calls that wait for a slot; more are refused.
@@ -24,7 +24,7 @@
     /// How long a refusal for a full queue tells to wait, in milliseconds; absent: no hint.
     pub full_hint_ms: Option<u64>,
     /// What it is like after an outage.
-    pub cold: Option<Cold>,
+    pub cold: Option<ColdStart>,
     /// How it slows down under load.
     pub thrash: Option<Thrash>,
     /// Share of calls that end with an error.
@@ -55,7 +55,7 @@
 /// After an outage: what share of its capacity it has at first, and when it falls over.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
-pub struct Cold {
+pub struct ColdStart {
     /// Share of its capacity in the first moment, growing evenly to all of it.
     pub start_share: f64,
     /// Seconds until it has all of it.
@@ -94,7 +94,7 @@
     pub trickle: f64,
 }
 
-impl Default for Spec {
+impl Default for PartnerSpec {
     fn default() -> Self {
         Self {
             slots: 4,
@@ -146,7 +146,7 @@
     }
 }
 
-impl Spec {
+impl PartnerSpec {
     /// Says the first key that makes no sense.
     ///
     /// # Errors
--- a/crates/faults-shim/src/lib.rs
+++ b/crates/faults-shim/src/lib.rs
@@ -8,7 +8,7 @@
 #![allow(clippy::missing_safety_doc)]
 
 use libc::{c_char, c_int, c_long, c_void, clockid_t, mode_t, off64_t, size_t, ssize_t, timespec};
-use notchpoint_faults::{ALWAYS, CONTROL_VARIABLE, WORDS, Word, unpacked};
+use notchpoint_faults::{ALWAYS, CONTROL_VARIABLE, CONTROL_WORDS, Fault, unpack_setting};
 use std::ffi::CString;
 use std::sync::OnceLock;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -24,8 +24,8 @@
 static CUT_SHORT: AtomicBool = AtomicBool::new(false);
 
 /// The control file, mapped; none where the process was not told of one.
-fn control() -> Option<&'static [AtomicU64; WORDS]> {
-    static CONTROL: OnceLock<Option<&'static [AtomicU64; WORDS]>> = OnceLock::new();
+fn control() -> Option<&'static [AtomicU64; CONTROL_WORDS]> {
+    static CONTROL: OnceLock<Option<&'static [AtomicU64; CONTROL_WORDS]>> = OnceLock::new();
     *CONTROL.get_or_init(|| {
         let path = CString::new(std::env::var_os(CONTROL_VARIABLE)?.into_encoded_bytes()).ok()?;
         // SAFETY: the path ends with a nul byte; the file has the length that is mapped, and stays mapped.
@@ -35,7 +35,8 @@
                 return None;
             }
             let (all, shared) = (libc::PROT_READ | libc::PROT_WRITE, libc::MAP_SHARED);
-            let words = libc::mmap(std::ptr::null_mut(), WORDS * size_of::<u64>(), all, shared, fd, 0);
+            let words =
+                libc::mmap(std::ptr::null_mut(), CONTROL_WORDS * size_of::<u64>(), all, shared, fd, 0);
             libc::syscall(libc::SYS_close, fd);
             (words != libc::MAP_FAILED).then(|| &*words.cast())
         }
@@ -52,9 +53,9 @@
 }
 
 /// The error number with which this call fails, if it does. The injection is counted.
-fn fault(what: Word) -> Option<c_int> {
+fn fault(what: Fault) -> Option<c_int> {
     let control = control()?;
-    let (errno, per_mille) = unpacked(control[what as usize].load(Ordering::Relaxed));
+    let (errno, per_mille) = unpack_setting(control[what as usize].load(Ordering::Relaxed));
     if !is_drawn(per_mille) {
         return None;
     }
@@ -85,7 +86,7 @@
         let result = libc::syscall(libc::SYS_clock_gettime, clock, time) as c_int;
         let wall = matches!(clock, libc::CLOCK_REALTIME | libc::CLOCK_REALTIME_COARSE);
         if let Some(control) = control().filter(|_| wall && result == 0) {
-            let step = control[Word::WallStep as usize].load(Ordering::Relaxed) as i64;
+            let step = control[Fault::WallClockOffset as usize].load(Ordering::Relaxed) as i64;
             let nanos = (*time).tv_nsec + step.rem_euclid(MICROS_PER_SECOND) * NANOS_PER_MICRO;
             let second = MICROS_PER_SECOND * NANOS_PER_MICRO;
             (*time).tv_sec += step.div_euclid(MICROS_PER_SECOND) + nanos.div_euclid(second);
@@ -101,7 +102,7 @@
     // SAFETY: as the caller's own call.
     unsafe {
         if i32::from((*to).sa_family) == libc::AF_INET
-            && let Some(errno) = fault(Word::Connect)
+            && let Some(errno) = fault(Fault::Connect)
         {
             return fail(errno);
         }
@@ -120,11 +121,11 @@
             if CUT_SHORT.swap(false, Ordering::Relaxed)
                 && let Some(control) = control()
             {
-                let (errno, _) = unpacked(control[Word::FileWrite as usize].load(Ordering::Relaxed));
+                let (errno, _) = unpack_setting(control[Fault::FileWrite as usize].load(Ordering::Relaxed));
                 return fail(if errno == 0 { libc::ENOSPC } else { errno }) as ssize_t;
             }
-            if let Some(errno) = fault(Word::FileWrite) {
-                if len < 2 || fault(Word::HalfWritten).is_none() {
+            if let Some(errno) = fault(Fault::FileWrite) {
+                if len < 2 || fault(Fault::PartialWrite).is_none() {
                     return fail(errno) as ssize_t;
                 }
                 CUT_SHORT.store(true, Ordering::Relaxed);
@@ -140,12 +141,12 @@
 }
 
 /// Waits for as long as writes are to take longer, and leaves the error number as it is.
-fn wait(control: &[AtomicU64; WORDS]) {
-    let micros = control[Word::SlowWrite as usize].load(Ordering::Relaxed);
+fn wait(control: &[AtomicU64; CONTROL_WORDS]) {
+    let micros = control[Fault::SlowWrite as usize].load(Ordering::Relaxed);
     if micros == 0 {
         return;
     }
-    control[Word::SlowWrite.counter()].fetch_add(1, Ordering::Relaxed);
+    control[Fault::SlowWrite.counter()].fetch_add(1, Ordering::Relaxed);
     // SAFETY: the address of this thread's own error number.
     let errno = unsafe { *libc::__errno_location() };
     std::thread::sleep(std::time::Duration::from_micros(micros));
@@ -156,14 +157,14 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fdatasync(fd: c_int) -> c_int {
     // SAFETY: as the caller's own call.
-    fault(Word::Sync).map_or_else(|| unsafe { libc::syscall(libc::SYS_fdatasync, fd) as c_int }, fail)
+    fault(Fault::Sync).map_or_else(|| unsafe { libc::syscall(libc::SYS_fdatasync, fd) as c_int }, fail)
 }
 
 /// Has a file outlast a loss of power.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn fsync(fd: c_int) -> c_int {
     // SAFETY: as the caller's own call.
-    fault(Word::Sync).map_or_else(|| unsafe { libc::syscall(libc::SYS_fsync, fd) as c_int }, fail)
+    fault(Fault::Sync).map_or_else(|| unsafe { libc::syscall(libc::SYS_fsync, fd) as c_int }, fail)
 }
 
 /// Cuts a file.
@@ -171,7 +172,7 @@
 pub unsafe extern "C" fn ftruncate64(fd: c_int, len: off64_t) -> c_int {
     // SAFETY: as the caller's own call.
     let cut = || unsafe { libc::syscall(libc::SYS_ftruncate, fd, len) as c_int };
-    fault(Word::FileOperation).map_or_else(cut, fail)
+    fault(Fault::FileOperation).map_or_else(cut, fail)
 }
 
 /// Renames a file.
@@ -180,7 +181,7 @@
     // SAFETY: as the caller's own call.
     let renamed =
         || unsafe { libc::syscall(libc::SYS_renameat, libc::AT_FDCWD, from, libc::AT_FDCWD, to) as c_int };
-    fault(Word::FileOperation).map_or_else(renamed, fail)
+    fault(Fault::FileOperation).map_or_else(renamed, fail)
 }
 
 /// Removes a file.
@@ -188,7 +189,7 @@
 pub unsafe extern "C" fn unlink(path: *const c_char) -> c_int {
     // SAFETY: as the caller's own call.
     let removed = || unsafe { libc::syscall(libc::SYS_unlinkat, libc::AT_FDCWD, path, 0) as c_int };
-    fault(Word::FileOperation).map_or_else(removed, fail)
+    fault(Fault::FileOperation).map_or_else(removed, fail)
 }
 
 /// Reads from a file.
@@ -196,7 +197,7 @@
 pub unsafe extern "C" fn read(fd: c_int, bytes: *mut c_void, len: size_t) -> ssize_t {
     if control().is_some()
         && is_file(fd)
-        && let Some(errno) = fault(Word::FileRead)
+        && let Some(errno) = fault(Fault::FileRead)
     {
         return fail(errno) as ssize_t;
     }
@@ -208,7 +209,7 @@
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn open64(path: *const c_char, flags: c_int, mode: mode_t) -> c_int {
     let writes = flags & (libc::O_WRONLY | libc::O_RDWR) != 0;
-    if let Some(errno) = fault(if writes { Word::FileOperation } else { Word::FileRead }) {
+    if let Some(errno) = fault(if writes { Fault::FileOperation } else { Fault::FileRead }) {
         return fail(errno);
     }
     // SAFETY: as the caller's own call; where no file is made, the mode means nothing.
@@ -220,7 +221,7 @@
 pub unsafe extern "C" fn socket(domain: c_int, kind: c_int, protocol: c_int) -> c_int {
     // SAFETY: as the caller's own call.
     let made = || unsafe { libc::syscall(libc::SYS_socket, domain, kind, protocol) as c_int };
-    fault(Word::Socket).map_or_else(made, fail)
+    fault(Fault::Socket).map_or_else(made, fail)
 }
 
 /// Has the system watch a descriptor. Only adding one can be made to fail.
@@ -232,7 +233,7 @@
     event: *mut libc::epoll_event,
 ) -> c_int {
     let adds = operation == libc::EPOLL_CTL_ADD;
-    if let Some(errno) = adds.then(|| fault(Word::EpollAdd)).flatten() {
+    if let Some(errno) = adds.then(|| fault(Fault::EpollAdd)).flatten() {
         return fail(errno);
     }
     // SAFETY: as the caller's own call.
@@ -249,7 +250,7 @@
 ) -> c_int {
     // SAFETY: as the caller's own call.
     let taken = || unsafe { libc::syscall(libc::SYS_accept4, fd, from, len, flags) as c_int };
-    fault(Word::Accept).map_or_else(taken, fail)
+    fault(Fault::Accept).map_or_else(taken, fail)
 }
 
 /// Sets a socket's option.
@@ -262,7 +263,7 @@
     len: libc::socklen_t,
 ) -> c_int {
     let nodelay = level == libc::IPPROTO_TCP && name == libc::TCP_NODELAY;
-    if let Some(errno) = nodelay.then(|| fault(Word::NoDelay)).flatten() {
+    if let Some(errno) = nodelay.then(|| fault(Fault::NoDelay)).flatten() {
         return fail(errno);
     }
     // SAFETY: as the caller's own call.
@@ -284,7 +285,7 @@
         *mut c_void,
     ) -> c_int;
     // Its error number is its result.
-    if let Some(errno) = fault(Word::Thread) {
+    if let Some(errno) = fault(Fault::ThreadCreate) {
         return errno;
     }
     // SAFETY: the C library's own function of this name and signature, called as the caller does.
@@ -302,10 +303,10 @@
 pub unsafe extern "C" fn recv(fd: c_int, bytes: *mut c_void, len: size_t, flags: c_int) -> ssize_t {
     let mut len = len;
     if flags & libc::MSG_PEEK == 0 {
-        if let Some(errno) = fault(Word::SocketIo) {
+        if let Some(errno) = fault(Fault::SocketIo) {
             return fail(errno) as ssize_t;
         }
-        len = if fault(Word::ShortIo).is_some() { len.min(1) } else { len };
+        len = if fault(Fault::ShortIo).is_some() { len.min(1) } else { len };
     }
     let no_address = std::ptr::null_mut::<c_void>();
     // SAFETY: as the caller's own call, or for fewer bytes.
@@ -315,10 +316,10 @@
 /// Writes to a socket.
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(fd: c_int, bytes: *const c_void, len: size_t, flags: c_int) -> ssize_t {
-    if let Some(errno) = fault(Word::SocketIo) {
+    if let Some(errno) = fault(Fault::SocketIo) {
         return fail(errno) as ssize_t;
     }
-    let len = if fault(Word::ShortIo).is_some() { len.min(1) } else { len };
+    let len = if fault(Fault::ShortIo).is_some() { len.min(1) } else { len };
     let no_address = std::ptr::null::<c_void>();
     let no_length: c_long = 0;
     // SAFETY: as the caller's own call, or for fewer bytes.
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -1,9 +1,9 @@
 //! Fault injection for processes under test.
 //!
-//! [`Faults`] is the controlling side: a file of 64-bit words that a test or the soak program writes and that
-//! the shim (`crates/faults-shim`, loaded with `LD_PRELOAD`) maps into the process under test. A change takes
-//! effect with the process's next system call. The shim counts what it injects, so that a test can tell that
-//! its fault has happened.
+//! [`FaultController`] is the controlling side: a file of 64-bit words that a test or the soak program
+//! writes and that the shim (`crates/faults-shim`, loaded with `LD_PRELOAD`) maps into the process under
+//! test. A change takes effect with the next system call of the process. The shim counts the faults that it
+//! injects, so that a test can verify that its fault has happened.
 #![warn(missing_docs)]
 
 use std::fs::{File, OpenOptions};
@@ -16,11 +16,11 @@
 /// Names the control file to the shim.
 pub const CONTROL_VARIABLE: &str = "NOTCHPOINT_FAULTS";
 /// File name of the shim, as cargo builds it.
-pub const SHIM_FILE: &str = "libnotchpoint_faults_shim.so";
-/// Words in the control file: one setting for each [`Word`], and behind them one counter for each.
-pub const WORDS: usize = 32;
+pub const SHIM_FILE_NAME: &str = "libnotchpoint_faults_shim.so";
+/// Words in the control file: one setting for each [`Fault`], and behind them one counter for each.
+pub const CONTROL_WORDS: usize = 32;
 /// Where the counters begin.
-pub const COUNTERS: usize = 16;
+pub const FIRST_COUNTER: usize = 16;
 /// Probabilities are given in thousandths.
 pub const ALWAYS: u32 = 1_000;
 
@@ -29,15 +29,15 @@
 /// What can be made to fail, by its place in the control file.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
-pub enum Word {
+pub enum Fault {
     /// Microseconds that are added to the wall clock, as a signed number.
-    WallStep = 0,
+    WallClockOffset = 0,
     /// `connect` to an IPv4 address.
     Connect = 1,
     /// `write` to a regular file.
     FileWrite = 2,
     /// Thousandths of the failing writes that leave half of their bytes behind.
-    HalfWritten = 3,
+    PartialWrite = 3,
     /// `fsync` and `fdatasync`.
     Sync = 4,
     /// `rename`, `unlink`, `ftruncate` and opening for writing.
@@ -51,7 +51,7 @@
     /// Thousandths of the `recv` and `send` calls that handle one byte only.
     ShortIo = 9,
     /// `pthread_create`.
-    Thread = 10,
+    ThreadCreate = 10,
     /// Opening a file for reading, and `read` from a regular file.
     FileRead = 11,
     /// `socket`.
@@ -62,37 +62,37 @@
     SlowWrite = 14,
 }
 
-impl Word {
+impl Fault {
     /// Offset of its counter in the control file, in words.
     pub const fn counter(self) -> usize {
-        COUNTERS + self as usize
+        FIRST_COUNTER + self as usize
     }
 }
 
 /// Packs an error number and how often it is given.
-pub const fn packed(errno: i32, per_mille: u32) -> u64 {
+pub const fn pack_setting(errno: i32, per_mille: u32) -> u64 {
     ((errno as u64) << 32) | per_mille as u64
 }
 
-/// Takes a packed setting apart: the error number and thousandths.
-pub const fn unpacked(word: u64) -> (i32, u32) {
+/// Splits a packed setting into the error number and the probability in thousandths.
+pub const fn unpack_setting(word: u64) -> (i32, u32) {
     ((word >> 32) as i32, word as u32)
 }
 
 /// The control file of one process under test. All faults are off at first.
 #[derive(Debug)]
-pub struct Faults {
+pub struct FaultController {
     file: File,
 }
 
-impl Faults {
+impl FaultController {
     /// Makes a control file.
     ///
     /// # Errors
     /// The file cannot be written.
     pub fn create(path: &Path) -> io::Result<Self> {
         let file = OpenOptions::new().read(true).write(true).create(true).truncate(true).open(path)?;
-        file.write_all_at(&[0; WORDS * WORD_BYTES], 0)?;
+        file.write_all_at(&[0; CONTROL_WORDS * WORD_BYTES], 0)?;
         Ok(Self { file })
     }
 
@@ -100,24 +100,24 @@
     ///
     /// # Errors
     /// The control file cannot be written.
-    pub fn fail(&self, what: Word, errno: i32, per_mille: u32) -> io::Result<()> {
-        self.write(what as usize, packed(errno, per_mille))
+    pub fn fail(&self, what: Fault, errno: i32, per_mille: u32) -> io::Result<()> {
+        self.write(what as usize, pack_setting(errno, per_mille))
     }
 
     /// Sets how far the wall clock is off, in microseconds.
     ///
     /// # Errors
     /// The control file cannot be written.
-    pub fn step_wall_clock(&self, micros: i64) -> io::Result<()> {
-        self.write(Word::WallStep as usize, micros as u64)
+    pub fn set_wall_clock_offset(&self, micros: i64) -> io::Result<()> {
+        self.write(Fault::WallClockOffset as usize, micros as u64)
     }
 
     /// Has each write to a regular file take so much longer; nothing to have it as quick as it is.
     ///
     /// # Errors
     /// The control file cannot be written.
-    pub fn slow_writes(&self, by: Duration) -> io::Result<()> {
-        self.write(Word::SlowWrite as usize, by.as_micros() as u64)
+    pub fn delay_writes(&self, by: Duration) -> io::Result<()> {
+        self.write(Fault::SlowWrite as usize, by.as_micros() as u64)
     }
 
     /// Lets everything succeed again; the wall clock stays where it is.
@@ -125,14 +125,14 @@
     /// # Errors
     /// The control file cannot be written.
     pub fn clear(&self) -> io::Result<()> {
-        (Word::Connect as usize..COUNTERS).try_for_each(|word| self.write(word, 0))
+        (Fault::Connect as usize..FIRST_COUNTER).try_for_each(|word| self.write(word, 0))
     }
 
     /// How often a fault was injected since the control file was made.
     ///
     /// # Errors
     /// The control file cannot be read.
-    pub fn injected(&self, what: Word) -> io::Result<u64> {
+    pub fn injected_count(&self, what: Fault) -> io::Result<u64> {
         let mut bytes = [0; WORD_BYTES];
         self.file.read_exact_at(&mut bytes, (what.counter() * WORD_BYTES) as u64)?;
         Ok(u64::from_ne_bytes(bytes))
@@ -156,7 +156,8 @@
 fn shim() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folders = program.ancestors().skip(1).take(2);
-    let places = folders.flat_map(|folder| [folder.join(SHIM_FILE), folder.join("deps").join(SHIM_FILE)]);
-    let missing = || io::Error::new(io::ErrorKind::NotFound, format!("{SHIM_FILE} has not been built"));
+    let places =
+        folders.flat_map(|folder| [folder.join(SHIM_FILE_NAME), folder.join("deps").join(SHIM_FILE_NAME)]);
+    let missing = || io::Error::new(io::ErrorKind::NotFound, format!("{SHIM_FILE_NAME} has not been built"));
     places.into_iter().find(|place| place.exists()).ok_or_else(missing)
 }
--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -4,7 +4,7 @@
 use crate::book::Message;
 use crate::run::Outcome;
 use crate::scenario::{Do, Event};
-use notchpoint_emulator::{Micros, Seen};
+use notchpoint_emulator::{CallRecord, Micros};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -221,12 +221,12 @@
         let mut all = Vec::new();
         for (d, ledger) in self.o.ledgers.iter().enumerate() {
             for c in ledger.calls.iter().filter(|c| c.messages.contains(&id)) {
-                let end = match (c.answered, c.gone) {
+                let end = match (c.answer, c.caller_gone_at) {
                     (Some((t, status)), _) => format!("answered {status} at {}", seconds(t)),
                     (None, Some(t)) => format!("its caller gone at {}", seconds(t)),
                     _ => "never answered".to_owned(),
                 };
-                all.push(format!("call to {d}/{} at {}, {end}", c.endpoint, seconds(c.at)));
+                all.push(format!("call to {d}/{} at {}, {end}", c.endpoint, seconds(c.received_at)));
             }
         }
         if all.is_empty() { "no call".to_owned() } else { all.join("; ") }
@@ -279,7 +279,7 @@
         // What a client has given up on counts for nothing.
         let mut ran: BTreeMap<usize, Vec<(Micros, u64, usize, usize)>> = BTreeMap::new();
         for (d, ledger) in self.o.ledgers.iter().enumerate() {
-            for e in ledger.effects.iter().filter(|e| !e.dropped) {
+            for e in ledger.effects.iter().filter(|e| !e.is_duplicate) {
                 let Some(m) = messages.get(&e.message).filter(|m| m.forsaken.is_none()) else { continue };
                 let class = self.o.scenario.class[orders[m.order].class].get_ref();
                 if class.effect != "idempotent" {
@@ -321,10 +321,13 @@
         let listed = book.listed.borrow();
         for change in listed.iter().filter(|c| c.closed) {
             let (d, n) = change.endpoint;
-            let later: Vec<&Seen> =
-                self.o.ledgers[d].calls.iter().filter(|c| c.endpoint == n && c.first > change.at).collect();
+            let later: Vec<&CallRecord> = self.o.ledgers[d]
+                .calls
+                .iter()
+                .filter(|c| c.endpoint == n && c.first_byte_at > change.at)
+                .collect();
             for call in later {
-                let life = self.life(call.sender, call.first);
+                let life = self.life(call.sender, call.first_byte_at);
                 let started =
                     book.lives.borrow()[call.sender].get(life as usize - 1).map_or(0, |l| l.started);
                 // What was told into a cut network arrived nowhere.
@@ -337,7 +340,7 @@
                     .min()
                     .unwrap_or(Micros::MAX)
                     .min(self.could_tell(change.at.max(started)) + TOLD);
-                if call.first > told + GRACE + SLACK {
+                if call.first_byte_at > told + GRACE + SLACK {
                     let what = format!(
                         "platform: revision {} closed {d}/{n} at {}, told sender {} at {}; partner: a call \
                          began at {}",
@@ -345,9 +348,9 @@
                         seconds(change.at),
                         call.sender,
                         seconds(told),
-                        seconds(call.first)
+                        seconds(call.first_byte_at)
                     );
-                    self.say(call.first, Rule::DrainsKept, call.messages.first().copied(), what);
+                    self.say(call.first_byte_at, Rule::DrainsKept, call.messages.first().copied(), what);
                     break;
                 }
             }
@@ -360,11 +363,11 @@
         let blind = self.blind();
         let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
         for (d, ledger) in o.ledgers.iter().enumerate() {
-            for (at, endpoint) in &ledger.falls {
+            for (at, endpoint) in &ledger.overload_failures {
                 let from: BTreeSet<usize> = ledger
                     .calls
                     .iter()
-                    .filter(|c| c.at <= *at && c.at + 2 * SEC > *at)
+                    .filter(|c| c.received_at <= *at && c.received_at + 2 * SEC > *at)
                     .map(|c| c.sender)
                     .collect();
                 let what =
@@ -397,45 +400,44 @@
         cut.iter().flat_map(|e| s.select(e.hall.as_deref(), e.partner.as_deref(), e.destination)).collect()
     }
 
-    fn waits(&mut self, d: usize, calls: &[Seen]) {
+    fn waits(&mut self, d: usize, calls: &[CallRecord]) {
         let (partner, _) = self.o.scenario.destinations()[d];
         let apart = self.o.scenario.partner[partner].get_ref().apart;
         // By sender and route: from when on, until when, in which life.
         let mut told: Vec<(Micros, Micros, usize, usize, u32)> = Vec::new();
         for c in calls {
-            if let (Some((at, 429)), Some(wait)) = (c.answered, c.wait) {
+            if let (Some((at, 429)), Some(wait)) = (c.answer, c.retry_after) {
                 told.push((at, at + wait, c.sender, c.endpoint, self.life(c.sender, at)));
             }
         }
         told.sort_unstable();
         let longest = told.iter().map(|t| t.1 - t.0).max().unwrap_or(0);
         for c in calls {
-            let from = told.partition_point(|t| t.0 + longest < c.at);
-            let life = self.life(c.sender, c.at);
-            let broken = told[from..]
-                .iter()
-                .take_while(|t| t.0 + GRACE + SLACK < c.at)
-                .find(|t| c.at < t.1 && t.2 == c.sender && t.4 == life && (!apart || t.3 == c.endpoint));
+            let from = told.partition_point(|t| t.0 + longest < c.received_at);
+            let life = self.life(c.sender, c.received_at);
+            let broken = told[from..].iter().take_while(|t| t.0 + GRACE + SLACK < c.received_at).find(|t| {
+                c.received_at < t.1 && t.2 == c.sender && t.4 == life && (!apart || t.3 == c.endpoint)
+            });
             if let Some(t) = broken {
                 let what = format!(
                     "partner: told sender {} at {} to wait until {}, and got a call at {}",
                     c.sender,
                     seconds(t.0),
                     seconds(t.1),
-                    seconds(c.at)
+                    seconds(c.received_at)
                 );
-                self.say(c.at, Rule::WaitsHeeded, c.messages.first().copied(), what);
+                self.say(c.received_at, Rule::WaitsHeeded, c.messages.first().copied(), what);
             }
         }
     }
 
     /// From when to when a call was out.
-    fn out(&self, c: &Seen) -> (Micros, Micros) {
-        let ends = c.answered.filter(|a| a.1 != 0).map(|a| a.0).into_iter().chain(c.gone).min();
-        (c.at, ends.or(c.answered.map(|a| a.0)).unwrap_or(self.o.end))
+    fn out(&self, c: &CallRecord) -> (Micros, Micros) {
+        let ends = c.answer.filter(|a| a.1 != 0).map(|a| a.0).into_iter().chain(c.caller_gone_at).min();
+        (c.received_at, ends.or(c.answer.map(|a| a.0)).unwrap_or(self.o.end))
     }
 
-    fn copies(&mut self, d: usize, calls: &[Seen]) {
+    fn copies(&mut self, d: usize, calls: &[CallRecord]) {
         let mut last: BTreeMap<u64, (Micros, usize)> = BTreeMap::new();
         for c in calls {
             let (at, until) = self.out(c);
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -81,7 +81,7 @@
             let model = shell.model();
             let all = &model.ledger().calls;
             calls += all.len();
-            refused += all.iter().filter(|c| matches!(c.answered, Some((_, 429 | 503)))).count();
+            refused += all.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
         }
         let name = &p.get_ref().name;
         println!("{second:>5}  {name:<8} {asked:>6} {held:>6} {delivered:>9} {calls:>8} {refused:>8}");
--- a/crates/rehearsal/src/endpoint.rs
+++ b/crates/rehearsal/src/endpoint.rs
@@ -3,8 +3,8 @@
 use crate::book::Book;
 use crate::scenario::Scenario;
 use crate::wire::{Message, Wire};
-use notchpoint_emulator::partner::Arriving;
-use notchpoint_emulator::{CallId, Change, Done, Micros, Partner, Reply, Word};
+use notchpoint_emulator::partner::IncomingMessage;
+use notchpoint_emulator::{CallId, Change, Completion, MessageResult, Micros, Partner, Reply};
 use notchpoint_seam::net::accept;
 use notchpoint_seam::{Listener, Network, Stream};
 use std::cell::RefCell;
@@ -78,7 +78,7 @@
     ) -> std::io::Result<(usize, SocketAddr)> {
         let listener = net.listen(at)?;
         let at = listener.local_addr()?;
-        let endpoint = self.model.borrow_mut().add();
+        let endpoint = self.model.borrow_mut().add_endpoint();
         let server = Some(tokio::task::spawn_local(self.clone().serve(endpoint, listener)).abort_handle());
         self.sites.borrow_mut().push(Site { net, at, server, left: false, silent: 0 });
         Ok((endpoint, at))
@@ -92,7 +92,7 @@
     /// Does what the scenario says.
     pub fn change(self: &Rc<Self>, endpoint: usize, change: Change) {
         let mut done = Vec::new();
-        self.model.borrow_mut().change(self.book.now(), endpoint, change, &mut done);
+        self.model.borrow_mut().apply_change(self.book.now(), endpoint, change, &mut done);
         self.settle(done);
         self.news.notify_one();
     }
@@ -121,7 +121,7 @@
 
     /// Hands answers out, and has the servers of those endpoints run that are up: the model alone knows when
     /// one falls over.
-    fn settle(self: &Rc<Self>, done: Vec<Done>) {
+    fn settle(self: &Rc<Self>, done: Vec<Completion>) {
         for d in done {
             if let Some(waits) = self.waiting.borrow_mut().remove(&d.call) {
                 let _ = waits.send(d.reply);
@@ -150,7 +150,7 @@
     /// Moves the model's time; never ends.
     pub async fn drive(self: Rc<Self>) {
         loop {
-            let wake = self.model.borrow().wake();
+            let wake = self.model.borrow().next_wake();
             let alarm = async {
                 match wake {
                     Some(at) => sleep_until(self.book.at(at)).await,
@@ -170,7 +170,7 @@
                 model.ledger().effects[before..].to_vec()
             };
             for e in effects {
-                let what = if e.dropped { "repeat" } else { "effect" };
+                let what = if e.is_duplicate { "repeat" } else { "effect" };
                 let late = if e.abandoned { " abandoned" } else { "" };
                 self.book.log(format_args!(
                     "{what} {:016x} at {}/{}{late}",
@@ -243,7 +243,7 @@
                 reply = reply => reply,
                 () = wire.ended() => {
                     self.book.log(format_args!("gone {:?}", call.0));
-                    self.model.borrow_mut().gone(self.book.now(), call);
+                    self.model.borrow_mut().abandon_call(self.book.now(), call);
                     self.waiting.borrow_mut().remove(&call);
                     return;
                 }
@@ -256,15 +256,15 @@
     }
 
     /// The messages of a call as the model sees them, and whose they are.
-    fn known(&self, ids: &[u64]) -> Option<(usize, Vec<Arriving>)> {
+    fn known(&self, ids: &[u64]) -> Option<(usize, Vec<IncomingMessage>)> {
         let (messages, orders) = (self.book.messages.borrow(), self.book.orders.borrow());
         let mut found = Vec::new();
         let mut sender = 0;
         for id in ids {
             let Some(m) = messages.get(id) else {
                 if self.book.strangers.get() {
-                    let (class, memory) = self.classes[0].clone();
-                    found.push(Arriving { id: *id, class, memory, key: *id });
+                    let (class, dedup_window) = self.classes[0].clone();
+                    found.push(IncomingMessage { id: *id, class, dedup_window, dedup_key: *id });
                     continue;
                 }
                 drop(messages);
@@ -276,8 +276,8 @@
                 let (to, is) = (self.destination, order.destination);
                 self.book.odd(format!("message {id:016x} went to destination {to} and belongs to {is}"));
             }
-            let (class, memory) = self.classes[order.class].clone();
-            found.push(Arriving { id: *id, class, memory, key: m.order as u64 });
+            let (class, dedup_window) = self.classes[order.class].clone();
+            found.push(IncomingMessage { id: *id, class, dedup_window, dedup_key: m.order as u64 });
             sender = m.sender;
         }
         Some((sender, found))
@@ -288,14 +288,14 @@
         endpoint: usize,
         sender: usize,
         request: &Message,
-        messages: Vec<Arriving>,
+        messages: Vec<IncomingMessage>,
     ) -> (oneshot::Receiver<Reply>, CallId) {
         let now = self.book.now();
         let first = request.first.map_or(now, |t| self.book.time(t));
         let (tell, told) = oneshot::channel();
         let mut done = Vec::new();
         let ids: Vec<String> = messages.iter().map(|m| format!("{:016x}", m.id)).collect();
-        let call = self.model.borrow_mut().call(now, first, endpoint, sender, messages, &mut done);
+        let call = self.model.borrow_mut().receive_call(now, first, endpoint, sender, messages, &mut done);
         let (d, ids) = (self.destination, ids.join(","));
         self.book.log(format_args!("call {} to {d}/{endpoint} from {sender} with {ids}", call.0));
         self.waiting.borrow_mut().insert(call, tell);
@@ -322,12 +322,12 @@
             Reply::Each(words) => {
                 let mut body = String::new();
                 for (id, word) in &words {
-                    let word = if *word == Word::Done { "done" } else { "failed" };
+                    let word = if *word == MessageResult::Done { "done" } else { "failed" };
                     let _ = write!(body, "{id:016x} {word}\r\n");
                 }
                 text =
                     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-                each = words.iter().filter(|w| w.1 == Word::Done).map(|w| w.0).collect();
+                each = words.iter().filter(|w| w.1 == MessageResult::Done).map(|w| w.0).collect();
                 done = &each;
             }
             Reply::Silent => {
--- a/crates/rehearsal/src/explain.rs
+++ b/crates/rehearsal/src/explain.rs
@@ -53,12 +53,17 @@
     }
     for (d, ledger) in o.ledgers.iter().enumerate() {
         for c in ledger.calls.iter().filter(|c| c.messages.contains(&id)) {
-            let answer = c.answered.map_or("none".into(), |(at, status)| format!("{status} at {}", s(at)));
-            let gone = c.gone.map(|at| format!(", caller gone at {}", s(at))).unwrap_or_default();
-            let _ = writeln!(t, "  partner {d}/{}: call at {}, answer {answer}{gone}", c.endpoint, s(c.at));
+            let answer = c.answer.map_or("none".into(), |(at, status)| format!("{status} at {}", s(at)));
+            let gone = c.caller_gone_at.map(|at| format!(", caller gone at {}", s(at))).unwrap_or_default();
+            let _ = writeln!(
+                t,
+                "  partner {d}/{}: call at {}, answer {answer}{gone}",
+                c.endpoint,
+                s(c.received_at)
+            );
         }
         for e in ledger.effects.iter().filter(|e| e.message == id) {
-            let what = if e.dropped { "dropped as a repeat" } else { "took effect" };
+            let what = if e.is_duplicate { "dropped as a repeat" } else { "took effect" };
             let _ = writeln!(t, "  partner {d}/{}: {what} at {}", e.endpoint, s(e.at));
         }
     }
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -109,12 +109,12 @@
     }
     for (d, ledger) in o.ledgers.iter().enumerate() {
         for c in &ledger.calls {
-            let row = place(c.at);
+            let row = place(c.received_at);
             rows[row].calls += 1;
-            rows[row].refused += usize::from(matches!(c.answered, Some((_, 429 | 503))));
-            rows[row].unanswered += usize::from(c.answered.is_none_or(|a| a.1 == 0));
+            rows[row].refused += usize::from(matches!(c.answer, Some((_, 429 | 503))));
+            rows[row].unanswered += usize::from(c.answer.is_none_or(|a| a.1 == 0));
             tries[row] += c.messages.len();
-            if let Some(x) = called[d].get_mut((c.at / 1_000_000) as usize) {
+            if let Some(x) = called[d].get_mut((c.received_at / 1_000_000) as usize) {
                 *x = true;
             }
         }
@@ -192,9 +192,9 @@
             };
             for (d, _) in destinations.iter().enumerate().filter(|(_, x)| x.0 == n) {
                 for call in &o.ledgers[d].calls {
-                    let at = ((call.at / 1_000_000) as usize).min(seconds - 1);
+                    let at = ((call.received_at / 1_000_000) as usize).min(seconds - 1);
                     c.calls[at] += 1.0;
-                    c.refused[at] += f64::from(u8::from(matches!(call.answered, Some((_, 429 | 503)))));
+                    c.refused[at] += f64::from(u8::from(matches!(call.answer, Some((_, 429 | 503)))));
                 }
                 for (k, (serving, queued)) in o.loads[d].iter().enumerate() {
                     let at = (k / SAMPLES).min(seconds - 1);
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,7 +1,7 @@
 //! Scenarios: what stands, who sends what, and what happens when. A file is read, checked as a whole, and
 //! every error names its key and line.
 
-use notchpoint_emulator::{Faults, Spec};
+use notchpoint_emulator::{Faults, PartnerSpec};
 use serde::Deserialize;
 use std::collections::BTreeSet;
 use std::fmt;
@@ -214,7 +214,7 @@
     pub apart: bool,
     /// What they are like.
     #[serde(default)]
-    pub is: Spec,
+    pub is: PartnerSpec,
 }
 
 fn hall() -> String {
--- a/crates/rehearsal/src/score.rs
+++ b/crates/rehearsal/src/score.rs
@@ -101,8 +101,8 @@
     }
     for l in &o.ledgers {
         counts.calls += l.calls.len();
-        counts.refused += l.calls.iter().filter(|c| matches!(c.answered, Some((_, 429 | 503)))).count();
-        counts.effects += l.effects.iter().filter(|e| !e.dropped).count();
+        counts.refused += l.calls.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
+        counts.effects += l.effects.iter().filter(|e| !e.is_duplicate).count();
     }
     let all = sum(&by_second);
     let kept = share(all);
--- a/crates/rehearsal/tests/world/hard.rs
+++ b/crates/rehearsal/tests/world/hard.rs
@@ -69,7 +69,7 @@
     let (o, score, breaches) = play(&text, 1, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
     let calls = &o.ledgers[0].calls;
-    assert!(score.counts.refused > 0 && calls.iter().all(|c| c.wait.is_none()));
+    assert!(score.counts.refused > 0 && calls.iter().all(|c| c.retry_after.is_none()));
     assert!(calls.len() < 180 * 2, "{} calls for 180 messages and ten that pass", calls.len());
 }
 
@@ -102,7 +102,7 @@
         .replace("start_share = 0.1", "start_share = 0.01");
     let found = (1..6).any(|seed| {
         let (o, _, breaches) = play(&day, seed, &Options::default());
-        let fell: usize = o.ledgers.iter().map(|l| l.falls.len()).sum();
+        let fell: usize = o.ledgers.iter().map(|l| l.overload_failures.len()).sum();
         assert_eq!(fell, breaches.iter().filter(|b| b.rule == Rule::ReturningNotPushed).count());
         fell > 0
     });
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -11,9 +11,9 @@
 mod notes;
 mod partners;
 pub mod plan;
-mod play;
 mod process;
+mod run;
 mod sender;
 mod topology;
 
-pub use play::{Counts, Outcome, play};
+pub use run::{Counts, RunReport, run};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,8 +1,8 @@
 //! `notchpoint-soak`: plays seeds one after another, and shrinks the plan of the first that breaks a rule.
 
 use clap::Parser;
-use notchpoint_soak::plan::{Size, Trouble, draw};
-use notchpoint_soak::{Counts, Outcome, play};
+use notchpoint_soak::plan::{RunSize, ScheduledFault, generate};
+use notchpoint_soak::{Counts, RunReport, run};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitCode};
@@ -50,26 +50,26 @@
     let arguments = Arguments::parse();
     let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("notchpoint"));
     let program = arguments.program.clone().map_or_else(beside, Ok)?;
-    let span = Duration::from_secs(arguments.seconds);
-    let size = Size {
+    let duration = Duration::from_secs(arguments.seconds);
+    let size = RunSize {
         senders: arguments.senders,
-        dests: arguments.dests,
-        span,
-        troubles: arguments.troubles,
-        many_hand_overs: arguments.hand_overs,
+        destinations: arguments.dests,
+        duration,
+        fault_count: arguments.troubles,
+        prefer_handovers: arguments.hand_overs,
     };
     let _busy: Vec<Busy> = (0..arguments.busy).map(|_| Busy::start()).collect::<io::Result<_>>()?;
     let mut out = io::stdout();
     let mut broken = Vec::new();
     for seed in arguments.from..arguments.from + arguments.seeds {
-        let plan = draw(seed, &size);
-        let outcome = play(&program, seed, &size, &plan)?;
-        let Counts { promised, delivered, ended, hand_overs, lag } = outcome.counts;
+        let plan = generate(seed, &size);
+        let outcome = run(&program, seed, &size, &plan)?;
+        let Counts { acknowledged, delivered, ended, handovers, max_wake_delay } = outcome.counts;
         writeln!(
             out,
-            "seed {seed}: {promised} promised, {delivered} delivered, {ended} ended by notices, \
-             {hand_overs} hand-overs, threads woken {} ms late at most",
-            lag.as_millis()
+            "seed {seed}: {acknowledged} acknowledged, {delivered} delivered, {ended} ended by notices, \
+             {handovers} hand-overs, threads woken {} ms late at most",
+            max_wake_delay.as_millis()
         )?;
         if outcome.violations.is_empty() {
             continue;
@@ -109,7 +109,7 @@
     }
 }
 
-fn tell(out: &mut impl Write, plan: &[Trouble], outcome: &Outcome) -> io::Result<()> {
+fn tell(out: &mut impl Write, plan: &[ScheduledFault], outcome: &RunReport) -> io::Result<()> {
     plan.iter().try_for_each(|trouble| writeln!(out, "  {trouble}"))?;
     outcome.violations.iter().try_for_each(|violation| writeln!(out, "  broken: {violation}"))?;
     write!(out, "{}", outcome.timeline)
@@ -119,17 +119,17 @@
 fn shrink(
     program: &Path,
     seed: u64,
-    size: &Size,
-    mut plan: Vec<Trouble>,
-    mut outcome: Outcome,
-) -> io::Result<(Vec<Trouble>, Outcome)> {
+    size: &RunSize,
+    mut plan: Vec<ScheduledFault>,
+    mut outcome: RunReport,
+) -> io::Result<(Vec<ScheduledFault>, RunReport)> {
     let mut part = plan.len().div_ceil(2);
     while part > 0 {
         let mut at = 0;
         while at < plan.len() && plan.len() > 1 {
             let mut fewer = plan.clone();
             fewer.drain(at..(at + part).min(plan.len()));
-            let played = play(program, seed, size, &fewer)?;
+            let played = run(program, seed, size, &fewer)?;
             if played.violations.is_empty() {
                 at += part;
             } else {
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -7,7 +7,7 @@
 
 /// Something that goes wrong for a while.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum FaultKind {
     /// A sender is killed and started again.
     Kill,
     /// A sender is told to end, and started again.
@@ -19,9 +19,9 @@
     /// A sender is killed right behind a 202.
     KillBehindPromise,
     /// A new process takes over from the one that serves.
-    HandOver,
+    Handover,
     /// The same, and one of them is killed so many milliseconds after the new one was begun.
-    HandOverKill(Side, u64),
+    HandoverKill(Side, u64),
     /// Operators drain a sender, and have it take clients again.
     Standby,
     /// Operators take an endpoint out of service at a sender, and put it back.
@@ -85,7 +85,7 @@
     EndAndReload,
 }
 
-impl Kind {
+impl FaultKind {
     /// Whether a sender's process gets a signal: two of these wait for each other.
     pub const fn is_signal(self) -> bool {
         matches!(
@@ -95,53 +95,53 @@
                 | Self::Signals(_)
                 | Self::SignalsAtStart(_)
                 | Self::KillBehindPromise
-                | Self::HandOver
-                | Self::HandOverKill(..)
+                | Self::Handover
+                | Self::HandoverKill(..)
                 | Self::HeldUp
                 | Self::Reload
         )
     }
 
     /// Whether a new process takes over.
-    pub const fn is_hand_over(self) -> bool {
-        matches!(self, Self::HandOver | Self::HandOverKill(..))
+    pub const fn is_handover(self) -> bool {
+        matches!(self, Self::Handover | Self::HandoverKill(..))
     }
 }
 
 /// One trouble of a plan.
 #[derive(Clone, Copy, Debug)]
-pub struct Trouble {
+pub struct ScheduledFault {
     /// What.
-    pub kind: Kind,
+    pub kind: FaultKind,
     /// Which sender or endpoint, as far as one is meant.
-    pub which: usize,
+    pub target: usize,
     /// From when on, since the play's begin.
-    pub from: Duration,
+    pub start: Duration,
     /// For how long.
-    pub span: Duration,
+    pub duration: Duration,
 }
 
-impl fmt::Display for Trouble {
+impl fmt::Display for ScheduledFault {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Self { kind, which, from, span } = self;
-        let (from, span) = (from.as_secs_f64(), span.as_secs_f64());
-        write!(f, "{from:6.2} s, for {span:.2} s: {kind:?} of {which}")
+        let Self { kind, target, start, duration } = self;
+        let (start, duration) = (start.as_secs_f64(), duration.as_secs_f64());
+        write!(f, "{start:6.2} s, for {duration:.2} s: {kind:?} of {target}")
     }
 }
 
 /// How large a play is.
 #[derive(Clone, Copy, Debug)]
-pub struct Size {
+pub struct RunSize {
     /// Sender processes.
     pub senders: usize,
     /// Destinations; each has two endpoints.
-    pub dests: usize,
+    pub destinations: usize,
     /// For how long messages are handed in.
-    pub span: Duration,
+    pub duration: Duration,
     /// Troubles.
-    pub troubles: usize,
+    pub fault_count: usize,
     /// Hand-overs in place of half of the signals.
-    pub many_hand_overs: bool,
+    pub prefer_handovers: bool,
 }
 
 const HOUR_MICROS: i64 = 3_600_000_000;
@@ -149,25 +149,25 @@
 const QUIET: Duration = Duration::from_secs(1);
 
 /// Draws the troubles of a seed. Each begins near another one, so that they overlap, also at one sender.
-pub fn draw(seed: u64, size: &Size) -> Vec<Trouble> {
+pub fn generate(seed: u64, size: &RunSize) -> Vec<ScheduledFault> {
     let mut random = fastrand::Rng::with_seed(seed);
-    let room = size.span.saturating_sub(2 * QUIET);
+    let room = size.duration.saturating_sub(2 * QUIET);
     let (mut moment, mut concerned) = (Duration::ZERO, 0);
-    let all = size.senders.max(2 * size.dests);
-    (0..size.troubles)
+    let all = size.senders.max(2 * size.destinations);
+    (0..size.fault_count)
         .map(|n| {
             // Three by three they share a moment.
             if n % 3 == 0 {
                 moment = QUIET + room.mul_f64(random.f64());
                 concerned = random.usize(..all);
             }
-            let hand_over = size.many_hand_overs && random.bool();
-            let kind = if hand_over { hand_over_kind(&mut random) } else { kind(&mut random) };
+            let is_handover = size.prefer_handovers && random.bool();
+            let kind = if is_handover { handover_kind(&mut random) } else { kind(&mut random) };
             // Half of the others meet the same sender or endpoint: what goes wrong together is looked for.
-            let which = if random.bool() { concerned } else { random.usize(..all) };
-            let which = if kind.is_hand_over() { platform_held(which % size.senders) } else { which };
-            let from = moment + Duration::from_millis(random.u64(..400));
-            Trouble { kind, which, from, span: Duration::from_millis(random.u64(300..3_000)) }
+            let target = if random.bool() { concerned } else { random.usize(..all) };
+            let target = if kind.is_handover() { platform_held(target % size.senders) } else { target };
+            let start = moment + Duration::from_millis(random.u64(..400));
+            ScheduledFault { kind, target, start, duration: Duration::from_millis(random.u64(300..3_000)) }
         })
         .collect()
 }
@@ -180,52 +180,52 @@
 /// Beyond this the disk carries less than comes in.
 const SLOW_DISK_MILLIS: std::ops::Range<u64> = 5..25;
 
-fn hand_over_kind(random: &mut fastrand::Rng) -> Kind {
+fn handover_kind(random: &mut fastrand::Rng) -> FaultKind {
     let after = random.u64(..HAND_OVER_MILLIS);
     match random.u8(..4) {
-        0..=1 => Kind::HandOver,
-        2 => Kind::HandOverKill(Side::Old, after),
-        _ => Kind::HandOverKill(Side::New, after),
+        0..=1 => FaultKind::Handover,
+        2 => FaultKind::HandoverKill(Side::Old, after),
+        _ => FaultKind::HandoverKill(Side::New, after),
     }
 }
 
-fn kind(random: &mut fastrand::Rng) -> Kind {
+fn kind(random: &mut fastrand::Rng) -> FaultKind {
     match random.u8(..36) {
-        0 => Kind::Kill,
-        1 => Kind::KillBehindPromise,
-        2 => Kind::Restart,
-        3 => Kind::Signals(match random.u8(..3) {
+        0 => FaultKind::Kill,
+        1 => FaultKind::KillBehindPromise,
+        2 => FaultKind::Restart,
+        3 => FaultKind::Signals(match random.u8(..3) {
             0 => Series::ReloadsAndEnd,
             1 => Series::EndTwice,
             _ => Series::EndAndReload,
         }),
-        4 => Kind::SignalsAtStart(random.u64(..START_MILLIS)),
-        5..=7 => hand_over_kind(random),
-        8 => Kind::Standby,
-        9 => Kind::OutOfService,
-        10 => Kind::Crowd,
-        11 => Kind::HeldUp,
-        12..=13 => Kind::Reload,
-        14 => Kind::Clock(if random.bool() { HOUR_MICROS } else { -HOUR_MICROS }),
-        15 => Kind::Clock(random.i64(-5_000_000..5_000_000)),
-        16 => Kind::Connect(if random.bool() { libc::EADDRNOTAVAIL } else { libc::ENFILE }),
-        17 => Kind::FileWrite(if random.bool() { libc::ENOSPC } else { libc::EIO }),
-        18 => Kind::SlowDisk(random.u64(SLOW_DISK_MILLIS)),
-        19 => Kind::SocketIo,
-        20 => Kind::Accept(if random.bool() { libc::ECONNABORTED } else { libc::ENFILE }),
-        21 => Kind::Hangs,
-        22 => Kind::Cut,
-        23 => Kind::CutAnswers,
-        24 => Kind::Resets,
-        25 => Kind::Full,
-        26 => Kind::Slow,
-        27 => Kind::Drain,
-        28 => Kind::FileRead(if random.bool() { libc::ENFILE } else { libc::EIO }),
-        29 => Kind::Memory(if random.bool() { libc::ENOMEM } else { libc::ENOBUFS }),
-        30 => Kind::Socket(if random.bool() { libc::ENFILE } else { libc::ENOBUFS }),
-        31 => Kind::NotesLost(random.u32(300..1_000)),
-        32..=33 => Kind::Outage,
-        34 => Kind::ListDown,
-        _ => Kind::ListSilent,
+        4 => FaultKind::SignalsAtStart(random.u64(..START_MILLIS)),
+        5..=7 => handover_kind(random),
+        8 => FaultKind::Standby,
+        9 => FaultKind::OutOfService,
+        10 => FaultKind::Crowd,
+        11 => FaultKind::HeldUp,
+        12..=13 => FaultKind::Reload,
+        14 => FaultKind::Clock(if random.bool() { HOUR_MICROS } else { -HOUR_MICROS }),
+        15 => FaultKind::Clock(random.i64(-5_000_000..5_000_000)),
+        16 => FaultKind::Connect(if random.bool() { libc::EADDRNOTAVAIL } else { libc::ENFILE }),
+        17 => FaultKind::FileWrite(if random.bool() { libc::ENOSPC } else { libc::EIO }),
+        18 => FaultKind::SlowDisk(random.u64(SLOW_DISK_MILLIS)),
+        19 => FaultKind::SocketIo,
+        20 => FaultKind::Accept(if random.bool() { libc::ECONNABORTED } else { libc::ENFILE }),
+        21 => FaultKind::Hangs,
+        22 => FaultKind::Cut,
+        23 => FaultKind::CutAnswers,
+        24 => FaultKind::Resets,
+        25 => FaultKind::Full,
+        26 => FaultKind::Slow,
+        27 => FaultKind::Drain,
+        28 => FaultKind::FileRead(if random.bool() { libc::ENFILE } else { libc::EIO }),
+        29 => FaultKind::Memory(if random.bool() { libc::ENOMEM } else { libc::ENOBUFS }),
+        30 => FaultKind::Socket(if random.bool() { libc::ENFILE } else { libc::ENOBUFS }),
+        31 => FaultKind::NotesLost(random.u32(300..1_000)),
+        32..=33 => FaultKind::Outage,
+        34 => FaultKind::ListDown,
+        _ => FaultKind::ListSilent,
     }
 }
--- a/crates/soak/src/play.rs
+++ b/crates/soak/src/run.rs
@@ -6,11 +6,11 @@
 use crate::crowd;
 use crate::notes::Notes;
 use crate::partners::{Endpoint, List, Manner, Member, list_service, shown};
-use crate::plan::{Kind, Series, Size, Trouble};
+use crate::plan::{FaultKind, RunSize, ScheduledFault, Series};
 use crate::sender::{Configure, Sender, Setting};
 use crate::topology::{is_held, route};
 use fastrand::Rng;
-use notchpoint_faults::Word;
+use notchpoint_faults::Fault;
 use rustix::process::Signal;
 use std::io;
 use std::net::SocketAddr;
@@ -48,26 +48,26 @@
 const OUTAGE: Duration = Duration::from_secs(3);
 
 /// Plays of this process so far.
-static PLAYS: AtomicU32 = AtomicU32::new(0);
+static RUNS: AtomicU32 = AtomicU32::new(0);
 
 /// What a play saw.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
     /// Messages that clients were promised.
-    pub promised: usize,
+    pub acknowledged: usize,
     /// Messages that were delivered.
     pub delivered: usize,
     /// Messages that were ended by a notice.
     pub ended: usize,
     /// Hand-overs that were begun.
-    pub hand_overs: usize,
+    pub handovers: usize,
     /// How late this machine woke its threads at the worst.
-    pub lag: Duration,
+    pub max_wake_delay: Duration,
 }
 
 /// What a play came to.
 #[derive(Debug)]
-pub struct Outcome {
+pub struct RunReport {
     /// What it saw.
     pub counts: Counts,
     /// Broken rules.
@@ -78,9 +78,9 @@
 
 /// Where a sender or an endpoint is reached. Its address is nobody else's on the loopback network, so that
 /// while it is down no other socket can get its port: another play's messages would come in there.
-fn address(play_number: u32, number: usize, port: u16) -> SocketAddr {
-    let play = std::process::id().wrapping_mul(7).wrapping_add(play_number);
-    let [_, _, high, low] = play.to_be_bytes();
+fn address(run_number: u32, number: usize, port: u16) -> SocketAddr {
+    let run = std::process::id().wrapping_mul(7).wrapping_add(run_number);
+    let [_, _, high, low] = run.to_be_bytes();
     SocketAddr::from(([127, 64 + high % 64, low, number as u8 + 1], port))
 }
 
@@ -97,14 +97,14 @@
 ///
 /// # Errors
 /// The machine does not give what a play takes.
-pub fn play(program: &Path, seed: u64, size: &Size, plan: &[Trouble]) -> io::Result<Outcome> {
+pub fn run(program: &Path, seed: u64, size: &RunSize, plan: &[ScheduledFault]) -> io::Result<RunReport> {
     let folder = tempfile::tempdir()?;
-    let play_number = PLAYS.fetch_add(1, Ordering::Relaxed);
+    let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
     let (book, list) = (Arc::new(Book::default()), Arc::new(List::default()));
-    let endpoints: Vec<_> = (0..2 * size.dests)
-        .map(|number| Endpoint::new(number, address(play_number, FIRST_ENDPOINT + number, PORT), &book))
+    let endpoints: Vec<_> = (0..2 * size.destinations)
+        .map(|number| Endpoint::new(number, address(run_number, FIRST_ENDPOINT + number, PORT), &book))
         .collect::<io::Result<_>>()?;
-    let readers: Vec<_> = (0..size.senders).map(|n| address(play_number, n, NOTES_PORT)).collect();
+    let readers: Vec<_> = (0..size.senders).map(|n| address(run_number, n, NOTES_PORT)).collect();
     let notes = Arc::new(Notes::new(&readers, seed)?);
     for (number, endpoint) in endpoints.iter().enumerate() {
         list.add(number, number / 2, endpoint.address);
@@ -112,7 +112,7 @@
     let senders: Vec<_> = (0..size.senders)
         .map(|number| {
             let discovery = [list_service(number, &list, &book)?, list_service(number, &list, &book)?];
-            let address = address(play_number, number, PORT);
+            let address = address(run_number, number, PORT);
             let place = Place { listen: address, notes: readers[number], discovery };
             let (list, told, notes) = (list.clone(), book.clone(), notes.clone());
             let configure: Configure = Box::new(move |reloads| {
@@ -138,13 +138,13 @@
     let turns = endpoints.iter().map(|_| Mutex::default()).collect();
     let world = Arc::new(World { senders, endpoints, list, notes, turns });
     let begun = Instant::now();
-    let until = begun + size.span;
+    let until = begun + size.duration;
     thread::scope(|scope| {
         for sender in &world.senders {
             for n in 0..CLIENTS_EACH {
                 let own = seed.wrapping_mul(31).wrapping_add(sender.number as u64 * CLIENTS_EACH + n);
                 let random = Rng::with_seed(own);
-                let client = Client { sender, dests: size.dests, book: &book, random };
+                let client = Client { sender, dests: size.destinations, book: &book, random };
                 scope.spawn(move || client.run(EVERY, until));
             }
         }
@@ -158,14 +158,15 @@
         // else goes wrong goes on beside them.
         for which in 0..world.senders.len().max(world.endpoints.len()) {
             for signals in [true, false] {
-                let its = |trouble: &&Trouble| trouble.which == which && trouble.kind.is_signal() == signals;
-                let mut its: Vec<&Trouble> = plan.iter().filter(its).collect();
-                its.sort_by_key(|trouble| trouble.from);
+                let its =
+                    |fault: &&ScheduledFault| fault.target == which && fault.kind.is_signal() == signals;
+                let mut its: Vec<&ScheduledFault> = plan.iter().filter(its).collect();
+                its.sort_by_key(|fault| fault.start);
                 let (world, book) = (&*world, &*book);
                 scope.spawn(move || {
-                    for trouble in its {
-                        thread::sleep((begun + trouble.from).saturating_duration_since(Instant::now()));
-                        world.play(trouble, book);
+                    for fault in its {
+                        thread::sleep((begun + fault.start).saturating_duration_since(Instant::now()));
+                        world.inject(fault, book);
                     }
                 });
             }
@@ -173,7 +174,7 @@
     });
     thread::sleep((until + client::TIME + AFTERWARDS).saturating_duration_since(Instant::now()));
     check_leaks(&world.senders, &before, &book);
-    let comes = size.senders as f64 * CLIENTS_EACH as f64 / EVERY.as_secs_f64() / size.dests as f64;
+    let comes = size.senders as f64 * CLIENTS_EACH as f64 / EVERY.as_secs_f64() / size.destinations as f64;
     let violations = book.violations(|route| configuration::slow_start(comes, route));
     let first = violations.iter().find_map(|violation| violation.message);
     let timeline = first.map(|id| book.timeline(id)).unwrap_or_default();
@@ -186,10 +187,10 @@
         let named = |sender: &&Arc<Sender>| timeline.contains(&format!("to sender {}\n", sender.number));
         world.senders.iter().filter(named).map(log).collect()
     };
-    let (promised, delivered, ended) = book.counts();
-    let hand_overs = world.senders.iter().map(|sender| sender.hand_overs()).sum();
-    let counts = Counts { promised, delivered, ended, hand_overs, lag: book.worst_lag() };
-    Ok(Outcome { counts, violations, timeline: timeline + &logs })
+    let (acknowledged, delivered, ended) = book.counts();
+    let handovers = world.senders.iter().map(|sender| sender.handovers()).sum();
+    let counts = Counts { acknowledged, delivered, ended, handovers, max_wake_delay: book.worst_lag() };
+    Ok(RunReport { counts, violations, timeline: timeline + &logs })
 }
 
 /// What a sender's processes hold is within what it may hold.
@@ -241,87 +242,89 @@
         all().for_each(|(_, endpoint)| endpoint.set(Manner::Sound));
     }
 
-    fn play(&self, trouble: &Trouble, book: &Book) {
-        let sender = &self.senders[trouble.which % self.senders.len()];
-        let number = trouble.which % self.endpoints.len();
+    fn inject(&self, fault: &ScheduledFault, book: &Book) {
+        let sender = &self.senders[fault.target % self.senders.len()];
+        let number = fault.target % self.endpoints.len();
         let endpoint = &self.endpoints[number];
-        let fails = |calls: &[(Word, i32, u32)]| {
+        let fails = |calls: &[(Fault, i32, u32)]| {
             for (what, errno, per_mille) in calls {
                 let _ = sender.faults.fail(*what, *errno, *per_mille);
             }
-            thread::sleep(trouble.span);
+            thread::sleep(fault.duration);
             calls.iter().for_each(|(what, ..)| drop(sender.faults.fail(*what, 0, 0)));
         };
         let misbehaves = |manner: Manner| {
             let _turn = self.turn(number);
             endpoint.set(manner);
-            thread::sleep(trouble.span);
+            thread::sleep(fault.duration);
             endpoint.set(Manner::Sound);
         };
-        match trouble.kind {
-            Kind::Kill => started(book, sender.kill_and_start()),
-            Kind::Restart => started(book, sender.restart(&[Signal::TERM])),
-            Kind::Signals(series) => started(book, sender.restart(signals(series))),
-            Kind::SignalsAtStart(millis) => {
+        match fault.kind {
+            FaultKind::Kill => started(book, sender.kill_and_start()),
+            FaultKind::Restart => started(book, sender.restart(&[Signal::TERM])),
+            FaultKind::Signals(series) => started(book, sender.restart(signals(series))),
+            FaultKind::SignalsAtStart(millis) => {
                 let signals = [Signal::TERM, Signal::HUP];
                 started(book, sender.signals_at_start(&signals, Duration::from_millis(millis)));
             }
-            Kind::KillBehindPromise => started(book, sender.kill_behind_a_promise()),
-            Kind::HandOver => started(book, sender.hand_over(None)),
-            Kind::HandOverKill(side, millis) => {
+            FaultKind::KillBehindPromise => started(book, sender.kill_behind_a_promise()),
+            FaultKind::Handover => started(book, sender.hand_over(None)),
+            FaultKind::HandoverKill(side, millis) => {
                 started(book, sender.hand_over(Some((side, Duration::from_millis(millis)))));
             }
-            Kind::Standby => stand_by(sender, trouble.span),
-            Kind::OutOfService => take_out(sender, number, trouble.span, book),
-            Kind::Crowd => crowd::come(sender.address(), trouble.span),
-            Kind::HeldUp => {
+            FaultKind::Standby => stand_by(sender, fault.duration),
+            FaultKind::OutOfService => take_out(sender, number, fault.duration, book),
+            FaultKind::Crowd => crowd::come(sender.address(), fault.duration),
+            FaultKind::HeldUp => {
                 let begun = Instant::now();
-                while begun.elapsed() < trouble.span {
+                while begun.elapsed() < fault.duration {
                     sender.hold_up();
                     thread::sleep(Duration::from_millis(300));
                 }
             }
-            Kind::Reload => (0..RELOADS).for_each(|_| sender.reload()),
-            Kind::Clock(step) => drop(sender.faults.step_wall_clock(step)),
-            Kind::Connect(errno) => fails(&[(Word::Connect, errno, HALF)]),
-            Kind::FileWrite(errno) => {
-                fails(&[(Word::HalfWritten, errno, HALF), (Word::FileWrite, errno, MOST)]);
+            FaultKind::Reload => (0..RELOADS).for_each(|_| sender.reload()),
+            FaultKind::Clock(step) => drop(sender.faults.set_wall_clock_offset(step)),
+            FaultKind::Connect(errno) => fails(&[(Fault::Connect, errno, HALF)]),
+            FaultKind::FileWrite(errno) => {
+                fails(&[(Fault::PartialWrite, errno, HALF), (Fault::FileWrite, errno, MOST)]);
             }
-            Kind::SocketIo => fails(&[(Word::SocketIo, libc::EINTR, HALF / 2), (Word::ShortIo, 0, HALF)]),
-            Kind::Accept(errno) => fails(&[(Word::Accept, errno, HALF)]),
-            Kind::SlowDisk(millis) => {
-                let _ = sender.faults.slow_writes(Duration::from_millis(millis));
-                thread::sleep(trouble.span);
-                let _ = sender.faults.slow_writes(Duration::ZERO);
+            FaultKind::SocketIo => {
+                fails(&[(Fault::SocketIo, libc::EINTR, HALF / 2), (Fault::ShortIo, 0, HALF)])
             }
-            Kind::FileRead(errno) => fails(&[(Word::FileRead, errno, MOST)]),
-            Kind::Memory(errno) => fails(&[(Word::SocketIo, errno, HALF / 2)]),
-            Kind::Socket(errno) => fails(&[(Word::Socket, errno, HALF)]),
-            Kind::NotesLost(per_mille) => {
+            FaultKind::Accept(errno) => fails(&[(Fault::Accept, errno, HALF)]),
+            FaultKind::SlowDisk(millis) => {
+                let _ = sender.faults.delay_writes(Duration::from_millis(millis));
+                thread::sleep(fault.duration);
+                let _ = sender.faults.delay_writes(Duration::ZERO);
+            }
+            FaultKind::FileRead(errno) => fails(&[(Fault::FileRead, errno, MOST)]),
+            FaultKind::Memory(errno) => fails(&[(Fault::SocketIo, errno, HALF / 2)]),
+            FaultKind::Socket(errno) => fails(&[(Fault::Socket, errno, HALF)]),
+            FaultKind::NotesLost(per_mille) => {
                 self.notes.lose(per_mille);
-                thread::sleep(trouble.span);
+                thread::sleep(fault.duration);
                 self.notes.lose(0);
             }
-            Kind::Outage => self.outage(number, trouble.span + OUTAGE, book),
-            Kind::Hangs => misbehaves(Manner::Hangs),
-            Kind::Cut => misbehaves(Manner::Cut),
-            Kind::CutAnswers => misbehaves(Manner::CutAnswers),
-            Kind::Resets => misbehaves(Manner::Resets),
-            Kind::Full => misbehaves(Manner::Full),
-            Kind::Slow => misbehaves(Manner::Slow),
-            Kind::Drain => {
+            FaultKind::Outage => self.outage(number, fault.duration + OUTAGE, book),
+            FaultKind::Hangs => misbehaves(Manner::Hangs),
+            FaultKind::Cut => misbehaves(Manner::Cut),
+            FaultKind::CutAnswers => misbehaves(Manner::CutAnswers),
+            FaultKind::Resets => misbehaves(Manner::Resets),
+            FaultKind::Full => misbehaves(Manner::Full),
+            FaultKind::Slow => misbehaves(Manner::Slow),
+            FaultKind::Drain => {
                 self.list.drain(number, true);
-                thread::sleep(trouble.span);
+                thread::sleep(fault.duration);
                 self.list.drain(number, false);
             }
-            Kind::ListDown => {
+            FaultKind::ListDown => {
                 self.list.set_down(true);
-                thread::sleep(trouble.span);
+                thread::sleep(fault.duration);
                 self.list.set_down(false);
             }
-            Kind::ListSilent => {
+            FaultKind::ListSilent => {
                 self.list.set_silent(true);
-                thread::sleep(trouble.span);
+                thread::sleep(fault.duration);
                 self.list.set_silent(false);
             }
         }
--- a/crates/soak/src/sender.rs
+++ b/crates/soak/src/sender.rs
@@ -2,7 +2,7 @@
 
 use crate::book::Book;
 use crate::process::Process;
-use notchpoint_faults::Faults;
+use notchpoint_faults::FaultController;
 use rustix::process::Signal;
 use std::fs;
 use std::io;
@@ -61,7 +61,7 @@
     /// Its number in the book.
     pub number: usize,
     /// What makes its system calls fail.
-    pub faults: Faults,
+    pub faults: FaultController,
     setting: Setting,
     folder: PathBuf,
     held: Option<TcpListener>,
@@ -72,7 +72,7 @@
     /// It is to be killed as soon as a client hears a promise.
     dies_at_promise: AtomicBool,
     reloads: AtomicUsize,
-    hand_overs: AtomicUsize,
+    handovers: AtomicUsize,
     book: Arc<Book>,
 }
 
@@ -103,7 +103,7 @@
         let held = setting.held.then(|| TcpListener::bind(setting.address)).transpose()?;
         Ok(Arc::new(Self {
             number,
-            faults: Faults::create(&folder.join("faults"))?,
+            faults: FaultController::create(&folder.join("faults"))?,
             setting,
             folder,
             held,
@@ -112,7 +112,7 @@
             accepts: AtomicBool::new(false),
             dies_at_promise: AtomicBool::new(false),
             reloads: AtomicUsize::new(0),
-            hand_overs: AtomicUsize::new(0),
+            handovers: AtomicUsize::new(0),
             book: book.clone(),
         }))
     }
@@ -128,8 +128,8 @@
     }
 
     /// Hand-overs that were begun.
-    pub fn hand_overs(&self) -> usize {
-        self.hand_overs.load(Ordering::Relaxed)
+    pub fn handovers(&self) -> usize {
+        self.handovers.load(Ordering::Relaxed)
     }
 
     fn write_configuration(&self) -> io::Result<()> {
@@ -289,7 +289,7 @@
         if self.held.is_none() || lock(&self.process).is_none() {
             return Ok(());
         }
-        self.hand_overs.fetch_add(1, Ordering::Relaxed);
+        self.handovers.fetch_add(1, Ordering::Relaxed);
         let begun = Instant::now();
         let mut new = self.spawn()?;
         if let Some((side, after)) = killed {
