--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -7,10 +7,10 @@
 use crate::stdout::print;
 use clap::{Parser, Subcommand};
 use notchpoint_policy::{DestinationId, FINGERPRINT, MessageId, Micros};
-use notchpoint_recorder::explain::{Explainer, Question};
-use notchpoint_recorder::fleet::Fleet;
-use notchpoint_recorder::replay::{Nobody, Outcome, Watcher};
-use notchpoint_recorder::{Recording, picture, replay, store, text};
+use notchpoint_recorder::explain::{Explainer, Query};
+use notchpoint_recorder::fleet::FleetCounts;
+use notchpoint_recorder::replay::{NoObserver, ReplayObserver, ReplayReport};
+use notchpoint_recorder::{Recording, plot, replay, store, text};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
@@ -111,7 +111,7 @@
         Some(Command::Replay { file }) => replay_command(&file),
         Some(Command::Store { what }) => storage::run(what),
         Some(Command::Explain { file, message, dest, from, to, json, svg }) => {
-            let question = Question { message, dest: dest.map(DestinationId), from, to };
+            let question = Query { message, dest: dest.map(DestinationId), from, to };
             explain_command(&file, question, json, svg.as_deref())
         }
         Some(Command::Fleet { files, dest }) => fleet_command(&files, dest.map(DestinationId)),
@@ -197,7 +197,7 @@
 }
 
 /// Replays a recording and reports on standard error what limits the result.
-fn replay_file(file: &Path, bytes: &[u8], watcher: &mut dyn Watcher) -> Result<Outcome, Failure> {
+fn replay_file(file: &Path, bytes: &[u8], watcher: &mut dyn ReplayObserver) -> Result<ReplayReport, Failure> {
     let recording = Recording::read(bytes);
     let done = replay(&recording, watcher);
     for d in &done.damage {
@@ -206,7 +206,7 @@
     for (run, segment, why) in &done.skipped {
         eprintln!("{}: segment {segment} of process {run} was not replayed: {why}", file.display());
     }
-    for other in &done.others {
+    for other in &done.other_builds {
         eprintln!(
             "{}: recorded by another version of the policy ({other:016x}; this build has \
              {FINGERPRINT:016x})",
@@ -226,11 +226,11 @@
 }
 
 fn fleet_command(files: &[PathBuf], dest: Option<DestinationId>) -> Result<ExitCode, Failure> {
-    let mut fleet = Fleet::default();
+    let mut fleet = FleetCounts::default();
     let mut is_complete = true;
     for file in files {
         let damage = match load(file) {
-            Ok(bytes) => fleet.add(&bytes),
+            Ok(bytes) => fleet.add_recording(&bytes),
             Err(why) => {
                 eprintln!("notchpoint: {why}");
                 is_complete = false;
@@ -247,12 +247,12 @@
     Ok(ExitCode::from(u8::from(!is_complete)))
 }
 
-fn exit_code(done: &Outcome) -> ExitCode {
+fn exit_code(done: &ReplayReport) -> ExitCode {
     ExitCode::from(u8::from(!done.is_equal()))
 }
 
 fn replay_command(file: &Path) -> Result<ExitCode, Failure> {
-    let done = replay_file(file, &load(file)?, &mut Nobody)?;
+    let done = replay_file(file, &load(file)?, &mut NoObserver)?;
     let (turns, segments, runs, states) = (done.turns, done.segments, done.runs, done.states);
     print(&format!(
         "{turns} turns identical, in {segments} segments of {runs} processes; {states} states identical\n"
@@ -265,7 +265,7 @@
 
 fn explain_command(
     file: &Path,
-    question: Question,
+    question: Query,
     json: bool,
     svg: Option<&Path>,
 ) -> Result<ExitCode, Failure> {
@@ -276,7 +276,7 @@
         eprintln!("{}: {d}\nturns after this one are not explained", file.display());
     }
     let all = explainer.finish();
-    let is_found = all.iter().any(|e| !e.courses.is_empty());
+    let is_found = all.iter().any(|e| !e.timelines.is_empty());
     if let (Some(id), false) = (question.message, is_found) {
         return Err(format!("{}: message {:016x} is not in the recording", file.display(), id.0).into());
     }
@@ -284,14 +284,14 @@
         if json {
             print(&format!("{}\n", serde_json::to_string(e)?))?;
         } else {
-            print(&text::write(e))?;
+            print(&text::render(e))?;
         }
     }
     // Of several processes, draws the one with the most points.
     if let (Some(path), Some(dest)) = (svg, question.dest)
         && let Some(e) = all.iter().max_by_key(|e| e.points.len())
     {
-        std::fs::write(path, picture::draw(e, dest.0)).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(path, plot::draw(e, dest.0)).map_err(|e| format!("{}: {e}", path.display()))?;
     }
     Ok(exit_code(&done))
 }
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -27,7 +27,7 @@
 use hyper::{Method, Request, Response, StatusCode};
 use notchpoint_policy::*;
 use notchpoint_seam::{Listener, Stream};
-use notchpoint_store::Mark;
+use notchpoint_store::LogPosition;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::convert::Infallible;
@@ -489,7 +489,7 @@
 
 /// Waits until a record is durable and copied as far as the settings ask for. Returns whether it may be
 /// promised.
-async fn wait_until_safe(inbound: &Inbound, id: MessageId, mark: &Mark) -> bool {
+async fn wait_until_safe(inbound: &Inbound, id: MessageId, mark: &LogPosition) -> bool {
     let Some(copies) = &inbound.copies else {
         return inbound.durability.wait_until_durable(mark, DURABILITY_TIMEOUT).await;
     };
--- a/crates/daemon/src/copies/link.rs
+++ b/crates/daemon/src/copies/link.rs
@@ -4,7 +4,7 @@
 use crate::io::{read_exactly, read_some, write_all};
 use notchpoint_copies::{Frame, FrameError, HELLO_LEN, Hello, MAX_FRAME_LEN, Peer, read_frame, write_frame};
 use notchpoint_seam::Stream;
-use notchpoint_store::Mark;
+use notchpoint_store::LogPosition;
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
 use std::io;
@@ -26,7 +26,7 @@
 /// Frames that wait to be written on one link.
 #[derive(Default)]
 pub struct SendQueue {
-    frames: RefCell<VecDeque<(Vec<u8>, Mark)>>,
+    frames: RefCell<VecDeque<(Vec<u8>, LogPosition)>>,
     bytes: Cell<usize>,
     ended: Cell<bool>,
     changed: Notify,
@@ -34,7 +34,7 @@
 
 impl SendQueue {
     /// Adds a frame, which is written once the folder is durable up to `mark`.
-    pub fn push(&self, frame: &Frame, mark: Mark) {
+    pub fn push(&self, frame: &Frame, mark: LogPosition) {
         let bytes = write_frame(frame);
         self.bytes.set(self.bytes.get() + bytes.len());
         self.frames.borrow_mut().push_back((bytes, mark));
@@ -54,7 +54,7 @@
     }
 
     /// Returns the next frames as one buffer, and the mark up to which the folder must be durable first.
-    async fn next_batch(&self) -> Option<(Vec<u8>, Mark)> {
+    async fn next_batch(&self) -> Option<(Vec<u8>, LogPosition)> {
         while !self.ended.get() {
             if let Some(next) = self.take_batch() {
                 return Some(next);
@@ -64,7 +64,7 @@
         None
     }
 
-    fn take_batch(&self) -> Option<(Vec<u8>, Mark)> {
+    fn take_batch(&self) -> Option<(Vec<u8>, LogPosition)> {
         let mut frames = self.frames.borrow_mut();
         let (mut all, mut mark) = frames.pop_front()?;
         while let Some((more, _)) = frames.front()
@@ -126,7 +126,7 @@
     stream: Rc<dyn Stream>,
     queue: &SendQueue,
     mut on_frame: impl FnMut(Frame) -> bool,
-    wait_until_durable: impl AsyncFn(&Mark) -> bool,
+    wait_until_durable: impl AsyncFn(&LogPosition) -> bool,
 ) -> io::Error {
     let reading = async {
         let (mut bytes, mut block) = (Vec::new(), vec![0; READ_BUFFER_BYTES]);
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -477,7 +477,7 @@
         self.handle_input(ProtocolInput::LinkDown { peer, link });
     }
 
-    fn wait_until_durable(&self) -> impl AsyncFn(&notchpoint_store::Mark) -> bool + use<> {
+    fn wait_until_durable(&self) -> impl AsyncFn(&notchpoint_store::LogPosition) -> bool + use<> {
         let durability = self.durability.clone();
         async move |mark| {
             durability.is_durable(mark) || durability.wait_until_durable(mark, CONNECT_TIMEOUT).await
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -656,7 +656,7 @@
                 );
             }
         }
-        self.flight.keep_names(|id| self.calls.is_listed(id));
+        self.flight.retain_names(|id| self.calls.is_listed(id));
         if let Some(zone_monitor) = &self.zone_monitor {
             zone_monitor.retain_endpoints(|id| self.calls.is_listed(id));
         }
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -5,7 +5,7 @@
 use crate::operations::{OperatorCommand, Rejection};
 use crate::settings::config::Config;
 use notchpoint_policy::{DestinationId, Event, Message, MessageId, Micros, Outcome};
-use notchpoint_store::Mark;
+use notchpoint_store::LogPosition;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
@@ -83,7 +83,7 @@
 #[derive(Debug)]
 pub struct AppliedCommand {
     pub description: String,
-    pub mark: Mark,
+    pub mark: LogPosition,
 }
 
 /// Answers an operator's command, once.
--- a/crates/daemon/src/operators/flight_recorder.rs
+++ b/crates/daemon/src/operators/flight_recorder.rs
@@ -3,7 +3,7 @@
 use crate::settings::config::Config;
 use crate::settings::operator::{self, RecorderStore};
 use notchpoint_policy::{Action, EndpointId, Event, Micros, Sender};
-use notchpoint_recorder::store::{Folder, Memory};
+use notchpoint_recorder::store::{FolderStore, MemoryStore};
 use notchpoint_recorder::{Options, Recorder, recorder};
 use notchpoint_seam::Clock;
 use std::cell::{Cell, RefCell};
@@ -45,25 +45,25 @@
             })
         };
         let fail = |e: &dyn std::fmt::Display| format!("recorder: {}: {e}", folder.display());
-        let (store, existing): (Box<dyn notchpoint_recorder::store::Store>, _) = match settings.store {
+        let (store, existing): (Box<dyn notchpoint_recorder::store::SegmentStore>, _) = match settings.store {
             RecorderStore::Off => return Ok(flight(None)),
             RecorderStore::Memory => {
                 fs::create_dir_all(&folder).map_err(|e| fail(&e))?;
-                (Box::new(Memory::default()), Vec::new())
+                (Box::new(MemoryStore::default()), Vec::new())
             }
             RecorderStore::Folder => {
-                let (store, existing) = Folder::open(&folder).map_err(|e| fail(&e))?;
+                let (store, existing) = FolderStore::open(&folder).map_err(|e| fail(&e))?;
                 (Box::new(store), existing)
             }
         };
         let options = Options {
-            limit: settings.limit_bytes(),
+            limit_bytes: settings.limit_bytes(),
             sender: config.name.clone(),
             classes: config.names.classes.clone(),
             settings: config.settings.clone(),
             seed: config.seed,
         };
-        let begun = Recorder::begin(options, store, &existing, crate::input::CLOCK_START, clock.unix_now());
+        let begun = Recorder::start(options, store, &existing, crate::input::CLOCK_START, clock.unix_now());
         let flight = flight(Some(begun.map_err(|e| fail(&e))?));
         tracing::info!("{settings}");
         Ok(flight)
@@ -73,7 +73,7 @@
     pub fn record_turn(&self, at: Micros, events: &[Event], actions: &[Action], after: &Sender) {
         let mut recorder = self.recorder.borrow_mut();
         if let Some(r) = recorder.as_mut()
-            && let Err(why) = r.turn(at, self.clock.unix_now(), events, actions, after)
+            && let Err(why) = r.record_turn(at, self.clock.unix_now(), events, actions, after)
         {
             self.stop(&mut recorder, &why);
         }
@@ -83,16 +83,16 @@
     pub fn record_name(&self, endpoint: EndpointId, name: &str) {
         let mut recorder = self.recorder.borrow_mut();
         if let Some(r) = recorder.as_mut()
-            && let Err(why) = r.name(endpoint, name)
+            && let Err(why) = r.record_name(endpoint, name)
         {
             self.stop(&mut recorder, &why);
         }
     }
 
     /// Forgets the names of endpoints that have left the list.
-    pub fn keep_names(&self, listed: impl Fn(EndpointId) -> bool) {
+    pub fn retain_names(&self, listed: impl Fn(EndpointId) -> bool) {
         if let Some(r) = self.recorder.borrow_mut().as_mut() {
-            r.keep_names(listed);
+            r.retain_names(listed);
         }
     }
 
@@ -162,7 +162,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use notchpoint_recorder::{Recording, replay, replay::Nobody};
+    use notchpoint_recorder::{Recording, replay, replay::NoObserver};
     use notchpoint_seam::system::SystemClock;
 
     #[test]
@@ -189,7 +189,7 @@
             fs::read_dir(folder.path()).expect("read").flatten().map(|e| e.path()).collect();
         assert_eq!(dumps.len(), 1, "{dumps:?}");
         let bytes = fs::read(&dumps[0]).expect("read");
-        let played = replay(&Recording::read(&bytes), &mut Nobody);
+        let played = replay(&Recording::read(&bytes), &mut NoObserver);
         assert!(played.is_equal() && played.turns == 10, "{played:?}");
     }
 
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -237,7 +237,7 @@
         &self,
         options: notchpoint_store::Options,
         start_from: &mut StartFrom,
-    ) -> Result<Option<(Journal, notchpoint_store::Notes)>, Failure> {
+    ) -> Result<Option<(Journal, notchpoint_store::RecoveryReport)>, Failure> {
         let (mut is_logged, begun) = (false, Instant::now());
         loop {
             match Journal::open(self.disk.clone(), self.clock.clone(), options.clone()) {
--- a/crates/daemon/src/state/durability.rs
+++ b/crates/daemon/src/state/durability.rs
@@ -5,7 +5,7 @@
 //! under way waits for the next one.
 
 use crate::state::journal::Journal;
-use notchpoint_store::{Error, Mark};
+use notchpoint_store::{Error, LogPosition};
 use std::cell::RefCell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -35,13 +35,13 @@
     }
 
     /// Returns the position behind the last written record.
-    pub fn log_end(&self) -> Mark {
+    pub fn log_end(&self) -> LogPosition {
         self.journal.borrow().log_end()
     }
 
     /// Waits until all records up to a position are durable. Returns false if that takes longer than
     /// `timeout`.
-    pub async fn wait_until_durable(&self, mark: &Mark, timeout: Duration) -> bool {
+    pub async fn wait_until_durable(&self, mark: &LogPosition, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         loop {
             let sync_finished = self.sync_finished.notified();
@@ -56,7 +56,7 @@
     }
 
     /// Whether all records up to a position survive what the operator asked for.
-    pub fn is_durable(&self, mark: &Mark) -> bool {
+    pub fn is_durable(&self, mark: &LogPosition) -> bool {
         self.journal.borrow().is_durable(mark)
     }
 
@@ -72,14 +72,14 @@
     }
 
     async fn sync(&self) -> Result<(), Error> {
-        let begun = self.journal.borrow_mut().sync_begin()?;
+        let begun = self.journal.borrow_mut().begin_sync()?;
         let Some(mut sync) = begun else { return Ok(()) };
-        let result = match sync.done.take() {
+        let result = match sync.future.take() {
             Some(done) => done.await,
             None => Ok(()),
         };
         let failed = result.as_ref().err().map(ToString::to_string);
-        self.journal.borrow_mut().sync_end(&sync, result)?;
+        self.journal.borrow_mut().finish_sync(&sync, result)?;
         // By now the records of the failed sync are in another segment, and durable there.
         failed.into_iter().for_each(|e| {
             tracing::warn!("journal: sync failed, its records were written to a new segment: {e}")
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -16,7 +16,7 @@
 use crate::state::timeline::{ClockReading, Continuity, TIMELINE, Timeline};
 use notchpoint_policy::{Class, EndpointId, MessageId, Micros};
 use notchpoint_seam::{Clock, Disk};
-use notchpoint_store::{Batch, Error, Mark, Notes, Options, Store, Sync, Work};
+use notchpoint_store::{Batch, Error, LogPosition, Options, PendingSync, RecoveryReport, Store, WriteKind};
 use std::collections::BTreeMap;
 use std::collections::VecDeque;
 use std::io;
@@ -36,7 +36,7 @@
     /// `None` once another process owns the store. The messages in memory then only serve to finish calls.
     store: Option<Store>,
     /// The position behind the last record, once the store is released.
-    released_log_end: Mark,
+    released_log_end: LogPosition,
     clock: Rc<dyn Clock>,
     timeline: Timeline,
     continuity: Continuity,
@@ -73,7 +73,11 @@
 impl Journal {
     /// Opens the journal of the folder and reads what an earlier process left, including the format of
     /// earlier builds.
-    pub fn open(disk: Rc<dyn Disk>, clock: Rc<dyn Clock>, options: Options) -> Result<(Self, Notes), Error> {
+    pub fn open(
+        disk: Rc<dyn Disk>,
+        clock: Rc<dyn Clock>,
+        options: Options,
+    ) -> Result<(Self, RecoveryReport), Error> {
         let (mut store, notes) = Store::open(disk.clone(), options)?;
         legacy::migrate(&*disk, &mut store)?;
         let mut open = BTreeMap::new();
@@ -106,7 +110,7 @@
             m.attempts.sort_by_key(|a| a.number);
         }
         let held_count = open.values().filter(|m| m.verdict.is_none()).count();
-        let released_log_end = store.mark();
+        let released_log_end = store.log_end();
         let (store, pending_writes, subscriber) = (Some(store), VecDeque::new(), None);
         let now =
             ClockReading { boot: clock.boot_id()?, monotonic: clock.monotonic_now(), wall: clock.unix_now() };
@@ -184,7 +188,7 @@
     /// Reserves space in the store for the verdicts and ends of all open messages.
     fn reserve_for_ends(&mut self) {
         if let Some(store) = &mut self.store {
-            store.expect_ends(self.open.len() as u64 * END_RESERVE_BYTES);
+            store.set_expected_end_bytes(self.open.len() as u64 * END_RESERVE_BYTES);
         }
     }
 
@@ -213,7 +217,7 @@
     pub fn accept(&mut self, id: MessageId, message: OpenMessage) -> io::Result<()> {
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
-        self.append(&batch, Work::New)?;
+        self.append(&batch, WriteKind::New)?;
         self.held_count += 1;
         self.open.insert(id, message);
         self.reserve_for_ends();
@@ -241,7 +245,7 @@
     pub fn write_copies<'a>(&mut self, rows: impl Iterator<Item = CopyRow<'a>>) -> io::Result<()> {
         let mut batch = Batch::default();
         let only_deletes = add_copy_rows(&mut batch, rows);
-        Ok(self.append(&batch, if only_deletes { Work::End } else { Work::New })?)
+        Ok(self.append(&batch, if only_deletes { WriteKind::End } else { WriteKind::New })?)
     }
 
     /// Takes over a message that another sender had promised, and writes rows of copies in the same batch.
@@ -255,7 +259,7 @@
         let mut batch = Batch::default();
         record::write(&mut batch, id, &message);
         add_copy_rows(&mut batch, rows);
-        self.append(&batch, Work::Going)?;
+        self.append(&batch, WriteKind::Update)?;
         self.held_count += usize::from(message.verdict.is_none());
         self.open.insert(id, message);
         self.reserve_for_ends();
@@ -269,7 +273,7 @@
         }
         let mut batch = Batch::default();
         batch.delete(MESSAGES, &key(id, UNCONFIRMED, None));
-        self.append(&batch, Work::Going)?;
+        self.append(&batch, WriteKind::Update)?;
         self.open.entry(id).and_modify(|o| o.is_confirmed = true);
         Ok(())
     }
@@ -296,7 +300,7 @@
             }
         }
         if !batch.is_empty() {
-            self.append(&batch, Work::Going)?;
+            self.append(&batch, WriteKind::Update)?;
         }
         Ok(())
     }
@@ -304,7 +308,7 @@
     /// Sets or clears an operator's mark. After an error nothing has changed.
     pub fn set_mark(&mut self, change: MarkChange) -> io::Result<()> {
         if !self.operator_marks.includes(&change) {
-            self.append(&operator_marks::batch(&change), Work::Going)?;
+            self.append(&operator_marks::batch(&change), WriteKind::Update)?;
             self.operator_marks.apply(change);
         }
         Ok(())
@@ -319,7 +323,7 @@
         let attempt = Attempt { number, endpoint, started_at, never_ran: false };
         let mut batch = Batch::default();
         batch.put(MESSAGES, &key(id, ATTEMPT, Some(number)), &encode_attempt(&attempt));
-        self.append(&batch, Work::Going)?;
+        self.append(&batch, WriteKind::Update)?;
         self.open.entry(id).and_modify(|m| m.attempts.push(attempt));
         Ok(())
     }
@@ -366,7 +370,7 @@
 
     /// Writes a batch now or, if that fails, as soon as the folder accepts it. Returns whether it is written.
     fn append_or_defer(&mut self, batch: Batch) -> bool {
-        let written = self.append(&batch, Work::End);
+        let written = self.append(&batch, WriteKind::End);
         if let Err(error) = &written {
             self.write_warning.warn(&format_args!("journal: {error}; the write is retried"));
             self.pending_writes.push_back(batch);
@@ -392,18 +396,18 @@
     pub fn flush_pending_writes(&mut self) -> Result<(), Error> {
         let Some(store) = &mut self.store else { return Ok(()) };
         while let Some(first) = self.pending_writes.front() {
-            store.apply(first, Work::End)?;
+            store.apply(first, WriteKind::End)?;
             self.pending_writes.pop_front();
         }
         Ok(())
     }
 
-    fn append(&mut self, batch: &Batch, work: Work) -> Result<(), Error> {
+    fn append(&mut self, batch: &Batch, work: WriteKind) -> Result<(), Error> {
         self.flush_pending_writes()?;
         let Some(store) = &mut self.store else {
             // The owner of the store records ends. Nothing new starts in this process.
             let not_owned = || io::Error::other("another process owns the store");
-            return if work == Work::End { Ok(()) } else { Err(not_owned().into()) };
+            return if work == WriteKind::End { Ok(()) } else { Err(not_owned().into()) };
         };
         store.apply(batch, work).map(drop)
     }
@@ -415,30 +419,30 @@
         let Some(store) = &mut self.store else { return Ok(()) };
         store.flush()?;
         store.sync_now()?;
-        self.released_log_end = store.mark();
+        self.released_log_end = store.log_end();
         self.store = None;
         Ok(())
     }
 
     /// Returns the position behind the last written record.
-    pub fn log_end(&self) -> Mark {
-        self.store.as_ref().map_or(self.released_log_end, Store::mark)
+    pub fn log_end(&self) -> LogPosition {
+        self.store.as_ref().map_or(self.released_log_end, Store::log_end)
     }
 
     /// Whether all records up to a position survive what the operator asked for: the end of the process, or a
     /// loss of power.
-    pub fn is_durable(&self, mark: &Mark) -> bool {
-        self.store.as_ref().is_none_or(|s| s.is_firm(mark))
+    pub fn is_durable(&self, mark: &LogPosition) -> bool {
+        self.store.as_ref().is_none_or(|s| s.is_durable(mark))
     }
 
     /// Begins a sync. Returns `None` if there is nothing to sync.
-    pub fn sync_begin(&mut self) -> Result<Option<Sync>, Error> {
-        self.store.as_mut().map_or(Ok(None), Store::sync_begin)
+    pub fn begin_sync(&mut self) -> Result<Option<PendingSync>, Error> {
+        self.store.as_mut().map_or(Ok(None), Store::begin_sync)
     }
 
     /// Ends a sync with its result. If it failed, its records are written to another segment.
-    pub fn sync_end(&mut self, sync: &Sync, result: io::Result<()>) -> Result<(), Error> {
-        self.store.as_mut().map_or(Ok(()), |s| s.sync_end(sync, result))
+    pub fn finish_sync(&mut self, sync: &PendingSync, result: io::Result<()>) -> Result<(), Error> {
+        self.store.as_mut().map_or(Ok(()), |s| s.finish_sync(sync, result))
     }
 }
 
--- a/crates/daemon/src/state/legacy.rs
+++ b/crates/daemon/src/state/legacy.rs
@@ -5,7 +5,7 @@
 use crate::state::record::{Attempt, Fields, OpenMessage, Verdict, write};
 use notchpoint_policy::{EndpointId, MessageId};
 use notchpoint_seam::Disk;
-use notchpoint_store::{Batch, Error, Refusal, Store, Work};
+use notchpoint_store::{Batch, Corruption, Error, Store, WriteKind};
 use std::collections::BTreeMap;
 
 const FILE: &str = "journal";
@@ -28,7 +28,7 @@
     for (id, m) in &open {
         let mut batch = Batch::default();
         write(&mut batch, *id, m);
-        store.apply(&batch, Work::Carried)?;
+        store.apply(&batch, WriteKind::Import)?;
     }
     store.sync_now()?;
     disk.remove(FILE)?;
@@ -39,7 +39,7 @@
 
 /// Returns the open messages of an old journal. A torn tail is dropped. Invalid bytes that valid records
 /// follow are not a torn tail, but damage.
-pub fn read(old: &[u8]) -> Result<BTreeMap<MessageId, OpenMessage>, Refusal> {
+pub fn read(old: &[u8]) -> Result<BTreeMap<MessageId, OpenMessage>, Corruption> {
     let (mut open, mut rest) = (BTreeMap::new(), old);
     while let Some((record, after)) = unframe(rest) {
         if replay(record, &mut open).is_none() {
@@ -52,7 +52,7 @@
         unframe(&rest[*n..]).is_some_and(|(r, _)| r.first().is_some_and(|k| b"TANVE".contains(k)))
     };
     if let Some(n) = (1..rest.len()).find(is_valid) {
-        return Err(Refusal {
+        return Err(Corruption {
             file: FILE.into(),
             offset,
             expected: "a record, or the end of the file".into(),
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -9,7 +9,7 @@
 use clap::Subcommand;
 use notchpoint_seam::system::Folder;
 use notchpoint_store::format::Record;
-use notchpoint_store::inspect::{self, Piece};
+use notchpoint_store::inspect::{self, LogItem};
 use notchpoint_store::{Error, Options, Table, format};
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
@@ -28,14 +28,14 @@
         Durability::Power => notchpoint_store::Durability::Power,
     };
     let defaults = Options::new(config.seed, config.disk_bytes);
-    let reserve = (config.disk_bytes / RESERVE_DIVISOR).min(MAX_RESERVE_BYTES);
-    Options { durability, step: settings.step_kb as usize * 1024, reserve, ..defaults }
+    let reserve_bytes = (config.disk_bytes / RESERVE_DIVISOR).min(MAX_RESERVE_BYTES);
+    Options { durability, step_bytes: settings.step_kb as usize * 1024, reserve_bytes, ..defaults }
 }
 
 /// Describes why the journal did not open, and for a damaged one the commands that help.
 pub fn describe_open_error(error: Error) -> Failure {
     match error {
-        Error::Refused(refusal) => format!(
+        Error::Corrupt(refusal) => format!(
             "the journal is damaged: {refusal}. The sender does not start, and nothing was changed. \
              `notchpoint store check DIR` reports the damage; `notchpoint store salvage DIR --to NEW` \
              saves all that can be read"
@@ -103,18 +103,18 @@
     let name = dir.display();
     let report = match inspect::check(&open_folder(dir)?) {
         Ok(report) => report,
-        Err(Error::Refused(refusal)) => {
+        Err(Error::Corrupt(refusal)) => {
             print(&format!("{name}: damaged: {refusal}\n"))?;
             return Ok(ExitCode::from(1));
         }
         Err(e) => return Err(format!("{name}: {e}").into()),
     };
-    print(&format!("{name}: sound: {}\n", report.notes))?;
+    print(&format!("{name}: sound: {}\n", report.recovery))?;
     for (number, keys, bytes) in report.tables.iter().map(|(t, (k, b))| (*t, k, b)) {
         print(&format!("  {}: {keys} keys, {bytes} bytes\n", table_name(Table(number))))?;
     }
     for (number, len, live) in report.segments {
-        print(&format!("  {}: {len} bytes, {live} in force\n", format::name(number)))?;
+        print(&format!("  {}: {len} bytes, {live} in force\n", format::segment_file_name(number)))?;
     }
     Ok(ExitCode::SUCCESS)
 }
@@ -126,11 +126,11 @@
 fn dump(dir: &Path) -> Result<ExitCode, Failure> {
     let mut failed = Ok(());
     inspect::walk(&open_folder(dir)?, |number, piece| {
-        let file = format::name(number);
+        let file = format::segment_file_name(number);
         let line = match piece {
-            Piece::Lost { from, to } => format!("{file}, bytes {from} to {to}: cannot be read"),
-            Piece::Missing { from, to } => format!("{file}: frames {from} to {} are missing", to - 1),
-            Piece::Record { at, seq, record } => {
+            LogItem::Unreadable { from, to } => format!("{file}, bytes {from} to {to}: cannot be read"),
+            LogItem::MissingFrames { from, to } => format!("{file}: frames {from} to {} are missing", to - 1),
+            LogItem::Record { offset, seq, record } => {
                 let text = match record {
                     Record::Put { table: COPIES, key, value, .. } => {
                         let row = notchpoint_copies::describe_row(key, Some(value));
@@ -147,9 +147,9 @@
                     Record::DeletePrefix { table: t, key } => {
                         format!("delete {} {}*", table_name(t), hex(key))
                     }
-                    Record::Base(n) => format!("segments below {n} are dropped"),
+                    Record::LogStart(n) => format!("segments below {n} are dropped"),
                 };
-                format!("{file}, byte {at}, frame {seq}: {text}")
+                format!("{file}, byte {offset}, frame {seq}: {text}")
             }
         };
         if failed.is_ok() {
@@ -172,20 +172,20 @@
         }
     };
     let saved = inspect::salvage(&from, Rc::new(Folder(to.to_owned())), options, amend)?;
-    print(&format!("{}: {} keys saved\n", to.display(), saved.keys))?;
-    for (number, from, to) in &saved.lost {
-        print(&format!("lost: {}, bytes {from} to {to}\n", format::name(*number)))?;
+    print(&format!("{}: {} keys saved\n", to.display(), saved.key_count))?;
+    for (number, from, to) in &saved.unreadable {
+        print(&format!("lost: {}, bytes {from} to {to}\n", format::segment_file_name(*number)))?;
     }
-    for (from, to) in &saved.missing {
+    for (from, to) in &saved.missing_frames {
         print(&format!("lost: frames {from} to {}\n", to - 1))?;
     }
-    for (t, key) in &saved.doubtful {
+    for (t, key) in &saved.uncertain {
         print(&format!(
             "in doubt: {} {}: lost records may have changed or ended it\n",
             table_name(*t),
             hex(key)
         ))?;
     }
-    let is_complete = saved.lost.is_empty() && saved.missing.is_empty();
+    let is_complete = saved.unreadable.is_empty() && saved.missing_frames.is_empty();
     Ok(ExitCode::from(u8::from(!is_complete)))
 }
--- a/crates/recorder/examples/cost.rs
+++ b/crates/recorder/examples/cost.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p notchpoint-recorder --example cost -- [TURNS] [FOLDER]`
 
 use notchpoint_policy::*;
-use notchpoint_recorder::store::{Folder, Memory};
+use notchpoint_recorder::store::{FolderStore, MemoryStore};
 use notchpoint_recorder::{Options, Recorder};
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -87,7 +87,7 @@
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
         if let Some(r) = &mut self.recorder {
-            r.turn(self.now, self.now, &events, &actions, &self.sender).expect("recorded");
+            r.record_turn(self.now, self.now, &events, &actions, &self.sender).expect("recorded");
         }
         for a in actions {
             if let Action::Send { id, .. } = a {
@@ -129,21 +129,21 @@
     }
 }
 
-fn recorder(store: Box<dyn notchpoint_recorder::store::Store>) -> Option<Recorder> {
+fn recorder(store: Box<dyn notchpoint_recorder::store::SegmentStore>) -> Option<Recorder> {
     let (sender, classes) = ("n0".into(), vec!["status-update".into(), "order-payment".into()]);
-    let options = Options { limit: LIMIT, sender, classes, settings: settings(), seed: 1 };
-    Recorder::begin(options, store, &[], 100_000_000, 100_000_000).ok()
+    let options = Options { limit_bytes: LIMIT, sender, classes, settings: settings(), seed: 1 };
+    Recorder::start(options, store, &[], 100_000_000, 100_000_000).ok()
 }
 
 fn main() {
     let mut args = std::env::args().skip(1);
     let turns: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(1_000_000);
     let folder = args.next().unwrap_or_else(|| "recording-cost".into());
-    let (store, there) = Folder::open(Path::new(&folder)).expect("a folder");
+    let (store, there) = FolderStore::open(Path::new(&folder)).expect("a folder");
     assert!(there.is_empty(), "{folder} holds a recording already");
     let mut lanes = [
         Lane::new("off", None),
-        Lane::new("memory", recorder(Box::new(Memory::default()))),
+        Lane::new("memory", recorder(Box::new(MemoryStore::default()))),
         Lane::new("folder", recorder(Box::new(store))),
     ];
     for _ in 0..turns / CHUNK {
--- a/crates/recorder/src/explain.rs
+++ b/crates/recorder/src/explain.rs
@@ -4,8 +4,8 @@
 //! message ([`Sender::holds`]). A message's time is cut into spans without a hole: in each either a call of
 //! it is out, or one guard holds it.
 
-use crate::form::{Header, Record, Turn};
-use crate::replay::{Watcher, message_of, names};
+use crate::format::{Header, Record, Turn};
+use crate::replay::{ReplayObserver, message_of, names};
 use notchpoint_policy::{
     Action, DestinationId, EndpointId, Event, Guard, MessageId, Micros, Outcome, RouteView, Sender,
 };
@@ -14,7 +14,7 @@
 
 /// What a message is at.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub enum At {
+pub enum MessageState {
     /// Held by this guard.
     Held(Guard),
     /// A call of it is out.
@@ -29,7 +29,7 @@
     /// Until when.
     pub to: Micros,
     /// What it was at.
-    pub at: At,
+    pub at: MessageState,
     /// Where the call went, if one was out.
     pub endpoint: Option<String>,
     /// What began it.
@@ -40,7 +40,7 @@
 
 /// A message's course.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Course {
+pub struct MessageTimeline {
     /// Its id, as clients write it.
     pub id: String,
     /// Its class.
@@ -55,16 +55,16 @@
     pub end: Option<String>,
 }
 
-impl Course {
+impl MessageTimeline {
     /// How long it was held, without the time of its calls.
     pub fn held(&self) -> Micros {
-        self.spans.iter().filter(|s| s.at != At::Out).map(|s| s.to - s.from).sum()
+        self.spans.iter().filter(|s| s.at != MessageState::Out).map(|s| s.to - s.from).sum()
     }
 }
 
 /// A moment in the course of a destination.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Point {
+pub struct RouteSample {
     /// When, in microseconds of the module's clock.
     pub at: Micros,
     /// Which route of it: the endpoint's name where they are apart.
@@ -100,7 +100,7 @@
 
 /// What is asked for.
 #[derive(Clone, Debug, Default)]
-pub struct Question {
+pub struct Query {
     /// One message.
     pub message: Option<MessageId>,
     /// One destination.
@@ -113,7 +113,7 @@
 
 /// Held time of one guard.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Total {
+pub struct GuardTotal {
     /// The guard.
     pub guard: Guard,
     /// How long it held messages, summed over them, in microseconds.
@@ -136,13 +136,14 @@
     /// The last moment.
     pub ends: Micros,
     /// Messages, by their first moment.
-    pub courses: Vec<Course>,
+    #[serde(rename = "courses")]
+    pub timelines: Vec<MessageTimeline>,
     /// Held time by guard, most first.
-    pub totals: Vec<Total>,
+    pub totals: Vec<GuardTotal>,
     /// Held time by destination, most first, in microseconds.
     pub dests: Vec<(u64, Micros)>,
     /// The course of the destination that was asked for.
-    pub points: Vec<Point>,
+    pub points: Vec<RouteSample>,
     /// The cuts of its window.
     pub cuts: Vec<Cut>,
     /// Held time that the module's own count gives, over all messages and without regard to the question.
@@ -156,8 +157,8 @@
 }
 
 struct Track {
-    course: Course,
-    at: At,
+    course: MessageTimeline,
+    at: MessageState,
     endpoint: Option<String>,
     from: Micros,
     began: String,
@@ -165,7 +166,7 @@
 
 /// Explains while a recording is played.
 pub struct Explainer {
-    question: Question,
+    question: Query,
     done: Vec<Explanation>,
     now: Explanation,
     open: BTreeMap<MessageId, Track>,
@@ -182,7 +183,7 @@
 
 impl Explainer {
     /// An explainer for one question.
-    pub fn new(question: Question) -> Self {
+    pub fn new(question: Query) -> Self {
         let (done, now, open, classes, endpoints, held, by_dest, routes) = Default::default();
         let (waiting, last, offset, began) = (0, 0, 0, false);
         Self {
@@ -223,11 +224,12 @@
         let mut e = std::mem::take(&mut self.now);
         e.ends = last;
         let totals = std::mem::take(&mut self.held).into_iter();
-        e.totals = totals.map(|(guard, (held, ids))| Total { guard, held, messages: ids.len() }).collect();
+        e.totals =
+            totals.map(|(guard, (held, ids))| GuardTotal { guard, held, messages: ids.len() }).collect();
         e.totals.sort_by_key(|t| std::cmp::Reverse(t.held));
         e.dests = std::mem::take(&mut self.by_dest).into_iter().collect();
         e.dests.sort_by_key(|d| std::cmp::Reverse(d.1));
-        e.courses.sort_by_key(|c| c.spans.first().map_or(0, |s| s.from));
+        e.timelines.sort_by_key(|c| c.spans.first().map_or(0, |s| s.from));
         self.routes.clear();
         self.done.push(e);
     }
@@ -246,13 +248,13 @@
         (from, self.question.to.map_or(Micros::MAX, |t| self.now.begins.saturating_add(t)))
     }
 
-    fn keep(&mut self, course: Course) {
+    fn keep(&mut self, course: MessageTimeline) {
         let (from, to) = self.stretch();
         let asked = self.question.message.is_some() || self.question.dest.is_some() || from > 0;
         let dest = self.question.dest.is_none_or(|d| d.0 == course.dest);
         let id = self.question.message.is_none_or(|m| format!("{:016x}", m.0) == course.id);
         if asked && dest && id && course.spans.iter().any(|s| s.from < to && s.to >= from) {
-            self.now.courses.push(course);
+            self.now.timelines.push(course);
         }
     }
 
@@ -265,7 +267,7 @@
             let (began, ended) = (std::mem::take(&mut t.began), why.to_owned());
             let span = Span { from: t.from, to: at, at: t.at, endpoint: t.endpoint.take(), began, ended };
             t.course.spans.push(span);
-            if let At::Held(guard) = t.at {
+            if let MessageState::Held(guard) = t.at {
                 self.now.held_by_spans += at - t.from;
                 let within = at.min(to).saturating_sub(t.from.max(from));
                 let id_asked = self.question.message.is_none_or(|m| m == id);
@@ -281,7 +283,7 @@
     }
 
     fn track(&mut self, id: MessageId, class: u32, dest: u64, at: Micros, began: &str, from_before: bool) {
-        let course = Course {
+        let course = MessageTimeline {
             id: format!("{:016x}", id.0),
             class: self.class(class),
             dest,
@@ -289,7 +291,7 @@
             spans: Vec::new(),
             end: None,
         };
-        let (at_, endpoint, began) = (At::Held(Guard::Order), None, began.to_owned());
+        let (at_, endpoint, began) = (MessageState::Held(Guard::Order), None, began.to_owned());
         self.open.insert(id, Track { course, at: at_, endpoint, from: at, began });
     }
 
@@ -302,9 +304,9 @@
     }
 
     /// What ended one span of a message and began the next.
-    fn why(&self, turn: &Turn, id: MessageId, dest: u64, now: At) -> String {
+    fn why(&self, turn: &Turn, id: MessageId, dest: u64, now: MessageState) -> String {
         let own = turn.events.iter().rev().find(|e| message_of(e) == Some(id));
-        if now == At::Out {
+        if now == MessageState::Out {
             let sent = turn.actions.iter().find_map(|a| match a {
                 Action::Send { id: i, endpoint, .. } if *i == id => Some(*endpoint),
                 _ => None,
@@ -333,10 +335,12 @@
         let at = turn.at;
         let holds: BTreeMap<MessageId, Guard> =
             sender.holds().into_iter().map(|(id, _, h)| (id, h.guard)).collect();
-        let changed: Vec<(MessageId, At, u64)> = self
+        let changed: Vec<(MessageId, MessageState, u64)> = self
             .open
             .iter()
-            .map(|(&id, t)| (id, holds.get(&id).map_or(At::Out, |g| At::Held(*g)), t.course.dest))
+            .map(|(&id, t)| {
+                (id, holds.get(&id).map_or(MessageState::Out, |g| MessageState::Held(*g)), t.course.dest)
+            })
             .filter(|(id, now, _)| self.open.get(id).is_some_and(|t| t.at != *now || t.from == at))
             .collect();
         for (id, now, dest) in changed {
@@ -351,7 +355,9 @@
             });
             if let Some(t) = self.open.get_mut(&id) {
                 t.at = now;
-                t.endpoint = sent.filter(|_| now == At::Out).or(t.endpoint.take().filter(|_| now == At::Out));
+                t.endpoint = sent
+                    .filter(|_| now == MessageState::Out)
+                    .or(t.endpoint.take().filter(|_| now == MessageState::Out));
             }
         }
         self.waiting = sender.waiting_count();
@@ -372,14 +378,14 @@
             if let Some((when, outcome)) =
                 v.last_cut.filter(|c| old.as_ref().is_none_or(|o| o.last_cut != Some(*c)))
             {
-                let cause = outcome_words(outcome);
+                let cause = describe_outcome(outcome);
                 let before = old.as_ref().map_or(v.window, |o| o.window);
                 self.now.cuts.push(Cut { at: when, route: route.clone(), from: before, to: v.window, cause });
             }
             let hold = v.hold.map(|h| h.guard);
             let (window, out, lost, admits) = (v.window, v.in_flight, v.lost, v.admitted_rate);
-            let point = Point { at, route, window, out, lost, held, admits, hold };
-            let same = |p: &&Point| {
+            let point = RouteSample { at, route, window, out, lost, held, admits, hold };
+            let same = |p: &&RouteSample| {
                 let known = (p.window, p.out, p.lost, p.held, p.admits, p.hold);
                 known == (point.window, point.out, point.lost, point.held, point.admits, point.hold)
             };
@@ -392,7 +398,7 @@
 }
 
 /// An outcome in words.
-pub fn outcome_words(outcome: Outcome) -> String {
+pub fn describe_outcome(outcome: Outcome) -> String {
     match outcome {
         Outcome::Served => "served".into(),
         Outcome::Failed => "answered with an error".into(),
@@ -413,7 +419,7 @@
         Event::Taken(m) => format!("{:016x} was taken", m.id.0),
         Event::Resumed { message, .. } => format!("{:016x} was taken up after a restart", message.id.0),
         Event::Ended { id, attempt, outcome, .. } => {
-            format!("attempt {attempt} of {:016x}: {}", id.0, outcome_words(*outcome))
+            format!("attempt {attempt} of {:016x}: {}", id.0, describe_outcome(*outcome))
         }
         Event::Withdrawn(id) => format!("{:016x} was withdrawn", id.0),
         Event::Wake => "by the clock".into(),
@@ -432,8 +438,8 @@
     }
 }
 
-impl Watcher for Explainer {
-    fn segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
+impl ReplayObserver for Explainer {
+    fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
         self.classes.clone_from(&header.classes);
         self.endpoints.extend(header.endpoints.iter().cloned());
         if goes_on {
@@ -455,12 +461,16 @@
         for (id, class, dest, out) in sender.open_messages() {
             self.track(id, class, dest.0, header.at, "held before the recording begins", true);
             if let Some(t) = self.open.get_mut(&id) {
-                t.at = if out { At::Out } else { At::Held(holds.get(&id).copied().unwrap_or(Guard::Order)) };
+                t.at = if out {
+                    MessageState::Out
+                } else {
+                    MessageState::Held(holds.get(&id).copied().unwrap_or(Guard::Order))
+                };
             }
         }
     }
 
-    fn turn(&mut self, turn: &Turn, sender: &Sender) {
+    fn on_turn(&mut self, turn: &Turn, sender: &Sender) {
         self.now.held_by_count += self.waiting as Micros * turn.at.saturating_sub(self.last);
         self.last = turn.at;
         for e in &turn.events {
@@ -486,7 +496,7 @@
         self.settle(turn, sender);
     }
 
-    fn other(&mut self, record: &Record) {
+    fn on_other_record(&mut self, record: &Record) {
         match record {
             Record::Clock { at, unix } => {
                 let offset = i128::from(*unix) - i128::from(*at);
--- a/crates/recorder/src/fleet.rs
+++ b/crates/recorder/src/fleet.rs
@@ -3,7 +3,7 @@
 //! A sender that behaves well alone can do harm in step with others, and no recording of one shows it. The
 //! counts are of what was recorded, not played again, so recordings of any build with this form can be read.
 
-use crate::form::{Damage, Record, Recording, Start, Turn};
+use crate::format::{Damage, Record, Recording, SegmentStart, Turn};
 use notchpoint_policy::{
     Action, DestinationId, EndpointId, Event, ListUpdate, MessageId, Micros, Outcome, Settings,
 };
@@ -17,7 +17,7 @@
 
 /// What was counted in a second of a destination, over all senders.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Cell {
+pub struct DestinationCounts {
     /// Messages taken on.
     pub taken: u64,
     /// Calls started; of a bundle it is one.
@@ -48,9 +48,10 @@
 
 /// What was counted in a second that belongs to no destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Common {
+pub struct SharedCounts {
     /// Watches or fetches of the list begun, and those that failed or broke.
-    pub asked: u64,
+    #[serde(rename = "asked")]
+    pub list_requests: u64,
     /// See `asked`.
     pub unavailable: u64,
     /// Lists that came: whole ones, and changes.
@@ -64,29 +65,33 @@
     /// See `notes`.
     pub note_bytes: u64,
     /// See `notes`.
-    pub heard: u64,
+    #[serde(rename = "heard")]
+    pub notes_received: u64,
 }
 
 /// What senders were told of a zone in a second: how many took it to nothing, to a part of its share, to the
 /// whole, and how many turns to try there were.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
-pub struct Zoned {
+pub struct ZoneCounts {
     /// Nothing is sent there from now on.
-    pub left: u64,
+    #[serde(rename = "left")]
+    pub evacuated: u64,
     /// A part of its share is.
-    pub part: u64,
+    #[serde(rename = "part")]
+    pub partial: u64,
     /// All of it is.
     pub whole: u64,
     /// Turns to try.
-    pub tries: u64,
+    #[serde(rename = "tries")]
+    pub probes: u64,
 }
 
 /// The counts of a fleet.
 #[derive(Debug, Default)]
-pub struct Fleet {
-    zones: BTreeMap<(u64, u32), Zoned>,
-    cells: BTreeMap<(u64, DestinationId), Cell>,
-    common: BTreeMap<u64, Common>,
+pub struct FleetCounts {
+    zones: BTreeMap<(u64, u32), ZoneCounts>,
+    cells: BTreeMap<(u64, DestinationId), DestinationCounts>,
+    common: BTreeMap<u64, SharedCounts>,
     senders: u32,
     left_out: u64,
 }
@@ -120,10 +125,10 @@
     }
 }
 
-impl Fleet {
+impl FleetCounts {
     /// Counts one sender's recording; gives what is wrong with it. What is whole before and behind a damaged
     /// place counts.
-    pub fn add(&mut self, bytes: &[u8]) -> Vec<Damage> {
+    pub fn add_recording(&mut self, bytes: &[u8]) -> Vec<Damage> {
         let recording = Recording::read(bytes);
         let mut damage = recording.damage.clone();
         if recording.segments.is_empty() {
@@ -138,7 +143,7 @@
                 p = Process { sender: self.senders, ..Process::default() };
             }
             p.offset = i128::from(h.unix) - i128::from(h.at);
-            if let Start::Fresh { settings, .. } = &h.start {
+            if let SegmentStart::Fresh { settings, .. } = &h.start {
                 p.bundles = bundles(settings);
             }
             let mut records = segment.records();
@@ -205,7 +210,7 @@
                 }
                 c.entries += entries;
             }
-            Event::Note { .. } => self.common.entry(second).or_default().heard += 1,
+            Event::Note { .. } => self.common.entry(second).or_default().notes_received += 1,
             Event::Wake | Event::Unused(_) | Event::Probed { .. } => {}
             Event::Service { .. } | Event::Settings(_) => {}
             Event::Zone { zone, share, probe, .. } => self.zone(second, *zone, *share, *probe),
@@ -220,9 +225,9 @@
         }
         let z = self.zones.entry(key).or_default();
         let count = match share {
-            _ if tries => &mut z.tries,
-            s if s <= 0.0 => &mut z.left,
-            s if s < 1.0 => &mut z.part,
+            _ if tries => &mut z.probes,
+            s if s <= 0.0 => &mut z.evacuated,
+            s if s < 1.0 => &mut z.partial,
             _ => &mut z.whole,
         };
         *count += 1;
@@ -256,7 +261,7 @@
                     self.cell(second, dest, |c| c.closed += 1);
                 }
             }
-            Action::Watch | Action::Fetch => self.common.entry(second).or_default().asked += 1,
+            Action::Watch | Action::Fetch => self.common.entry(second).or_default().list_requests += 1,
             Action::Note { body, .. } => {
                 let c = self.common.entry(second).or_default();
                 (c.notes, c.note_bytes) = (c.notes + 1, c.note_bytes + body.len() as u64);
@@ -265,7 +270,7 @@
         }
     }
 
-    fn cell(&mut self, second: u64, dest: DestinationId, count: impl FnOnce(&mut Cell)) {
+    fn cell(&mut self, second: u64, dest: DestinationId, count: impl FnOnce(&mut DestinationCounts)) {
         let key = (second, dest);
         if self.cells.len() >= CELLS && !self.cells.contains_key(&key) {
             self.left_out += 1;
@@ -285,17 +290,17 @@
     }
 
     /// The cells, by Unix second and destination.
-    pub fn cells(&self) -> impl Iterator<Item = (u64, DestinationId, &Cell)> {
+    pub fn by_destination(&self) -> impl Iterator<Item = (u64, DestinationId, &DestinationCounts)> {
         self.cells.iter().map(|((s, d), c)| (*s, *d, c))
     }
 
     /// What belongs to no destination, by Unix second.
-    pub fn common(&self) -> impl Iterator<Item = (u64, &Common)> {
+    pub fn shared(&self) -> impl Iterator<Item = (u64, &SharedCounts)> {
         self.common.iter().map(|(s, c)| (*s, c))
     }
 
     /// What senders were told of zones, by Unix second and the zone's place in the configuration.
-    pub fn zones(&self) -> impl Iterator<Item = (u64, u32, &Zoned)> {
+    pub fn by_zone(&self) -> impl Iterator<Item = (u64, u32, &ZoneCounts)> {
         self.zones.iter().map(|((s, z), c)| (*s, *z, c))
     }
 
@@ -354,14 +359,14 @@
                 out,
                 "{:>4} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6} {:>6}",
                 s - first,
-                c.asked,
+                c.list_requests,
                 c.unavailable,
                 c.whole,
                 c.changes,
                 c.entries,
                 c.notes,
                 c.note_bytes,
-                c.heard
+                c.notes_received
             );
         }
         if !self.zones.is_empty() {
@@ -376,10 +381,10 @@
                 out,
                 "{:>4} {zone:>5} {:>6} {:>6} {:>6} {:>6}",
                 s - first,
-                z.left,
-                z.part,
+                z.evacuated,
+                z.partial,
                 z.whole,
-                z.tries
+                z.probes
             );
         }
         if self.left_out > 0 {
--- a/crates/recorder/src/form.rs
+++ b/crates/recorder/src/format.rs
@@ -12,13 +12,13 @@
 /// Begins each segment; the last byte is the version of the form.
 pub const MAGIC: [u8; 8] = *b"NPTREC\0\x01";
 /// Length and checksum before each payload.
-pub const FRAME: usize = 8;
+pub const FRAME_HEADER_LEN: usize = 8;
 /// No record is longer: a state of 100,000 messages and destinations takes a third of it.
-pub const LONGEST: usize = 64 << 20;
+pub const MAX_RECORD_LEN: usize = 64 << 20;
 
 /// What a segment starts from.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum Start {
+pub enum SegmentStart {
     /// The start of a process: any build can play it.
     Fresh {
         /// What the module was told.
@@ -40,9 +40,9 @@
     /// The number of the segment in its run.
     pub segment: u64,
     /// The number of its first turn.
-    pub turn: u64,
+    pub first_turn: u64,
     /// The decisions' text, see [`notchpoint_policy::FINGERPRINT`].
-    pub decisions: u64,
+    pub fingerprint: u64,
     /// The state's form, see [`notchpoint_policy::STATE_FORM`].
     pub state_form: u64,
     /// The module's clock, and Unix time, in microseconds.
@@ -54,7 +54,7 @@
     /// Endpoints by number and name.
     pub endpoints: Vec<(EndpointId, String)>,
     /// What it starts from.
-    pub start: Start,
+    pub start: SegmentStart,
 }
 
 /// One turn of the module.
@@ -106,18 +106,18 @@
 
 impl fmt::Display for TooLong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of {} bytes; {LONGEST} are allowed", self.0)
+        write!(f, "a record of {} bytes; {MAX_RECORD_LEN} are allowed", self.0)
     }
 }
 
 impl std::error::Error for TooLong {}
 
 /// Appends a record as a frame.
-pub fn write(record: &Record, to: &mut Vec<u8>) -> Result<(), TooLong> {
+pub fn write_record(record: &Record, to: &mut Vec<u8>) -> Result<(), TooLong> {
     frame(&[], record, to)
 }
 
-/// Appends a turn as a frame; as [`write()`] of a [`Record::Turn`], but nothing is copied on the way.
+/// Appends a turn as a frame; as [`write_record()`] of a [`Record::Turn`], but nothing is copied on the way.
 pub fn write_turn(
     number: u64,
     at: Micros,
@@ -130,13 +130,13 @@
 
 fn frame(before: &[u8], payload: &impl Serialize, to: &mut Vec<u8>) -> Result<(), TooLong> {
     let start = to.len();
-    to.extend([0; FRAME]);
+    to.extend([0; FRAME_HEADER_LEN]);
     to.extend(before);
     // Writing into memory cannot fail for plain data.
     *to = postcard::to_extend(payload, std::mem::take(to)).map_err(|_| TooLong(usize::MAX))?;
-    let body = start + FRAME;
+    let body = start + FRAME_HEADER_LEN;
     let length = to.len() - body;
-    if length > LONGEST {
+    if length > MAX_RECORD_LEN {
         to.truncate(start);
         return Err(TooLong(length));
     }
@@ -150,17 +150,17 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Damage {
     /// It ends within a record: the process was killed while it wrote, or the file was cut.
-    Cut {
+    Truncated {
         /// Where the torn record begins, counted from the start of the recording.
         offset: usize,
     },
     /// A record is whole by its checksum, but says nothing that this build knows: another version wrote it.
-    Foreign {
+    UnknownFormat {
         /// Where it begins.
         offset: usize,
     },
     /// A record does not fit its checksum.
-    Spoilt {
+    ChecksumMismatch {
         /// Where it begins.
         offset: usize,
     },
@@ -170,7 +170,7 @@
         offset: usize,
     },
     /// The form is of another version.
-    Version {
+    UnsupportedVersion {
         /// Where the segment begins.
         offset: usize,
         /// Its version.
@@ -181,14 +181,16 @@
 impl fmt::Display for Damage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Cut { offset } => write!(f, "byte {offset}: the recording ends within a record"),
-            Self::Foreign { offset } => {
+            Self::Truncated { offset } => write!(f, "byte {offset}: the recording ends within a record"),
+            Self::UnknownFormat { offset } => {
                 write!(f, "byte {offset}: a whole record in a form that this build does not know: it was ")?;
                 write!(f, "written by another version, and only a build with that form can play it")
             }
-            Self::Spoilt { offset } => write!(f, "byte {offset}: a record does not fit its checksum"),
+            Self::ChecksumMismatch { offset } => {
+                write!(f, "byte {offset}: a record does not fit its checksum")
+            }
             Self::NoSegment { offset } => write!(f, "byte {offset}: no segment of a recording begins here"),
-            Self::Version { offset, version } => {
+            Self::UnsupportedVersion { offset, version } => {
                 write!(
                     f,
                     "byte {offset}: a segment of version {version}, this build reads version {}",
@@ -208,10 +210,10 @@
 
 /// The payload of the first frame, and what follows it; else whether the bytes end within it.
 fn check(bytes: &[u8]) -> Result<(&[u8], &[u8]), Frame<'static>> {
-    let (head, rest) = bytes.split_at_checked(FRAME).ok_or(Frame::Cut)?;
+    let (head, rest) = bytes.split_at_checked(FRAME_HEADER_LEN).ok_or(Frame::Cut)?;
     let word = |n: usize| u32::from_le_bytes([head[n], head[n + 1], head[n + 2], head[n + 3]]);
     let length = word(0) as usize;
-    if length > LONGEST {
+    if length > MAX_RECORD_LEN {
         return Err(Frame::Spoilt);
     }
     let (body, rest) = rest.split_at_checked(length).ok_or(Frame::Cut)?;
@@ -261,7 +263,7 @@
             let rest = &bytes[at..];
             let next = |from: usize| find(bytes, from).unwrap_or(bytes.len());
             if rest.len() < MAGIC.len() && MAGIC.starts_with(rest) {
-                found.damage.push(Damage::Cut { offset: at });
+                found.damage.push(Damage::Truncated { offset: at });
                 break;
             }
             if !rest.starts_with(&MAGIC[..7]) {
@@ -270,7 +272,7 @@
                 continue;
             }
             if rest[7] != MAGIC[7] {
-                found.damage.push(Damage::Version { offset: at, version: rest[7] });
+                found.damage.push(Damage::UnsupportedVersion { offset: at, version: rest[7] });
                 at = next(at + 1);
                 continue;
             }
@@ -284,15 +286,15 @@
                     at = end;
                 }
                 Frame::Cut if find(bytes, begin).is_none() => {
-                    found.damage.push(Damage::Cut { offset: at });
+                    found.damage.push(Damage::Truncated { offset: at });
                     break;
                 }
                 Frame::Foreign => {
-                    found.damage.push(Damage::Foreign { offset: at });
+                    found.damage.push(Damage::UnknownFormat { offset: at });
                     at = next(begin);
                 }
                 _ => {
-                    found.damage.push(Damage::Spoilt { offset: at });
+                    found.damage.push(Damage::ChecksumMismatch { offset: at });
                     at = next(begin);
                 }
             }
@@ -347,15 +349,15 @@
         }
         match read(self.bytes) {
             Frame::Whole(Record::Header(_), _) | Frame::Spoilt => {
-                self.damage = Some(Damage::Spoilt { offset: self.at });
+                self.damage = Some(Damage::ChecksumMismatch { offset: self.at });
                 None
             }
             Frame::Foreign => {
-                self.damage = Some(Damage::Foreign { offset: self.at });
+                self.damage = Some(Damage::UnknownFormat { offset: self.at });
                 None
             }
             Frame::Cut => {
-                self.damage = Some(Damage::Cut { offset: self.at });
+                self.damage = Some(Damage::Truncated { offset: self.at });
                 None
             }
             Frame::Whole(record, rest) => {
@@ -375,10 +377,10 @@
     fn a_whole_record_of_another_version_is_not_taken_for_damage() {
         let mut bytes = MAGIC.to_vec();
         frame(&[77], &"a record of a later version", &mut bytes).expect("fits");
-        assert_eq!(Recording::read(&bytes).damage, [Damage::Foreign { offset: 0 }]);
+        assert_eq!(Recording::read(&bytes).damage, [Damage::UnknownFormat { offset: 0 }]);
         let last = bytes.len() - 1;
         bytes[last] ^= 1;
-        assert_eq!(Recording::read(&bytes).damage, [Damage::Spoilt { offset: 0 }]);
+        assert_eq!(Recording::read(&bytes).damage, [Damage::ChecksumMismatch { offset: 0 }]);
     }
 
     #[test]
@@ -386,7 +388,7 @@
         let (events, actions) = (vec![Event::Wake], vec![Action::Watch, Action::WakeAt(7)]);
         let (mut a, mut b) = (Vec::new(), Vec::new());
         write_turn(300, 5, &events, &actions, &mut a).expect("fits");
-        write(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut b).expect("fits");
+        write_record(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut b).expect("fits");
         assert_eq!(a, b);
     }
 }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -4,7 +4,7 @@
 //! recording holds exactly these, so that each decision can be made again, bit for bit, and asked for its
 //! reason. Bodies of messages never enter it.
 //!
-//! - [`form`]: how a recording is written as bytes, and read as far as it is whole.
+//! - [`format`]: how a recording is written as bytes, and read as far as it is whole.
 //! - [`ring`]: which segment bytes go to, and which one gives way, so that the whole has a bound.
 //! - [`store`]: where segments lie: in memory or in a folder.
 //! - [`recorder`]: what the sender calls once a turn.
@@ -12,19 +12,19 @@
 //! - [`explain`]: which guard kept each message, from when to when, and what began and ended it.
 //! - [`fleet`]: what all senders of a fleet did together, by second and destination.
 //! - [`text`]: an explanation for people.
-//! - [`picture`]: a destination's window, calls and waits over time, as SVG.
+//! - [`plot`]: a destination's window, calls and waits over time, as SVG.
 #![warn(missing_docs)]
 
 pub mod explain;
 pub mod fleet;
-pub mod form;
-pub mod picture;
+pub mod format;
+pub mod plot;
 pub mod recorder;
 pub mod replay;
 pub mod ring;
 pub mod store;
 pub mod text;
 
-pub use form::{Damage, Recording};
+pub use format::{Damage, Recording};
 pub use recorder::{Options, Recorder};
-pub use replay::{Outcome, replay};
+pub use replay::{ReplayReport, replay};
--- a/crates/recorder/src/picture.rs
+++ b/crates/recorder/src/plot.rs
@@ -1,6 +1,6 @@
 //! A destination's window, calls in flight, held messages and waits over time, as SVG.
 
-use crate::explain::{Explanation, Point};
+use crate::explain::{Explanation, RouteSample};
 use notchpoint_policy::Micros;
 use std::fmt::Write as _;
 
@@ -15,7 +15,7 @@
 const POINTS: usize = 4_000;
 
 /// What of a point is drawn, the top of its scale, and its colour.
-type Line<'a> = (&'a dyn Fn(&Point) -> f64, f64, &'a str);
+type Line<'a> = (&'a dyn Fn(&RouteSample) -> f64, f64, &'a str);
 
 struct Scale {
     from: Micros,
@@ -74,17 +74,24 @@
     }
     for (n, route) in routes.iter().enumerate() {
         let top = 60.0 + n as f64 * (PANEL + STRIP + GAP);
-        let own: Vec<&Point> = e.points.iter().filter(|p| p.route == *route).collect();
-        let own: Vec<&Point> = own.iter().step_by(own.len() / POINTS + 1).copied().collect();
+        let own: Vec<&RouteSample> = e.points.iter().filter(|p| p.route == *route).collect();
+        let own: Vec<&RouteSample> = own.iter().step_by(own.len() / POINTS + 1).copied().collect();
         panel(&mut svg, e, route.as_deref(), &own, &scale, top);
     }
     svg.push_str("</svg>\n");
     svg
 }
 
-fn panel(svg: &mut String, e: &Explanation, route: Option<&str>, own: &[&Point], scale: &Scale, top: f64) {
-    let line = |f: &dyn Fn(&Point) -> f64| own.iter().map(|p| (p.at, f(p))).collect::<Vec<_>>();
-    let highest = |p: &&Point| p.window.max(f64::from(p.out)).max(p.admits.unwrap_or(0.0));
+fn panel(
+    svg: &mut String,
+    e: &Explanation,
+    route: Option<&str>,
+    own: &[&RouteSample],
+    scale: &Scale,
+    top: f64,
+) {
+    let line = |f: &dyn Fn(&RouteSample) -> f64| own.iter().map(|p| (p.at, f(p))).collect::<Vec<_>>();
+    let highest = |p: &&RouteSample| p.window.max(f64::from(p.out)).max(p.admits.unwrap_or(0.0));
     let most = own.iter().map(highest).fold(1.0, f64::max).ceil();
     let held = own.iter().map(|p| p.held).max().unwrap_or(0).max(1) as f64;
     let bottom = top + PANEL;
--- a/crates/recorder/src/recorder.rs
+++ b/crates/recorder/src/recorder.rs
@@ -1,8 +1,8 @@
 //! What the sender calls once a turn.
 
-use crate::form::{self, Header, MAGIC, Record, Start};
-use crate::ring::{NoRoom, Ring};
-use crate::store::Store;
+use crate::format::{self, Header, MAGIC, Record, SegmentStart};
+use crate::ring::{LimitTooSmall, Ring};
+use crate::store::SegmentStore;
 use notchpoint_policy::{Action, EndpointId, Event, FINGERPRINT, Micros, STATE_FORM, Sender, Settings};
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,7 +15,7 @@
 /// What a recorder is told at its start.
 pub struct Options {
     /// Bytes that the recording may take.
-    pub limit: u64,
+    pub limit_bytes: u64,
     /// The sender's name.
     pub sender: String,
     /// The names of classes, by position.
@@ -32,16 +32,16 @@
     /// The place cannot be written.
     Io(io::Error),
     /// The module's state does not fit the limit.
-    NoRoom(NoRoom),
+    LimitTooSmall(LimitTooSmall),
     /// A record is too long.
-    TooLong(form::TooLong),
+    TooLong(format::TooLong),
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Self::Io(e) => e.fmt(f),
-            Self::NoRoom(n) => {
+            Self::LimitTooSmall(n) => {
                 write!(f, "the module's state needs a limit of {:.1} MB", n.needed as f64 / 1e6)
             }
             Self::TooLong(e) => e.fmt(f),
@@ -57,14 +57,14 @@
     }
 }
 
-impl From<NoRoom> for Error {
-    fn from(e: NoRoom) -> Self {
-        Self::NoRoom(e)
+impl From<LimitTooSmall> for Error {
+    fn from(e: LimitTooSmall) -> Self {
+        Self::LimitTooSmall(e)
     }
 }
 
-impl From<form::TooLong> for Error {
-    fn from(e: form::TooLong) -> Self {
+impl From<format::TooLong> for Error {
+    fn from(e: format::TooLong) -> Self {
         Self::TooLong(e)
     }
 }
@@ -72,7 +72,7 @@
 /// Records the turns of one module.
 pub struct Recorder {
     ring: Ring,
-    store: Box<dyn Store>,
+    store: Box<dyn SegmentStore>,
     header: Header,
     names: BTreeMap<EndpointId, String>,
     turns: u64,
@@ -83,9 +83,9 @@
 
 impl Recorder {
     /// Begins a recording of a module that has had no turn yet. `there` are the segments in the store.
-    pub fn begin(
+    pub fn start(
         options: Options,
-        store: Box<dyn Store>,
+        store: Box<dyn SegmentStore>,
         there: &[(u64, u64)],
         at: Micros,
         unix: u64,
@@ -94,16 +94,16 @@
             sender: options.sender,
             run: unix,
             segment: 0,
-            turn: 0,
-            decisions: FINGERPRINT,
+            first_turn: 0,
+            fingerprint: FINGERPRINT,
             state_form: STATE_FORM,
             at,
             unix,
             classes: options.classes,
             endpoints: Vec::new(),
-            start: Start::Fresh { settings: options.settings, seed: options.seed },
+            start: SegmentStart::Fresh { settings: options.settings, seed: options.seed },
         };
-        let ring = Ring::new(options.limit, there);
+        let ring = Ring::new(options.limit_bytes, there);
         let offset = i128::from(unix) - i128::from(at);
         let (names, buffer) = Default::default();
         let mut recorder = Self { ring, store, header, names, turns: 0, offset, buffer };
@@ -114,7 +114,7 @@
     /// Writes the header that is prepared as a new segment.
     fn segment(&mut self) -> Result<(), Error> {
         let mut bytes = MAGIC.to_vec();
-        form::write(&Record::Header(Box::new(self.header.clone())), &mut bytes)?;
+        format::write_record(&Record::Header(Box::new(self.header.clone())), &mut bytes)?;
         let plan = self.ring.begin(bytes.len() as u64)?;
         for old in plan.remove {
             self.store.remove(old)?;
@@ -123,24 +123,24 @@
     }
 
     /// An endpoint's name, so that people are told names and not numbers.
-    pub fn name(&mut self, endpoint: EndpointId, name: &str) -> Result<(), Error> {
+    pub fn record_name(&mut self, endpoint: EndpointId, name: &str) -> Result<(), Error> {
         if self.names.get(&endpoint).is_some_and(|n| n == name) {
             return Ok(());
         }
         self.names.insert(endpoint, name.to_owned());
         self.buffer.clear();
-        form::write(&Record::Name(endpoint, name.to_owned()), &mut self.buffer)?;
+        format::write_record(&Record::Name(endpoint, name.to_owned()), &mut self.buffer)?;
         self.flush()
     }
 
     /// Forgets names that `listed` does not have: it is called when the list has changed.
-    pub fn keep_names(&mut self, listed: impl Fn(EndpointId) -> bool) {
+    pub fn retain_names(&mut self, listed: impl Fn(EndpointId) -> bool) {
         self.names.retain(|id, _| listed(*id));
     }
 
     /// Records a turn; `after` is the module behind it. Of messages it holds what the module was told, so no
     /// bodies.
-    pub fn turn(
+    pub fn record_turn(
         &mut self,
         at: Micros,
         unix: u64,
@@ -152,16 +152,16 @@
         let offset = i128::from(unix) - i128::from(at);
         if offset.abs_diff(self.offset) > u128::from(STEP) {
             self.offset = offset;
-            form::write(&Record::Clock { at, unix }, &mut self.buffer)?;
+            format::write_record(&Record::Clock { at, unix }, &mut self.buffer)?;
         }
-        form::write_turn(self.turns, at, events, actions, &mut self.buffer)?;
+        format::write_turn(self.turns, at, events, actions, &mut self.buffer)?;
         self.turns += 1;
         self.flush()?;
         if self.ring.is_full(self.buffer.len() as u64) {
             self.header.segment += 1;
-            (self.header.turn, self.header.at, self.header.unix) = (self.turns, at, unix);
+            (self.header.first_turn, self.header.at, self.header.unix) = (self.turns, at, unix);
             self.header.endpoints = self.names.iter().map(|(id, n)| (*id, n.clone())).collect();
-            self.header.start = Start::State(state(after));
+            self.header.start = SegmentStart::State(state(after));
             self.segment()?;
         }
         Ok(())
@@ -172,7 +172,7 @@
         for old in plan.remove {
             self.store.remove(old)?;
         }
-        Ok(self.store.add(&self.buffer)?)
+        Ok(self.store.append(&self.buffer)?)
     }
 
     /// Writes all that is recorded as one file; gives its length.
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -1,6 +1,6 @@
 //! Makes the recorded decisions again.
 
-use crate::form::{Damage, Header, Record, Recording, Segment, Start, Turn};
+use crate::format::{Damage, Header, Record, Recording, Segment, SegmentStart, Turn};
 use crate::recorder::state;
 use notchpoint_policy::{
     Action, DestinationId, Event, FINGERPRINT, ListUpdate, MessageId, Micros, STATE_FORM, Sender,
@@ -8,21 +8,21 @@
 use std::fmt;
 
 /// Looks on while decisions are made again.
-pub trait Watcher {
+pub trait ReplayObserver {
     /// A segment begins with this module. `goes_on` if its run was being played up to here without a gap.
-    fn segment(&mut self, header: &Header, sender: &Sender, goes_on: bool);
+    fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool);
     /// A turn was made; `sender` is the module behind it.
-    fn turn(&mut self, turn: &Turn, sender: &Sender);
+    fn on_turn(&mut self, turn: &Turn, sender: &Sender);
     /// What else is recorded.
-    fn other(&mut self, _record: &Record) {}
+    fn on_other_record(&mut self, _record: &Record) {}
 }
 
-/// Nobody looks on.
-pub struct Nobody;
+/// Observes nothing.
+pub struct NoObserver;
 
-impl Watcher for Nobody {
-    fn segment(&mut self, _: &Header, _: &Sender, _: bool) {}
-    fn turn(&mut self, _: &Turn, _: &Sender) {}
+impl ReplayObserver for NoObserver {
+    fn on_segment(&mut self, _: &Header, _: &Sender, _: bool) {}
+    fn on_turn(&mut self, _: &Turn, _: &Sender) {}
 }
 
 /// The first decision that is not the recorded one.
@@ -35,7 +35,7 @@
     /// The module's clock.
     pub at: Micros,
     /// The place of the action in the turn.
-    pub place: usize,
+    pub action_index: usize,
     /// The recorded action there; none where there were no more.
     pub recorded: Option<Action>,
     /// What was decided now.
@@ -47,7 +47,7 @@
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (turn, at) = (self.turn, self.at as f64 / 1e6);
-        writeln!(f, "the decisions part in turn {turn} (clock {at:.6} s), action {}:", self.place)?;
+        writeln!(f, "the decisions part in turn {turn} (clock {at:.6} s), action {}:", self.action_index)?;
         let say = |a: &Option<Action>| a.as_ref().map_or("nothing more".to_owned(), |a| format!("{a:?}"));
         writeln!(f, "  recorded: {}", say(&self.recorded))?;
         writeln!(f, "  decided:  {}", say(&self.decided))?;
@@ -60,29 +60,29 @@
 
 /// Why a segment was not played.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Skipped {
+pub enum SkipReason {
     /// It begins with a state whose form this build cannot read, and what came before is not recorded.
-    StateForm,
+    UnsupportedState,
     /// Its state or settings make no sense, though their checksum fits.
-    Senseless(String),
+    InvalidState(String),
 }
 
-impl fmt::Display for Skipped {
+impl fmt::Display for SkipReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::StateForm => write!(
+            Self::UnsupportedState => write!(
                 f,
                 "it begins with a state in the form of another build, and the recording no longer has what \
                  came before it: only a build with that form can play it"
             ),
-            Self::Senseless(why) => write!(f, "its beginning makes no sense: {why}"),
+            Self::InvalidState(why) => write!(f, "its beginning makes no sense: {why}"),
         }
     }
 }
 
 /// What came of it.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Outcome {
+pub struct ReplayReport {
     /// Segments played.
     pub segments: usize,
     /// Turns whose actions are the recorded ones.
@@ -98,12 +98,12 @@
     /// What is wrong with the recording.
     pub damage: Vec<Damage>,
     /// Segments that could not be played: run, segment and why.
-    pub skipped: Vec<(u64, u64, Skipped)>,
+    pub skipped: Vec<(u64, u64, SkipReason)>,
     /// Decisions of other builds were recorded: their fingerprints.
-    pub others: Vec<u64>,
+    pub other_builds: Vec<u64>,
 }
 
-impl Outcome {
+impl ReplayReport {
     /// All that is recorded was decided again as it was.
     pub fn is_equal(&self) -> bool {
         self.difference.is_none() && self.state_differs.is_none() && self.skipped.is_empty()
@@ -111,8 +111,8 @@
 }
 
 /// Feeds a recording to this build's module and compares each turn's actions.
-pub fn replay(recording: &Recording, watch: &mut dyn Watcher) -> Outcome {
-    let mut done = Outcome { damage: recording.damage.clone(), ..Outcome::default() };
+pub fn replay(recording: &Recording, watch: &mut dyn ReplayObserver) -> ReplayReport {
+    let mut done = ReplayReport { damage: recording.damage.clone(), ..ReplayReport::default() };
     // The module as played so far: its run, the segment due next, and the turn due next.
     let mut playing: Option<(u64, u64, u64, Sender)> = None;
     let mut run = None;
@@ -122,13 +122,13 @@
             run = Some(h.run);
             done.runs += 1;
         }
-        if h.decisions != FINGERPRINT && !done.others.contains(&h.decisions) {
-            done.others.push(h.decisions);
+        if h.fingerprint != FINGERPRINT && !done.other_builds.contains(&h.fingerprint) {
+            done.other_builds.push(h.fingerprint);
         }
-        let next = playing.take().filter(|p| (p.0, p.1, p.2) == (h.run, h.segment, h.turn));
+        let next = playing.take().filter(|p| (p.0, p.1, p.2) == (h.run, h.segment, h.first_turn));
         let goes_on = next.is_some();
         let sender = match (next, &h.start) {
-            (Some((.., sender)), Start::State(bytes)) => {
+            (Some((.., sender)), SegmentStart::State(bytes)) => {
                 if h.state_form == STATE_FORM {
                     done.states += 1;
                     if state(&sender) != *bytes {
@@ -147,7 +147,7 @@
                 continue;
             }
         };
-        watch.segment(h, &sender, goes_on);
+        watch.on_segment(h, &sender, goes_on);
         done.segments += 1;
         match play(segment, &mut sender, watch, &mut done) {
             Some(due) => playing = Some((h.run, h.segment + 1, due, sender)),
@@ -158,28 +158,35 @@
     done
 }
 
-fn begin(start: &Start, form: u64) -> Result<Sender, Skipped> {
+fn begin(start: &SegmentStart, form: u64) -> Result<Sender, SkipReason> {
     match start {
-        Start::Fresh { settings, seed } => {
-            Sender::new(settings.clone(), *seed).map_err(|e| Skipped::Senseless(e.to_string()))
+        SegmentStart::Fresh { settings, seed } => {
+            Sender::new(settings.clone(), *seed).map_err(|e| SkipReason::InvalidState(e.to_string()))
+        }
+        SegmentStart::State(_) if form != STATE_FORM => Err(SkipReason::UnsupportedState),
+        SegmentStart::State(bytes) => {
+            postcard::from_bytes(bytes).map_err(|e| SkipReason::InvalidState(e.to_string()))
         }
-        Start::State(_) if form != STATE_FORM => Err(Skipped::StateForm),
-        Start::State(bytes) => postcard::from_bytes(bytes).map_err(|e| Skipped::Senseless(e.to_string())),
     }
 }
 
 /// Plays a segment; gives the turn due next if it is whole.
-fn play(segment: &Segment, sender: &mut Sender, watch: &mut dyn Watcher, done: &mut Outcome) -> Option<u64> {
+fn play(
+    segment: &Segment,
+    sender: &mut Sender,
+    watch: &mut dyn ReplayObserver,
+    done: &mut ReplayReport,
+) -> Option<u64> {
     let mut records = segment.records();
-    let mut due = segment.header.turn;
+    let mut due = segment.header.first_turn;
     let mut actions = Vec::new();
     for record in &mut records {
         let Record::Turn(turn) = &record else {
-            watch.other(&record);
+            watch.on_other_record(&record);
             continue;
         };
         if turn.number != due {
-            done.damage.push(Damage::Spoilt { offset: segment.offset });
+            done.damage.push(Damage::ChecksumMismatch { offset: segment.offset });
             return None;
         }
         actions.clear();
@@ -188,7 +195,7 @@
             done.difference = Some(difference(segment.header.run, turn, &actions));
             return None;
         }
-        watch.turn(turn, sender);
+        watch.on_turn(turn, sender);
         (due, done.turns) = (due + 1, done.turns + 1);
     }
     let whole = records.damage.is_none();
@@ -206,7 +213,7 @@
         .find_map(|id| turn.events.iter().find(|e| message_of(e) == Some(id)).cloned());
     // Not about its own message: then what else happened in the turn made the difference.
     let event = event.or_else(|| turn.events.iter().find(|e| **e != Event::Wake).cloned());
-    Difference { run, turn: turn.number, at: turn.at, place: same, recorded, decided, event }
+    Difference { run, turn: turn.number, at: turn.at, action_index: same, recorded, decided, event }
 }
 
 /// The message that an event is about.
--- a/crates/recorder/src/ring.rs
+++ b/crates/recorder/src/ring.rs
@@ -34,7 +34,7 @@
 
 /// The beginning of a segment is too long for the limit.
 #[derive(Debug, PartialEq, Eq)]
-pub struct NoRoom {
+pub struct LimitTooSmall {
     /// What would be needed, in bytes.
     pub needed: u64,
 }
@@ -57,10 +57,10 @@
     }
 
     /// Begins a segment with so many bytes.
-    pub fn begin(&mut self, length: u64) -> Result<Plan, NoRoom> {
+    pub fn begin(&mut self, length: u64) -> Result<Plan, LimitTooSmall> {
         // Two beginnings and some turns must fit: the old segment goes only when the new one is there.
         if length > self.limit / MOST / 2 {
-            return Err(NoRoom { needed: length * MOST * 2 });
+            return Err(LimitTooSmall { needed: length * MOST * 2 });
         }
         let remove = self.make_room(length);
         let segment = self.next;
@@ -77,14 +77,14 @@
     }
 
     /// Adds bytes to the last segment.
-    pub fn add(&mut self, length: u64) -> Result<Plan, NoRoom> {
+    pub fn add(&mut self, length: u64) -> Result<Plan, LimitTooSmall> {
         // The last segment never gives way: what is added could not be played without its beginning.
         let last = self.segments.back().map_or(0, |s| s.1);
         if last + length > self.limit {
-            return Err(NoRoom { needed: last + length });
+            return Err(LimitTooSmall { needed: last + length });
         }
         let remove = self.make_room(length);
-        let last = self.segments.back_mut().ok_or(NoRoom { needed: length })?;
+        let last = self.segments.back_mut().ok_or(LimitTooSmall { needed: length })?;
         last.1 += length;
         Ok(Plan { remove, segment: last.0 })
     }
@@ -127,7 +127,7 @@
     #[test]
     fn a_state_too_long_for_the_limit_is_said_with_what_it_needs() {
         let mut ring = Ring::new(1_000, &[]);
-        assert_eq!(ring.begin(251), Err(NoRoom { needed: 1_004 }));
+        assert_eq!(ring.begin(251), Err(LimitTooSmall { needed: 1_004 }));
         assert!(Ring::new(1_004, &[]).begin(251).is_ok());
     }
 
--- a/crates/recorder/src/store.rs
+++ b/crates/recorder/src/store.rs
@@ -6,11 +6,11 @@
 use std::path::{Path, PathBuf};
 
 /// A place for segments.
-pub trait Store {
+pub trait SegmentStore {
     /// Begins a segment with these bytes.
     fn begin(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()>;
     /// Adds bytes to the segment begun last. Where the place outlasts the process they do, once this returns.
-    fn add(&mut self, bytes: &[u8]) -> io::Result<()>;
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()>;
     /// Removes a segment.
     fn remove(&mut self, segment: u64) -> io::Result<()>;
     /// The bytes of a segment.
@@ -19,17 +19,17 @@
 
 /// Segments in memory: they are gone with the process unless it is asked for a dump, or panics.
 #[derive(Debug, Default)]
-pub struct Memory {
+pub struct MemoryStore {
     segments: BTreeMap<u64, Vec<u8>>,
 }
 
-impl Store for Memory {
+impl SegmentStore for MemoryStore {
     fn begin(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()> {
         self.segments.insert(segment, bytes.to_vec());
         Ok(())
     }
 
-    fn add(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         let last = self.segments.last_entry().ok_or(io::ErrorKind::NotFound)?;
         last.into_mut().extend_from_slice(bytes);
         Ok(())
@@ -50,17 +50,17 @@
 /// Segments as files of a folder. Each turn is handed to the system at once, so that it outlasts the process,
 /// also one that is killed; a power cut may take the last ones.
 #[derive(Debug)]
-pub struct Folder {
+pub struct FolderStore {
     path: PathBuf,
     last: Option<File>,
 }
 
-impl Folder {
+impl FolderStore {
     /// A folder, made if it is not there, and the segments in it: number and length, oldest first.
     pub fn open(path: &Path) -> io::Result<(Self, Vec<(u64, u64)>)> {
         fs::create_dir_all(path)?;
         let mut there = Vec::new();
-        for number in numbers(path)? {
+        for number in segment_numbers(path)? {
             there.push((number, fs::metadata(file(path, number))?.len()));
         }
         Ok((Self { path: path.to_owned(), last: None }, there))
@@ -72,7 +72,7 @@
 }
 
 /// The segments' numbers in a folder, in order. Other files are none of ours.
-pub fn numbers(folder: &Path) -> io::Result<Vec<u64>> {
+pub fn segment_numbers(folder: &Path) -> io::Result<Vec<u64>> {
     let mut found = Vec::new();
     for entry in fs::read_dir(folder)? {
         let name = entry?.file_name();
@@ -91,7 +91,7 @@
         return fs::read(path);
     }
     let mut bytes = Vec::new();
-    for number in numbers(path)? {
+    for number in segment_numbers(path)? {
         match fs::read(file(path, number)) {
             Ok(segment) => bytes.extend(segment),
             // It gave way between the look and the read.
@@ -102,7 +102,7 @@
     Ok(bytes)
 }
 
-impl Store for Folder {
+impl SegmentStore for FolderStore {
     fn begin(&mut self, segment: u64, bytes: &[u8]) -> io::Result<()> {
         let path = file(&self.path, segment);
         let mut new = OpenOptions::new().create_new(true).append(true).open(&path)?;
@@ -115,7 +115,7 @@
         Ok(())
     }
 
-    fn add(&mut self, bytes: &[u8]) -> io::Result<()> {
+    fn append(&mut self, bytes: &[u8]) -> io::Result<()> {
         self.last.as_mut().ok_or(io::ErrorKind::NotFound)?.write_all(bytes)
     }
 
--- a/crates/recorder/src/text.rs
+++ b/crates/recorder/src/text.rs
@@ -1,6 +1,6 @@
 //! An explanation for people.
 
-use crate::explain::{At, Course, Explanation};
+use crate::explain::{Explanation, MessageState, MessageTimeline};
 use notchpoint_policy::Micros;
 use std::fmt::Write as _;
 
@@ -12,7 +12,7 @@
 }
 
 /// Writes it out; all times are seconds after the first recorded moment of the process.
-pub fn write(e: &Explanation) -> String {
+pub fn render(e: &Explanation) -> String {
     let mut out = String::new();
     let held: Micros = e.totals.iter().map(|t| t.held).sum();
     let _ = writeln!(
@@ -53,10 +53,10 @@
         more(&mut out, e.cuts.len());
         admits(&mut out, e);
     }
-    for c in e.courses.iter().take(LINES) {
+    for c in e.timelines.iter().take(LINES) {
         course(&mut out, e, c);
     }
-    more(&mut out, e.courses.len());
+    more(&mut out, e.timelines.len());
     out
 }
 
@@ -77,7 +77,7 @@
     }
 }
 
-fn course(out: &mut String, e: &Explanation, c: &Course) {
+fn course(out: &mut String, e: &Explanation, c: &MessageTimeline) {
     let before = if c.from_before { ", held before the recording begins" } else { "" };
     let _ = writeln!(
         out,
@@ -91,9 +91,9 @@
     for s in &c.spans {
         let (from, to) = (s.from.saturating_sub(e.begins), s.to.saturating_sub(e.begins));
         let what = match (s.at, &s.endpoint) {
-            (At::Held(guard), _) => format!("{guard:?}"),
-            (At::Out, Some(endpoint)) => format!("out to {endpoint}"),
-            (At::Out, None) => "out".into(),
+            (MessageState::Held(guard), _) => format!("{guard:?}"),
+            (MessageState::Out, Some(endpoint)) => format!("out to {endpoint}"),
+            (MessageState::Out, None) => "out".into(),
         };
         let _ = writeln!(
             out,
--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -5,8 +5,8 @@
 
 use common::{IDEMPOTENT, MS, Rig, SEC, settings};
 use notchpoint_policy::*;
-use notchpoint_recorder::fleet::{Cell, Fleet};
-use notchpoint_recorder::store::Memory;
+use notchpoint_recorder::fleet::{DestinationCounts, FleetCounts};
+use notchpoint_recorder::store::MemoryStore;
 use notchpoint_recorder::{Damage, Options, Recorder};
 
 const UNIX: u64 = 1_700_000_000_000_000;
@@ -14,16 +14,24 @@
 /// A sender's recording: three messages served, one refused as full, one not connected, a note and a watch.
 fn recording(name: &str, shift: Micros) -> Vec<u8> {
     let set = Settings { may_send_notes: true, senders: 3, ..settings() };
-    let options =
-        Options { limit: 1 << 20, sender: name.into(), classes: vec![], settings: set.clone(), seed: 7 };
+    let options = Options {
+        limit_bytes: 1 << 20,
+        sender: name.into(),
+        classes: vec![],
+        settings: set.clone(),
+        seed: 7,
+    };
     let mut recorder =
-        Recorder::begin(options, Box::new(Memory::default()), &[], 100 * SEC, UNIX + shift).expect("begun");
+        Recorder::start(options, Box::new(MemoryStore::default()), &[], 100 * SEC, UNIX + shift)
+            .expect("begun");
     let mut sender = Sender::new(set, 7).expect("sound");
     let mut now = 100 * SEC;
     let mut turn = |at: Micros, events: Vec<Event>| {
         let mut actions = Vec::new();
         sender.handle(at, &events, &mut actions);
-        recorder.turn(at, UNIX + shift + at - 100 * SEC, &events, &actions, &sender).expect("recorded");
+        recorder
+            .record_turn(at, UNIX + shift + at - 100 * SEC, &events, &actions, &sender)
+            .expect("recorded");
     };
     let known = |n| common::entry(n, 1, 0, Phase::Live);
     turn(now, vec![Event::List(ListUpdate::Whole(vec![known(0), known(1)]))]);
@@ -61,8 +69,8 @@
     bytes
 }
 
-fn sums(fleet: &Fleet) -> Cell {
-    fleet.cells().fold(Cell::default(), |mut sum, (_, dest, c)| {
+fn sums(fleet: &FleetCounts) -> DestinationCounts {
+    fleet.by_destination().fold(DestinationCounts::default(), |mut sum, (_, dest, c)| {
         assert_eq!(dest, DestinationId(1));
         sum.taken += c.taken;
         sum.calls += c.calls;
@@ -78,25 +86,26 @@
 
 #[test]
 fn counts_are_summed_over_senders_by_second() {
-    let mut fleet = Fleet::default();
-    assert_eq!(fleet.add(&recording("a", 0)), []);
+    let mut fleet = FleetCounts::default();
+    assert_eq!(fleet.add_recording(&recording("a", 0)), []);
     let one = sums(&fleet);
     assert_eq!((one.taken, one.served), (5, 3));
     assert!(one.full >= 1 && one.unconnected >= 1, "{one:?}");
     assert_eq!(one.ended, 2, "what was refused and not connected ran out of time");
     // Another sender, half a second later by the wall clock: the same seconds, twice the sums.
-    assert_eq!(fleet.add(&recording("b", SEC / 2)), []);
+    assert_eq!(fleet.add_recording(&recording("b", SEC / 2)), []);
     let both = sums(&fleet);
     assert_eq!((both.taken, both.calls, both.served, both.ended), (10, 2 * one.calls, 6, 4));
     assert_eq!((fleet.senders(), both.senders.len()), (2, 2));
-    let zones: Vec<_> = fleet.zones().map(|(_, zone, z)| (zone, z.left, z.part, z.whole, z.tries)).collect();
+    let zones: Vec<_> =
+        fleet.by_zone().map(|(_, zone, z)| (zone, z.evacuated, z.partial, z.whole, z.probes)).collect();
     let senders = u64::from(fleet.senders());
     assert_eq!(zones, [(3, senders, senders, senders, senders)]);
-    let heard: u64 = fleet.common().map(|(_, c)| c.heard).sum();
-    let failed: u64 = fleet.common().map(|(_, c)| c.unavailable).sum();
-    let entries: u64 = fleet.common().map(|(_, c)| c.entries).sum();
-    assert_eq!((heard, failed, entries), (2, 2, 4));
-    let first = fleet.cells().next().expect("a cell");
+    let notes_received: u64 = fleet.shared().map(|(_, c)| c.notes_received).sum();
+    let failed: u64 = fleet.shared().map(|(_, c)| c.unavailable).sum();
+    let entries: u64 = fleet.shared().map(|(_, c)| c.entries).sum();
+    assert_eq!((notes_received, failed, entries), (2, 2, 4));
+    let first = fleet.by_destination().next().expect("a cell");
     assert_eq!((first.0, first.2.taken), (UNIX / 1_000_000, 2), "both in the first second");
     assert!(fleet.text(None).starts_with("2 senders, from Unix second 1700000000 on\n"));
     assert!(!fleet.text(Some(DestinationId(9))).contains("    1      2"), "only what was asked for");
@@ -106,20 +115,20 @@
 fn of_a_recording_cut_short_the_whole_part_counts_and_the_place_is_named() {
     let whole = recording("a", 0);
     for cut in (1..whole.len()).step_by(7) {
-        let mut fleet = Fleet::default();
-        let damage = fleet.add(&whole[..cut]);
+        let mut fleet = FleetCounts::default();
+        let damage = fleet.add_recording(&whole[..cut]);
         if fleet.senders() == 0 {
             assert!(
-                matches!(damage[..], [Damage::Cut { .. } | Damage::NoSegment { .. }]),
+                matches!(damage[..], [Damage::Truncated { .. } | Damage::NoSegment { .. }]),
                 "{cut}: {damage:?}"
             );
         }
-        assert_eq!(fleet.add(&recording("b", 0)), [], "the others are still read");
+        assert_eq!(fleet.add_recording(&recording("b", 0)), [], "the others are still read");
         assert!(sums(&fleet).served >= 3);
     }
-    let mut fleet = Fleet::default();
-    assert_eq!(fleet.add(&whole[..whole.len() - 3]).len(), 1, "the place is named");
-    assert_eq!(fleet.add(b"no recording at all"), [Damage::NoSegment { offset: 0 }]);
+    let mut fleet = FleetCounts::default();
+    assert_eq!(fleet.add_recording(&whole[..whole.len() - 3]).len(), 1, "the place is named");
+    assert_eq!(fleet.add_recording(b"no recording at all"), [Damage::NoSegment { offset: 0 }]);
     assert_eq!(fleet.senders(), 1);
 }
 
@@ -131,18 +140,19 @@
     let alone = rig.actions.len();
     rig.end_all(Outcome::Served);
     let sent: Vec<Action> = rig.actions[alone..].iter().map(|(_, a)| a.clone()).collect();
-    let options = Options { limit: 1 << 20, sender: "a".into(), classes: vec![], settings: set, seed: 7 };
+    let options =
+        Options { limit_bytes: 1 << 20, sender: "a".into(), classes: vec![], settings: set, seed: 7 };
     let mut recorder =
-        Recorder::begin(options, Box::new(Memory::default()), &[], rig.now, UNIX).expect("begun");
+        Recorder::start(options, Box::new(MemoryStore::default()), &[], rig.now, UNIX).expect("begun");
     let list = Event::List(ListUpdate::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
-    recorder.turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("recorded");
+    recorder.record_turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("recorded");
     let together: Vec<Action> = sent.into_iter().filter(|a| matches!(a, Action::Send { .. })).collect();
     let messages = together.len() as u64;
-    recorder.turn(rig.now, UNIX, &[], &together, &rig.sender).expect("recorded");
+    recorder.record_turn(rig.now, UNIX, &[], &together, &rig.sender).expect("recorded");
     let mut bytes = Vec::new();
     recorder.dump(&mut bytes).expect("written");
-    let mut fleet = Fleet::default();
-    fleet.add(&bytes);
+    let mut fleet = FleetCounts::default();
+    fleet.add_recording(&bytes);
     let sum = sums(&fleet);
     assert!(messages > 1, "{messages}");
     assert_eq!((sum.calls, sum.messages), (1, messages));
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -7,11 +7,11 @@
 
 use common::{MS, SEC, settings};
 use notchpoint_policy::*;
-use notchpoint_recorder::explain::{At, Course, Explainer, Explanation, Question};
-use notchpoint_recorder::form::{self, MAGIC, Record, Start};
-use notchpoint_recorder::replay::{Nobody, Skipped, Watcher};
-use notchpoint_recorder::store::{Folder, Memory, Store, load};
-use notchpoint_recorder::{Damage, Options, Recorder, Recording, picture, replay, text};
+use notchpoint_recorder::explain::{Explainer, Explanation, MessageState, MessageTimeline, Query};
+use notchpoint_recorder::format::{self, MAGIC, Record, SegmentStart};
+use notchpoint_recorder::replay::{NoObserver, ReplayObserver, SkipReason};
+use notchpoint_recorder::store::{FolderStore, MemoryStore, SegmentStore, load};
+use notchpoint_recorder::{Damage, Options, Recorder, Recording, plot, replay, text};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -22,16 +22,16 @@
 
 fn options(limit: u64, settings: Settings) -> Options {
     let classes = vec!["safe".into(), "keyed".into(), "unsafe".into(), "ordered".into()];
-    Options { limit, sender: "n0".into(), classes, settings, seed: SEED }
+    Options { limit_bytes: limit, sender: "n0".into(), classes, settings, seed: SEED }
 }
 
-fn begin(limit: u64, set: &Settings, store: Box<dyn Store>, there: &[(u64, u64)]) -> Recorder {
-    Recorder::begin(options(limit, set.clone()), store, there, 50 * SEC, UNIX).expect("begun")
+fn begin(limit: u64, set: &Settings, store: Box<dyn SegmentStore>, there: &[(u64, u64)]) -> Recorder {
+    Recorder::start(options(limit, set.clone()), store, there, 50 * SEC, UNIX).expect("begun")
 }
 
 /// Plays the steps and records them; gives the recording and what was recorded of the rest.
 fn record(steps: &[Step], set: &Settings, limit: u64) -> Vec<u8> {
-    let recorder = Rc::new(RefCell::new(begin(limit, set, Box::new(Memory::default()), &[])));
+    let recorder = Rc::new(RefCell::new(begin(limit, set, Box::new(MemoryStore::default()), &[])));
     play(steps, set, recorder.clone());
     let mut bytes = Vec::new();
     recorder.borrow().dump(&mut bytes).expect("written");
@@ -41,7 +41,10 @@
 
 fn play(steps: &[Step], set: &Settings, recorder: Rc<RefCell<Recorder>>) -> Checker {
     let watch = move |at: Micros, events: &[Event], actions: &[Action], sender: &Sender| {
-        recorder.borrow_mut().turn(at, UNIX + at - 50 * SEC, events, actions, sender).expect("recorded");
+        recorder
+            .borrow_mut()
+            .record_turn(at, UNIX + at - 50 * SEC, events, actions, sender)
+            .expect("recorded");
     };
     let mut world = Checker::observed(set.clone(), SEED, Some(Box::new(watch)));
     steps.iter().for_each(|s| world.step(s));
@@ -49,19 +52,19 @@
     world
 }
 
-fn explain(bytes: &[u8], question: Question) -> Vec<Explanation> {
+fn explain(bytes: &[u8], question: Query) -> Vec<Explanation> {
     let mut explainer = Explainer::new(question);
     let done = replay(&Recording::read(bytes), &mut explainer);
     assert!(done.is_equal(), "{done:?}");
     explainer.finish()
 }
 
-fn everything() -> Question {
-    Question { from: Some(1), ..Question::default() }
+fn everything() -> Query {
+    Query { from: Some(1), ..Query::default() }
 }
 
 /// No span is empty, none overlaps another, and none is missing between two.
-fn is_without_holes(c: &Course) -> bool {
+fn is_without_holes(c: &MessageTimeline) -> bool {
     c.spans.iter().all(|s| s.from < s.to) && c.spans.windows(2).all(|w| w[0].to == w[1].from)
 }
 
@@ -94,8 +97,8 @@
     ) {
         let set = Settings { slots, may_send_notes, senders: 9, ..settings() };
         let bytes = record(&steps, &set, limit);
-        let done = replay(&Recording::read(&bytes), &mut Nobody);
-        prop_assert!(done.is_equal() && done.damage.is_empty() && done.others.is_empty(), "{done:?}");
+        let done = replay(&Recording::read(&bytes), &mut NoObserver);
+        prop_assert!(done.is_equal() && done.damage.is_empty() && done.other_builds.is_empty(), "{done:?}");
         prop_assert!(done.turns > 0);
     }
 
@@ -119,10 +122,10 @@
         turn.actions[place] = Action::Log("never said".into());
         let mut changed = MAGIC.to_vec();
         let header = Record::Header(Box::new(recording.segments[0].header.clone()));
-        form::write(&header, &mut changed).expect("fits");
-        records.iter().for_each(|r| form::write(r, &mut changed).expect("fits"));
-        let found = replay(&Recording::read(&changed), &mut Nobody).difference.expect("found");
-        prop_assert_eq!((found.turn, found.place), (number, place));
+        format::write_record(&header, &mut changed).expect("fits");
+        records.iter().for_each(|r| format::write_record(r, &mut changed).expect("fits"));
+        let found = replay(&Recording::read(&changed), &mut NoObserver).difference.expect("found");
+        prop_assert_eq!((found.turn, found.action_index), (number, place));
         prop_assert_eq!(found.recorded, Some(Action::Log("never said".into())));
     }
 
@@ -135,10 +138,10 @@
         let all = explain(&record(&steps, &set, 4 << 20), everything());
         for e in &all {
             prop_assert_eq!(e.held_by_spans, e.held_by_count);
-            prop_assert!(e.courses.iter().all(is_without_holes));
-            let held: Micros = e.courses.iter().map(Course::held).sum();
+            prop_assert!(e.timelines.iter().all(is_without_holes));
+            let held: Micros = e.timelines.iter().map(MessageTimeline::held).sum();
             prop_assert_eq!(held, e.held_by_spans);
-            prop_assert!(e.courses.iter().all(|c| c.end.is_some()), "all have ended");
+            prop_assert!(e.timelines.iter().all(|c| c.end.is_some()), "all have ended");
         }
     }
 }
@@ -146,11 +149,11 @@
 #[test]
 fn a_recording_cut_at_any_byte_ends_clearly() {
     let bytes = record(&long_steps()[..60], &settings(), 1 << 20);
-    let whole = replay(&Recording::read(&bytes), &mut Nobody);
+    let whole = replay(&Recording::read(&bytes), &mut NoObserver);
     assert!(whole.is_equal() && whole.damage.is_empty());
     let mut last = 0;
     for cut in 0..bytes.len() {
-        let done = replay(&Recording::read(&bytes[..cut]), &mut Nobody);
+        let done = replay(&Recording::read(&bytes[..cut]), &mut NoObserver);
         assert!(done.difference.is_none() && done.state_differs.is_none(), "cut at {cut}: {done:?}");
         // Turns up to the last whole record, never fewer than with a shorter cut, never more than there are.
         assert!(done.turns >= last && done.turns <= whole.turns, "cut at {cut}");
@@ -168,12 +171,12 @@
     let steps = long_steps();
     let steps: Vec<Step> = steps.iter().cycle().take(steps.len() * 3).cloned().collect();
     let bytes = record(&steps, &settings(), 120_000);
-    let whole = replay(&Recording::read(&bytes), &mut Nobody);
+    let whole = replay(&Recording::read(&bytes), &mut NoObserver);
     assert!(whole.is_equal() && whole.segments >= 3, "{} segments", whole.segments);
     let mut spoilt = bytes.clone();
     for at in (0..bytes.len()).step_by(211) {
         spoilt[at] ^= 0x20;
-        let done = replay(&Recording::read(&spoilt), &mut Nobody);
+        let done = replay(&Recording::read(&spoilt), &mut NoObserver);
         assert!(!done.damage.is_empty(), "byte {at} passed unseen");
         assert!(done.difference.is_none(), "byte {at}: {done:?}");
         // At most the segment that it lies in is lost.
@@ -189,17 +192,17 @@
     let bytes = record(&long, &set, 60_000);
     let recording = Recording::read(&bytes);
     let first = &recording.segments[0].header;
-    assert!(first.segment > 0 && matches!(first.start, Start::State(_)), "the beginning gave way");
-    let done = replay(&recording, &mut Nobody);
+    assert!(first.segment > 0 && matches!(first.start, SegmentStart::State(_)), "the beginning gave way");
+    let done = replay(&recording, &mut NoObserver);
     assert!(done.is_equal(), "{done:?}");
     assert_eq!((done.segments, done.states), (recording.segments.len(), recording.segments.len() - 1));
     for (n, s) in recording.segments.iter().enumerate() {
         let end = recording.segments.get(n + 1).map_or(bytes.len(), |s| s.offset);
-        let alone = replay(&Recording::read(&bytes[s.offset..end]), &mut Nobody);
+        let alone = replay(&Recording::read(&bytes[s.offset..end]), &mut NoObserver);
         assert!(alone.is_equal() && alone.segments == 1, "segment {n}: {alone:?}");
     }
     let all = explain(&bytes, everything());
-    assert!(all[0].courses.iter().any(|c| c.from_before), "something was held when it begins");
+    assert!(all[0].timelines.iter().any(|c| c.from_before), "something was held when it begins");
     assert_eq!(all[0].held_by_spans, all[0].held_by_count);
 }
 
@@ -208,10 +211,10 @@
     let (set, folder) = (settings(), tempfile::tempdir().expect("a folder"));
     let steps = long_steps();
     for run in 0..3 {
-        let (store, there) = Folder::open(folder.path()).expect("a folder");
+        let (store, there) = FolderStore::open(folder.path()).expect("a folder");
         assert_eq!(there.is_empty(), run == 0);
         let mut recorder = begin(1 << 20, &set, Box::new(store), &there);
-        recorder.name(EndpointId(1), "s-1").expect("recorded");
+        recorder.record_name(EndpointId(1), "s-1").expect("recorded");
         let recorder = Rc::new(RefCell::new(recorder));
         play(&steps[..90], &set, recorder.clone());
         // Killed: nothing is said to the recorder; the last record is torn.
@@ -222,10 +225,12 @@
         std::fs::write(&last, &bytes[..bytes.len() - 3]).expect("written");
     }
     let bytes = load(folder.path()).expect("read");
-    let done = replay(&Recording::read(&bytes), &mut Nobody);
+    let done = replay(&Recording::read(&bytes), &mut NoObserver);
     assert!(done.difference.is_none() && done.skipped.is_empty(), "{done:?}");
     assert_eq!((done.segments, done.damage.len()), (3, 3));
-    assert!(done.damage.iter().all(|d| matches!(d, Damage::Cut { .. } | Damage::Spoilt { .. })));
+    assert!(
+        done.damage.iter().all(|d| matches!(d, Damage::Truncated { .. } | Damage::ChecksumMismatch { .. }))
+    );
 }
 
 #[test]
@@ -236,25 +241,25 @@
     let mut other = Vec::new();
     for s in &recording.segments {
         let mut header = s.header.clone();
-        (header.decisions, header.state_form) = (1, 2);
+        (header.fingerprint, header.state_form) = (1, 2);
         other.extend(MAGIC);
-        form::write(&Record::Header(Box::new(header)), &mut other).expect("fits");
-        s.records().for_each(|r| form::write(&r, &mut other).expect("fits"));
+        format::write_record(&Record::Header(Box::new(header)), &mut other).expect("fits");
+        s.records().for_each(|r| format::write_record(&r, &mut other).expect("fits"));
     }
-    let done = replay(&Recording::read(&other), &mut Nobody);
-    assert_eq!(done.others, [1]);
-    let begins_fresh = matches!(recording.segments[0].header.start, Start::Fresh { .. });
+    let done = replay(&Recording::read(&other), &mut NoObserver);
+    assert_eq!(done.other_builds, [1]);
+    let begins_fresh = matches!(recording.segments[0].header.start, SegmentStart::Fresh { .. });
     if begins_fresh {
         assert!(done.is_equal(), "played on from the beginning: {done:?}");
     }
     let second = Recording::read(&other).segments[1].offset;
-    let done = replay(&Recording::read(&other[second..]), &mut Nobody);
-    assert!(done.skipped.iter().all(|s| s.2 == Skipped::StateForm));
+    let done = replay(&Recording::read(&other[second..]), &mut NoObserver);
+    assert!(done.skipped.iter().all(|s| s.2 == SkipReason::UnsupportedState));
     assert_eq!((done.skipped.len(), done.turns), (recording.segments.len() - 1, 0));
     let mut versions = bytes.clone();
     versions[7] = 9;
     let found = Recording::read(&versions).damage;
-    assert_eq!(found[0], Damage::Version { offset: 0, version: 9 });
+    assert_eq!(found[0], Damage::UnsupportedVersion { offset: 0, version: 9 });
 }
 
 #[test]
@@ -266,7 +271,7 @@
             rng = rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             bytes.push((rng >> 56) as u8);
         }
-        let done = replay(&Recording::read(&bytes), &mut Nobody);
+        let done = replay(&Recording::read(&bytes), &mut NoObserver);
         assert_eq!(done.turns, 0);
         assert!(bytes.is_empty() || !done.damage.is_empty());
     }
@@ -274,7 +279,7 @@
 
 #[test]
 fn a_state_that_does_not_fit_the_limit_is_said() {
-    let began = Recorder::begin(options(100, settings()), Box::new(Memory::default()), &[], 0, UNIX);
+    let began = Recorder::start(options(100, settings()), Box::new(MemoryStore::default()), &[], 0, UNIX);
     let why = began.err().expect("too small").to_string();
     assert!(why.contains("needs a limit"), "{why}");
 }
@@ -290,7 +295,7 @@
 
 impl Bench {
     fn new(set: Settings) -> Self {
-        let recorder = begin(8 << 20, &set, Box::new(Memory::default()), &[]);
+        let recorder = begin(8 << 20, &set, Box::new(MemoryStore::default()), &[]);
         let sender = Sender::new(set, SEED).expect("sound");
         let mut bench = Self { sender, recorder, now: 50 * SEC, unix: UNIX, next: 1 };
         bench.tell(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
@@ -300,7 +305,7 @@
     fn tell(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
-        self.recorder.turn(self.now, self.unix, &events, &actions, &self.sender).expect("recorded");
+        self.recorder.record_turn(self.now, self.unix, &events, &actions, &self.sender).expect("recorded");
         actions
     }
 
@@ -324,15 +329,15 @@
         self.tell(vec![Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
-    fn explain(&self, question: Question) -> Explanation {
+    fn explain(&self, question: Query) -> Explanation {
         let mut bytes = Vec::new();
         self.recorder.dump(&mut bytes).expect("written");
         explain(&bytes, question).remove(0)
     }
 
-    fn spans(&self, id: u64) -> Vec<(At, Micros)> {
-        let e = self.explain(Question { message: Some(MessageId(id)), ..Question::default() });
-        e.courses[0].spans.iter().map(|s| (s.at, s.to - s.from)).collect()
+    fn spans(&self, id: u64) -> Vec<(MessageState, Micros)> {
+        let e = self.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+        e.timelines[0].spans.iter().map(|s| (s.at, s.to - s.from)).collect()
     }
 }
 
@@ -347,10 +352,10 @@
         b.wait(100 * MS);
     }
     let spans = b.spans(second);
-    assert_eq!(spans[0], (At::Held(Guard::Window), 200 * MS), "{spans:?}");
-    let all: Vec<At> = spans.iter().map(|s| s.0).collect();
-    assert!(all.contains(&At::Held(Guard::Wait)), "{spans:?}");
-    let waited: Micros = spans.iter().filter(|s| s.0 == At::Held(Guard::Wait)).map(|s| s.1).sum();
+    assert_eq!(spans[0], (MessageState::Held(Guard::Window), 200 * MS), "{spans:?}");
+    let all: Vec<MessageState> = spans.iter().map(|s| s.0).collect();
+    assert!(all.contains(&MessageState::Held(Guard::Wait)), "{spans:?}");
+    let waited: Micros = spans.iter().filter(|s| s.0 == MessageState::Held(Guard::Wait)).map(|s| s.1).sum();
     assert!((SEC..2 * SEC).contains(&waited), "{spans:?}");
 }
 
@@ -386,10 +391,10 @@
     for _ in 0..250 {
         b.wait(100 * MS);
     }
-    let e = b.explain(Question { message: Some(MessageId(id)), ..Question::default() });
-    let course = &e.courses[0];
+    let e = b.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+    let course = &e.timelines[0];
     assert_eq!(course.end.as_deref(), Some("refused"));
-    assert!(course.spans.iter().all(|s| s.at == At::Held(Guard::Drained)), "{course:?}");
+    assert!(course.spans.iter().all(|s| s.at == MessageState::Held(Guard::Drained)), "{course:?}");
     assert!(course.held() >= 19 * SEC);
     assert_eq!((e.totals.len(), e.totals[0].guard), (1, Guard::Drained));
 }
@@ -405,13 +410,13 @@
     for _ in 0..250 {
         b.wait(100 * MS);
     }
-    let e = b.explain(Question { message: Some(MessageId(second)), ..Question::default() });
-    let spans = &e.courses[0].spans;
-    assert_eq!(spans[0].at, At::Held(Guard::Window), "{spans:?}");
-    assert_eq!(spans[1].at, At::Held(Guard::Drained), "{spans:?}");
+    let e = b.explain(Query { message: Some(MessageId(second)), ..Query::default() });
+    let spans = &e.timelines[0].spans;
+    assert_eq!(spans[0].at, MessageState::Held(Guard::Window), "{spans:?}");
+    assert_eq!(spans[1].at, MessageState::Held(Guard::Drained), "{spans:?}");
     assert_eq!(spans[1].from - spans[0].from, 200 * MS);
     assert!(spans[0].ended.contains("the list of endpoints changed"), "{}", spans[0].ended);
-    assert_eq!(e.courses[0].end.as_deref(), Some("refused"));
+    assert_eq!(e.timelines[0].end.as_deref(), Some("refused"));
 }
 
 #[test]
@@ -422,11 +427,11 @@
     b.unix -= 3_600 * SEC;
     b.wait(SEC);
     b.end(id, 0, Outcome::Served);
-    let e = b.explain(Question { message: Some(MessageId(id)), ..Question::default() });
+    let e = b.explain(Query { message: Some(MessageId(id)), ..Query::default() });
     assert_eq!(e.clock_steps.len(), 1);
     assert_eq!(e.clock_steps[0].1, -3_600_000_000);
-    assert_eq!(e.courses[0].spans.iter().map(|s| s.to - s.from).sum::<Micros>(), 2 * SEC);
-    assert!(text::write(&e).contains("stepped by -3600.000 s"));
+    assert_eq!(e.timelines[0].spans.iter().map(|s| s.to - s.from).sum::<Micros>(), 2 * SEC);
+    assert!(text::render(&e).contains("stepped by -3600.000 s"));
 }
 
 #[test]
@@ -441,10 +446,10 @@
     b.wait(100 * MS);
     b.end(id, 0, Outcome::Full { wait: None });
     b.wait(SEC);
-    let e = b.explain(Question { dest: Some(DestinationId(1)), ..Question::default() });
+    let e = b.explain(Query { dest: Some(DestinationId(1)), ..Query::default() });
     assert_eq!(e.cuts.len(), 1, "{:?}", e.cuts);
     assert!(e.cuts[0].cause.contains("no wait told") && e.cuts[0].to < e.cuts[0].from);
-    let svg = picture::draw(&e, 1);
+    let svg = plot::draw(&e, 1);
     assert!(svg.starts_with("<svg") && svg.ends_with("</svg>\n") && svg.contains("no wait told"));
     assert!(serde_json::to_string(&e).expect("json").contains("\"cuts\""));
 }
@@ -452,9 +457,9 @@
 #[test]
 fn ten_thousand_destinations_are_recorded_and_explained() {
     struct Count(u64);
-    impl Watcher for Count {
-        fn segment(&mut self, _: &form::Header, _: &Sender, _: bool) {}
-        fn turn(&mut self, _: &form::Turn, sender: &Sender) {
+    impl ReplayObserver for Count {
+        fn on_segment(&mut self, _: &format::Header, _: &Sender, _: bool) {}
+        fn on_turn(&mut self, _: &format::Turn, sender: &Sender) {
             self.0 += sender.waiting_count() as u64;
         }
     }
--- a/crates/rehearsal/src/windows.rs
+++ b/crates/rehearsal/src/windows.rs
@@ -4,8 +4,8 @@
 use crate::scenario::Scenario;
 use crate::virt::EPOCH;
 use notchpoint_policy::Sender;
-use notchpoint_recorder::form::{Header, Turn};
-use notchpoint_recorder::replay::Watcher;
+use notchpoint_recorder::format::{Header, Turn};
+use notchpoint_recorder::replay::ReplayObserver;
 use notchpoint_recorder::{Recording, replay, store};
 use std::path::Path;
 
@@ -98,8 +98,8 @@
     }
 }
 
-impl Watcher for Sampler<'_> {
-    fn segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
+impl ReplayObserver for Sampler<'_> {
+    fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
         if !goes_on {
             // Between two processes there is no window.
             self.last.iter_mut().for_each(|l| *l = [0.0; 3]);
@@ -109,7 +109,7 @@
         self.look(sender);
     }
 
-    fn turn(&mut self, turn: &Turn, sender: &Sender) {
+    fn on_turn(&mut self, turn: &Turn, sender: &Sender) {
         self.advance(turn.at);
         self.look(sender);
     }
--- a/crates/rehearsal/tests/world/blind.rs
+++ b/crates/rehearsal/tests/world/blind.rs
@@ -4,7 +4,7 @@
 use notchpoint_rehearsal::hosts::Around;
 use notchpoint_seam::net::ConnectFuture;
 use notchpoint_seam::{DatagramSocket, Disk, Environment, File, Listener, Network, Stream};
-use notchpoint_store::format::{Header, Record, read_frame, records, salt};
+use notchpoint_store::format::{Header, Record, checksum_seed, read_frame, records};
 use notchpoint_store::{Batch, Table};
 use std::any::Any;
 use std::cell::{Cell, RefCell};
@@ -97,7 +97,7 @@
 
     fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
         // Of a segment that an earlier process began the header stands there.
-        let header = self.0.read(name)?.and_then(|b| Header::read(&b).ok());
+        let header = self.0.read(name)?.and_then(|b| Header::decode(&b).ok());
         Ok(Box::new(ForgetsFile(self.0.append(name)?, self.1, header)))
     }
 
@@ -122,9 +122,9 @@
 
 impl ForgetsFile {
     /// The same frame, with such records in the other table.
-    fn moved(&self, mut bytes: &[u8], salt: u32) -> Vec<u8> {
+    fn moved(&self, mut bytes: &[u8], seed: u32) -> Vec<u8> {
         let mut all = Vec::new();
-        while let Ok(frame) = read_frame(bytes, salt) {
+        while let Ok(frame) = read_frame(bytes, seed) {
             let mut batch = Batch::default();
             let mut forgotten = false;
             for record in records(frame.payload).flatten() {
@@ -137,7 +137,11 @@
             }
             // The daemon writes one record in a frame of these kinds.
             let own = &bytes[..frame.len()];
-            all.extend(if forgotten { batch.frame(salt, frame.seq, frame.firm) } else { own.to_vec() });
+            all.extend(if forgotten {
+                batch.frame(seed, frame.seq, frame.durable_len)
+            } else {
+                own.to_vec()
+            });
             bytes = &bytes[frame.len()..];
         }
         all.extend(bytes);
@@ -148,10 +152,10 @@
 impl File for ForgetsFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some(header) = self.2 else {
-            self.2 = Header::read(bytes).ok();
+            self.2 = Header::decode(bytes).ok();
             return self.0.write_all(bytes);
         };
-        self.0.write_all(&self.moved(bytes, salt(header.store, header.number)))
+        self.0.write_all(&self.moved(bytes, checksum_seed(header.store_id, header.number)))
     }
 
     fn set_len(&mut self, len: u64) -> io::Result<()> {
--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -7,7 +7,7 @@
 use hdrhistogram::Histogram;
 use notchpoint_seam::Disk;
 use notchpoint_seam::system::Folder;
-use notchpoint_store::{Batch, Durability, Options, Store, Table, Work};
+use notchpoint_store::{Batch, Durability, Options, Store, Table, WriteKind};
 use redb::{Database, ReadableTable, TableDefinition};
 use std::collections::{BTreeMap, VecDeque};
 use std::error::Error;
@@ -54,21 +54,21 @@
     fn take(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
         let mut batch = Batch::default();
         batch.put(T, &key(id, b'T'), body);
-        self.store.apply(&batch, Work::New)?;
+        self.store.apply(&batch, WriteKind::New)?;
         Ok(())
     }
 
     fn attempt(&mut self, id: u64) -> Result<(), Failure> {
         let mut batch = Batch::default();
         batch.put(T, &key(id, b'A'), &[0; 17]);
-        self.store.apply(&batch, Work::Going)?;
+        self.store.apply(&batch, WriteKind::Update)?;
         Ok(())
     }
 
     fn end(&mut self, id: u64) -> Result<(), Failure> {
         let mut batch = Batch::default();
         batch.delete_prefix(T, &id.to_be_bytes());
-        self.store.apply(&batch, Work::End)?;
+        self.store.apply(&batch, WriteKind::End)?;
         Ok(())
     }
 
--- a/crates/store/src/checkpoint.rs
+++ b/crates/store/src/checkpoint.rs
@@ -32,7 +32,7 @@
     pub fn begin(header: &Header) -> (Self, Vec<u8>) {
         let mut bytes = Vec::with_capacity(HEAD);
         bytes.extend(MAGIC);
-        for n in [VERSION, header.store, header.number.into(), header.first] {
+        for n in [VERSION, header.store_id, header.number.into(), header.first_seq] {
             bytes.extend(n.to_le_bytes());
         }
         let sum = crc32c(&bytes);
--- a/crates/store/src/clean.rs
+++ b/crates/store/src/compact.rs
@@ -5,9 +5,12 @@
 //! ends, and nothing can come to life again.
 
 use crate::error::Error;
-use crate::format::{Batch, FRAME, Flaw, HEADER, Record, frame_len, name, read_frame, records, salt};
+use crate::format::{
+    Batch, FRAME_HEADER_LEN, FrameError, HEADER_LEN, Record, checksum_seed, frame_len, read_frame, records,
+    segment_file_name,
+};
 use crate::index::Place;
-use crate::plan::{Work, blocks};
+use crate::plan::{WriteKind, blocks};
 use crate::store::{Cleaner, Condemned, Store, unsound};
 
 impl Store {
@@ -19,7 +22,7 @@
         }
         let at = match &self.cleaner {
             Some(c) if c.segment == segment => c.at,
-            _ => HEADER as u32,
+            _ => HEADER_LEN as u32,
         };
         let (batch, read) = if at < usage.until {
             self.gather(segment, at, usage.until, budget)?
@@ -39,18 +42,19 @@
 
     /// The records in force of whole frames from there on, and how many bytes they span.
     fn gather(&mut self, segment: u32, at: u32, until: u32, budget: usize) -> Result<(Batch, usize), Error> {
-        let file = name(segment);
+        let file = segment_file_name(segment);
         let left = (until - at) as usize;
-        let mut bytes = self.disk.read_at(&file, at.into(), budget.max(FRAME).min(left))?;
+        let mut bytes = self.disk.read_at(&file, at.into(), budget.max(FRAME_HEADER_LEN).min(left))?;
         // One frame at least, however long it is.
         if let Some(len) = frame_len(&bytes).filter(|len| *len > bytes.len() && *len <= left) {
             bytes = self.disk.read_at(&file, at.into(), len)?;
         }
-        let (salt, mut batch, mut read) = (salt(self.active.header.store, segment), Batch::default(), 0);
+        let (seed, mut batch, mut read) =
+            (checksum_seed(self.active.header.store_id, segment), Batch::default(), 0);
         while read < bytes.len() {
-            let frame = match read_frame(&bytes[read..], salt) {
+            let frame = match read_frame(&bytes[read..], seed) {
                 Ok(frame) => frame,
-                Err(Flaw::Short) if read > 0 => break,
+                Err(FrameError::Truncated) if read > 0 => break,
                 Err(flaw) => {
                     // It was sound once, and what else is in it may be needed: nothing of it is dropped.
                     let why = unsound(segment, u64::from(at) + read as u64, flaw);
@@ -60,8 +64,8 @@
             };
             let begins = at + read as u32;
             for record in records(frame.payload).flatten() {
-                let Record::Put { table, key, value, at } = record else { continue };
-                let at = begins + (FRAME + at) as u32;
+                let Record::Put { table, key, value, value_offset } = record else { continue };
+                let at = begins + (FRAME_HEADER_LEN + value_offset) as u32;
                 let here = Place { segment, frame: begins, at, len: value.len() as u32 };
                 if self.index.get(table, key) == Some(here) {
                     batch.put(table, key, value);
@@ -77,15 +81,15 @@
         if !self.plan.admits_copy(add, &self.room()) {
             return Err(Error::Full);
         }
-        self.place(batch, Work::Going)?;
+        self.place(batch, WriteKind::Update)?;
         self.copied += add;
         Ok(())
     }
 
     fn drop_oldest(&mut self, segment: u32) -> Result<(), Error> {
         let mut batch = Batch::default();
-        batch.base(segment + 1);
-        let mark = self.place(&batch, Work::End)?;
+        batch.set_log_start(segment + 1);
+        let mark = self.place(&batch, WriteKind::End)?;
         let len = self.index.segments().find(|s| s.0 == segment).map_or(0, |s| blocks(s.1.len));
         self.index.dropped(segment);
         (self.base, self.cleaner) = (segment + 1, None);
@@ -99,10 +103,14 @@
     /// Removes segments whose copies are safe.
     pub(crate) fn discard(&mut self) {
         let disk = self.disk.clone();
-        let safe = self.condemned.iter().take_while(|c| self.is_firm(&c.mark)).count();
+        let safe = self.condemned.iter().take_while(|c| self.is_durable(&c.mark)).count();
         // One that cannot be removed now is tried again with the next, or is a leftover for the next start.
-        let gone =
-            self.condemned.iter().take(safe).take_while(|c| disk.remove(&name(c.segment)).is_ok()).count();
+        let gone = self
+            .condemned
+            .iter()
+            .take(safe)
+            .take_while(|c| disk.remove(&segment_file_name(c.segment)).is_ok())
+            .count();
         self.others -= self.condemned.drain(..gone).map(|c| c.len).sum::<u64>();
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -5,7 +5,7 @@
 
 /// Why a folder is not opened: the place, what should stand there, and what does. Nothing was changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Refusal {
+pub struct Corruption {
     /// The file.
     pub file: String,
     /// The byte in it.
@@ -16,7 +16,7 @@
     pub found: String,
 }
 
-impl fmt::Display for Refusal {
+impl fmt::Display for Corruption {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self { file, offset, expected, found } = self;
         write!(f, "{file}, byte {offset}: expected {expected}, found {found}")
@@ -27,7 +27,7 @@
 #[derive(Debug)]
 pub enum Error {
     /// The folder cannot be trusted, and nothing was changed in it.
-    Refused(Refusal),
+    Corrupt(Corruption),
     /// The folder's limit leaves no room for this. Room comes back by ends and compaction.
     Full,
     /// The disk could not be read or written. The store goes on once it can.
@@ -39,7 +39,7 @@
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Refused(why) => why.fmt(f),
+            Self::Corrupt(why) => why.fmt(f),
             Self::Full => f.write_str("the folder's limit leaves no room"),
             Self::Io(e) => e.fmt(f),
             Self::TooLong => f.write_str("longer than the format holds"),
@@ -55,9 +55,9 @@
     }
 }
 
-impl From<Refusal> for Error {
-    fn from(why: Refusal) -> Self {
-        Self::Refused(why)
+impl From<Corruption> for Error {
+    fn from(why: Corruption) -> Self {
+        Self::Corrupt(why)
     }
 }
 
@@ -66,7 +66,7 @@
         match e {
             Error::Io(e) => e,
             Error::Full => Self::from(io::ErrorKind::StorageFull),
-            Error::Refused(why) => Self::new(io::ErrorKind::InvalidData, why.to_string()),
+            Error::Corrupt(why) => Self::new(io::ErrorKind::InvalidData, why.to_string()),
             Error::TooLong => Self::from(io::ErrorKind::InvalidInput),
         }
     }
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -7,57 +7,57 @@
 /// The version of the format that this build writes; it reads no later one.
 pub const VERSION: u16 = 1;
 /// Bytes of a segment's header.
-pub const HEADER: usize = 64;
+pub const HEADER_LEN: usize = 64;
 /// Bytes before a frame's records.
-pub const FRAME: usize = 24;
+pub const FRAME_HEADER_LEN: usize = 24;
 /// Bytes of records in one frame at most: a body of 64 KiB and its keys many times over; a longer length is
 /// no frame.
-pub const LONGEST: usize = 1 << 20;
+pub const MAX_PAYLOAD_LEN: usize = 1 << 20;
 /// Bytes before a record's key and value: what it is, the lengths of key and value.
-const RECORD: usize = 6;
+const RECORD_HEADER_LEN: usize = 6;
 /// Segments end well before offsets of 32 bits do.
-pub const SEGMENT_MOST: u64 = 1 << 30;
+pub const MAX_SEGMENT_LEN: u64 = 1 << 30;
 
 /// A space of keys of its own. Numbers from 0 to 62 are the caller's.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Table(pub u8);
 
 /// Tables above are not to be had.
-pub const TABLES: u8 = 63;
+pub const TABLE_COUNT: u8 = 63;
 
 /// What a segment says of itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Header {
     /// The store that it belongs to: drawn at random when that was made.
-    pub store: u64,
+    pub store_id: u64,
     /// Its number, which its name has too.
     pub number: u32,
     /// The sequence number of its first frame.
-    pub first: u64,
+    pub first_seq: u64,
     /// Segments below this number had been dropped when it was begun.
-    pub base: u32,
+    pub log_start: u32,
     /// So many bytes of the segment before are part of the log, ...
-    pub before_len: u32,
+    pub previous_len: u32,
     /// ... and this is their checksum.
-    pub before_sum: u32,
+    pub previous_checksum: u32,
 }
 
 impl Header {
     /// Its bytes.
-    pub fn write(&self) -> [u8; HEADER] {
-        let mut bytes = Vec::with_capacity(HEADER);
+    pub fn encode(&self) -> [u8; HEADER_LEN] {
+        let mut bytes = Vec::with_capacity(HEADER_LEN);
         bytes.extend(MAGIC);
         bytes.extend(VERSION.to_le_bytes());
         bytes.extend([0; 6]);
-        bytes.extend(self.store.to_le_bytes());
+        bytes.extend(self.store_id.to_le_bytes());
         bytes.extend(u64::from(self.number).to_le_bytes());
-        bytes.extend(self.first.to_le_bytes());
-        bytes.extend(u64::from(self.base).to_le_bytes());
-        bytes.extend(u64::from(self.before_len).to_le_bytes());
-        bytes.extend(self.before_sum.to_le_bytes());
+        bytes.extend(self.first_seq.to_le_bytes());
+        bytes.extend(u64::from(self.log_start).to_le_bytes());
+        bytes.extend(u64::from(self.previous_len).to_le_bytes());
+        bytes.extend(self.previous_checksum.to_le_bytes());
         let sum = crc32c(&bytes);
         bytes.extend(sum.to_le_bytes());
-        let mut whole = [0; HEADER];
+        let mut whole = [0; HEADER_LEN];
         whole.copy_from_slice(&bytes);
         whole
     }
@@ -66,37 +66,41 @@
     ///
     /// # Errors
     /// The place within the header, what was expected and what was found.
-    pub fn read(bytes: &[u8]) -> Result<Self, (usize, String, String)> {
-        let Some(bytes) = bytes.first_chunk::<HEADER>() else {
-            return Err((bytes.len(), format!("a header of {HEADER} bytes"), "the end of the file".into()));
+    pub fn decode(bytes: &[u8]) -> Result<Self, (usize, String, String)> {
+        let Some(bytes) = bytes.first_chunk::<HEADER_LEN>() else {
+            return Err((
+                bytes.len(),
+                format!("a header of {HEADER_LEN} bytes"),
+                "the end of the file".into(),
+            ));
         };
         if bytes[..8] != MAGIC {
             return Err((0, "the first bytes of a segment".into(), format!("{:02x?}", &bytes[..8])));
         }
         // The version comes before the checksum: a later one may have its header in another form.
         let version = u16::from_le_bytes([bytes[8], bytes[9]]);
-        let sum = u32_at(bytes, HEADER - 4);
-        let real = crc32c(&bytes[..HEADER - 4]);
-        if version > VERSION && sum == real {
+        let sum = u32_at(bytes, HEADER_LEN - 4);
+        let computed = crc32c(&bytes[..HEADER_LEN - 4]);
+        if version > VERSION && sum == computed {
             return Err((8, format!("version {VERSION} or older"), format!("version {version}")));
         }
-        if sum != real {
-            return Err((HEADER - 4, format!("checksum {real:08x}"), format!("{sum:08x}")));
+        if sum != computed {
+            return Err((HEADER_LEN - 4, format!("checksum {computed:08x}"), format!("{sum:08x}")));
         }
         let small = |at: usize| u32::try_from(u64_at(bytes, at)).unwrap_or(u32::MAX);
         Ok(Self {
-            store: u64_at(bytes, 16),
+            store_id: u64_at(bytes, 16),
             number: small(24),
-            first: u64_at(bytes, 32),
-            base: small(40),
-            before_len: small(48),
-            before_sum: u32_at(bytes, 56),
+            first_seq: u64_at(bytes, 32),
+            log_start: small(40),
+            previous_len: small(48),
+            previous_checksum: u32_at(bytes, 56),
         })
     }
 }
 
 /// Where a checksum of a segment's frames begins: bytes of another segment, or another store, do not pass.
-pub fn salt(store: u64, number: u32) -> u32 {
+pub fn checksum_seed(store: u64, number: u32) -> u32 {
     crc32c_append(crc32c(&store.to_le_bytes()), &number.to_le_bytes())
 }
 
@@ -120,7 +124,7 @@
 const DELETE: u8 = 1;
 const DELETE_PREFIX: u8 = 2;
 /// Segments below this number are not part of the log any more.
-const BASE: u8 = 3;
+const LOG_START: u8 = 3;
 
 impl Batch {
     fn record(&mut self, op: u8, key: &[u8], value: &[u8]) {
@@ -151,8 +155,8 @@
         self.record(table.0 << 2 | DELETE_PREFIX, prefix, &[]);
     }
 
-    pub(crate) fn base(&mut self, number: u32) {
-        self.record(BASE, &number.to_le_bytes(), &[]);
+    pub(crate) fn set_log_start(&mut self, number: u32) {
+        self.record(LOG_START, &number.to_le_bytes(), &[]);
     }
 
     /// Nothing is in it.
@@ -162,28 +166,28 @@
 
     /// Bytes that it takes in a segment.
     pub fn len(&self) -> usize {
-        FRAME + self.payload.len()
+        FRAME_HEADER_LEN + self.payload.len()
     }
 
     /// Whether it fits in a frame.
     pub fn fits(&self) -> bool {
-        self.payload.len() <= LONGEST && self.count < u32::MAX && self.count > 0
+        self.payload.len() <= MAX_PAYLOAD_LEN && self.count < u32::MAX && self.count > 0
     }
 
-    /// Its bytes as a frame. `firm` is how far the segment is known to be safe.
-    pub fn frame(&self, salt: u32, seq: u64, firm: u32) -> Vec<u8> {
-        frame(&self.payload, self.count, salt, seq, firm)
+    /// Its bytes as a frame. `durable_len` is how far the segment is known to be safe.
+    pub fn frame(&self, seed: u32, seq: u64, durable_len: u32) -> Vec<u8> {
+        frame(&self.payload, self.count, seed, seq, durable_len)
     }
 }
 
 /// The bytes of a frame with these records.
-pub fn frame(payload: &[u8], count: u32, salt: u32, seq: u64, firm: u32) -> Vec<u8> {
-    let mut bytes = Vec::with_capacity(FRAME + payload.len());
+pub fn frame(payload: &[u8], count: u32, seed: u32, seq: u64, durable_len: u32) -> Vec<u8> {
+    let mut bytes = Vec::with_capacity(FRAME_HEADER_LEN + payload.len());
     bytes.extend((payload.len() as u32).to_le_bytes());
-    bytes.extend(firm.to_le_bytes());
+    bytes.extend(durable_len.to_le_bytes());
     bytes.extend(seq.to_le_bytes());
     bytes.extend(count.to_le_bytes());
-    let sum = crc32c_append(crc32c_append(salt, &bytes), payload);
+    let sum = crc32c_append(crc32c_append(seed, &bytes), payload);
     bytes.extend(sum.to_le_bytes());
     bytes.extend(payload);
     bytes
@@ -195,7 +199,7 @@
     /// Its sequence number.
     pub seq: u64,
     /// The segment was safe up to there when it was written.
-    pub firm: u32,
+    pub durable_len: u32,
     /// How many records it has.
     pub count: u32,
     /// The records.
@@ -205,7 +209,7 @@
 impl Frame<'_> {
     /// Bytes that it takes.
     pub fn len(&self) -> usize {
-        FRAME + self.payload.len()
+        FRAME_HEADER_LEN + self.payload.len()
     }
 
     /// A frame has always records.
@@ -216,17 +220,17 @@
 
 /// Why no frame could be read at a place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
+pub enum FrameError {
     /// The bytes end before it does.
-    Short,
+    Truncated,
     /// No frame is so long.
-    Length(u32),
+    InvalidLength(u32),
     /// The checksum is another.
-    Sum {
+    ChecksumMismatch {
         /// Of what stands there.
-        real: u32,
+        computed: u32,
         /// What the frame says.
-        said: u32,
+        stored: u32,
     },
 }
 
@@ -234,24 +238,26 @@
 ///
 /// # Errors
 /// Why there is none.
-pub fn read_frame(bytes: &[u8], salt: u32) -> Result<Frame<'_>, Flaw> {
-    let head = bytes.first_chunk::<FRAME>().ok_or(Flaw::Short)?;
+pub fn read_frame(bytes: &[u8], seed: u32) -> Result<Frame<'_>, FrameError> {
+    let head = bytes.first_chunk::<FRAME_HEADER_LEN>().ok_or(FrameError::Truncated)?;
     let (len, count) = (u32_at(head, 0), u32_at(head, 16));
-    if len as usize > LONGEST || (len as usize) < RECORD || count == 0 {
-        return Err(Flaw::Length(len));
+    if len as usize > MAX_PAYLOAD_LEN || (len as usize) < RECORD_HEADER_LEN || count == 0 {
+        return Err(FrameError::InvalidLength(len));
     }
-    let payload = bytes.get(FRAME..FRAME + len as usize).ok_or(Flaw::Short)?;
-    let (real, said) = (crc32c_append(crc32c_append(salt, &head[..FRAME - 4]), payload), u32_at(head, 20));
-    if real != said {
-        return Err(Flaw::Sum { real, said });
+    let payload =
+        bytes.get(FRAME_HEADER_LEN..FRAME_HEADER_LEN + len as usize).ok_or(FrameError::Truncated)?;
+    let (computed, stored) =
+        (crc32c_append(crc32c_append(seed, &head[..FRAME_HEADER_LEN - 4]), payload), u32_at(head, 20));
+    if computed != stored {
+        return Err(FrameError::ChecksumMismatch { computed, stored });
     }
-    Ok(Frame { seq: u64_at(head, 8), firm: u32_at(head, 4), count, payload })
+    Ok(Frame { seq: u64_at(head, 8), durable_len: u32_at(head, 4), count, payload })
 }
 
 /// How long the frame is that begins like this, as far as its own length can be believed.
 pub fn frame_len(head: &[u8]) -> Option<usize> {
-    let len = u32_at(head.get(..FRAME)?, 0) as usize;
-    (len <= LONGEST).then_some(FRAME + len)
+    let len = u32_at(head.get(..FRAME_HEADER_LEN)?, 0) as usize;
+    (len <= MAX_PAYLOAD_LEN).then_some(FRAME_HEADER_LEN + len)
 }
 
 /// What a record says.
@@ -266,7 +272,7 @@
         /// The value.
         value: &'a [u8],
         /// Where the value stands in the payload.
-        at: usize,
+        value_offset: usize,
     },
     /// A key is gone.
     Delete {
@@ -283,7 +289,7 @@
         key: &'a [u8],
     },
     /// Segments below this number are not part of the log any more.
-    Base(u32),
+    LogStart(u32),
 }
 
 /// The records of a frame. An error is the place of one that cannot be read; a sound frame has none.
@@ -302,31 +308,31 @@
 fn record(payload: &[u8], at: usize) -> Option<(Record<'_>, usize)> {
     let (&op, &key_len) = (payload.get(at)?, payload.get(at + 1)?);
     let value_len = u32::from_le_bytes(*payload.get(at + 2..)?.first_chunk()?) as usize;
-    let value_at = at + RECORD + usize::from(key_len);
-    let key = payload.get(at + RECORD..value_at)?;
+    let value_at = at + RECORD_HEADER_LEN + usize::from(key_len);
+    let key = payload.get(at + RECORD_HEADER_LEN..value_at)?;
     let value = payload.get(value_at..value_at.checked_add(value_len)?)?;
     let table = Table(op >> 2);
     let record = match op & 3 {
-        PUT => Record::Put { table, key, value, at: value_at },
+        PUT => Record::Put { table, key, value, value_offset: value_at },
         DELETE => Record::Delete { table, key },
         DELETE_PREFIX => Record::DeletePrefix { table, key },
-        _ => Record::Base(u32::from_le_bytes(*key.first_chunk()?)),
+        _ => Record::LogStart(u32::from_le_bytes(*key.first_chunk()?)),
     };
     Some((record, value_at + value_len))
 }
 
 /// What a put takes of a segment, its share of a frame included.
-pub fn weight(key: usize, value: usize) -> u64 {
-    (FRAME + RECORD + key + value) as u64
+pub fn put_len(key: usize, value: usize) -> u64 {
+    (FRAME_HEADER_LEN + RECORD_HEADER_LEN + key + value) as u64
 }
 
 /// The file of a segment.
-pub fn name(number: u32) -> String {
+pub fn segment_file_name(number: u32) -> String {
     format!("{number:010}.log")
 }
 
 /// The number of a segment by its file's name.
-pub fn number(name: &str) -> Option<u32> {
+pub fn segment_number(name: &str) -> Option<u32> {
     let digits =
         name.strip_suffix(".log").filter(|d| d.len() == 10 && d.bytes().all(|b| b.is_ascii_digit()))?;
     digits.parse().ok().filter(|n| *n > 0)
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,6 +1,6 @@
 //! What is where: each key's place in the log, and how much of each segment is still of use.
 
-use crate::format::{Record, Table, weight};
+use crate::format::{Record, Table, put_len};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
@@ -55,8 +55,9 @@
     /// Enters a record of a frame that begins there, whose records begin at `payload`.
     pub fn apply(&mut self, record: &Record<'_>, segment: u32, frame: u32, payload: u32) {
         match *record {
-            Record::Put { table, key, value, at } => {
-                let place = Place { segment, frame, at: payload + at as u32, len: value.len() as u32 };
+            Record::Put { table, key, value, value_offset } => {
+                let place =
+                    Place { segment, frame, at: payload + value_offset as u32, len: value.len() as u32 };
                 self.enter(full(table, key), place);
             }
             Record::Delete { table, key } => {
@@ -73,13 +74,13 @@
                     }
                 }
             }
-            Record::Base(_) => {}
+            Record::LogStart(_) => {}
         }
     }
 
     /// Enters a key, its table's number before it.
     pub fn enter(&mut self, key: Box<[u8]>, place: Place) {
-        let (len, add) = (key.len() - 1, weight(key.len() - 1, place.len as usize));
+        let (len, add) = (key.len() - 1, put_len(key.len() - 1, place.len as usize));
         self.segments.entry(place.segment).or_default().live += add;
         self.live += add;
         if let Some(old) = self.map.insert(key, place) {
@@ -88,7 +89,7 @@
     }
 
     fn forget(&mut self, key: usize, old: Place) {
-        let gone = weight(key, old.len as usize);
+        let gone = put_len(key, old.len as usize);
         self.live -= gone;
         if let Some(s) = self.segments.get_mut(&old.segment) {
             s.live = s.live.saturating_sub(gone);
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -10,7 +10,7 @@
 #![warn(missing_docs)]
 
 mod checkpoint;
-mod clean;
+mod compact;
 mod error;
 pub mod format;
 mod index;
@@ -19,8 +19,8 @@
 mod recover;
 mod store;
 
-pub use error::{Error, Refusal};
+pub use error::{Corruption, Error};
 pub use format::{Batch, Table};
-pub use plan::{Durability, Options, Work};
-pub use recover::Notes;
-pub use store::{Mark, Stats, Store, Sync};
+pub use plan::{Durability, Options, WriteKind};
+pub use recover::RecoveryReport;
+pub use store::{LogPosition, PendingSync, Stats, Store};
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,6 +1,6 @@
 //! What is decided: what is admitted, when a segment is full, when and how fast the log is compacted.
 
-use crate::format::{HEADER, SEGMENT_MOST};
+use crate::format::{HEADER_LEN, MAX_SEGMENT_LEN};
 use std::ops::RangeInclusive;
 
 /// What outlasts what.
@@ -15,17 +15,17 @@
 
 /// What a write is for. Room is kept for those that must not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Work {
+pub enum WriteKind {
     /// Something new is taken on: refused first.
     New,
     /// What goes on with something that was taken on.
-    Going,
+    Update,
     /// The end of something: room is kept for it.
     End,
     /// What another store held: all that the limit leaves may be used for it.
-    Carried,
+    Import,
     /// What may be lost. It is written with the next write of another kind, or by a flush.
-    Relaxed,
+    Deferred,
 }
 
 /// Each file counts in whole blocks.
@@ -61,25 +61,33 @@
     /// What a new store calls itself: a random number, so that a file of another store is told apart.
     pub id: u64,
     /// What all files together may take.
-    pub limit: u64,
+    pub limit_bytes: u64,
     /// What outlasts what.
     pub durability: Durability,
     /// Bytes that one step of compaction looks through at most.
-    pub step: usize,
+    pub step_bytes: usize,
     /// Kept on the disk for ends, in a file that is given up when the disk is full; 0 for none.
-    pub reserve: u64,
+    pub reserve_bytes: u64,
     /// A checkpoint of the index is written each time that the log has grown by so much; 0 for never. Logs
     /// that are shorter than twice this are read whole at a start.
-    pub checkpoint: u64,
+    pub checkpoint_interval: u64,
     /// The length of a segment, where it is not to follow from the limit.
-    pub segment: Option<u64>,
+    pub segment_len: Option<u64>,
 }
 
 impl Options {
     /// As is usual under this limit.
     pub fn new(id: u64, limit: u64) -> Self {
         let checkpoint = if limit >= CHECKPOINT_FROM { CHECKPOINT } else { 0 };
-        Self { id, limit, durability: Durability::Process, step: STEP, reserve: 0, checkpoint, segment: None }
+        Self {
+            id,
+            limit_bytes: limit,
+            durability: Durability::Process,
+            step_bytes: STEP,
+            reserve_bytes: 0,
+            checkpoint_interval: checkpoint,
+            segment_len: None,
+        }
     }
 }
 
@@ -92,7 +100,7 @@
 
 /// What is known when something is decided.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Room {
+pub struct SpaceUsage {
     /// What all files take, in whole blocks.
     pub used: u64,
     /// The log's bytes.
@@ -116,40 +124,40 @@
 impl Plan {
     /// For these options.
     pub fn new(o: &Options) -> Self {
-        let usual = (o.limit / SEGMENTS).clamp(*SEGMENT.start(), *SEGMENT.end());
-        let segment = o.segment.unwrap_or(usual).clamp(HEADER as u64 + 1, SEGMENT_MOST);
-        Self { limit: o.limit.saturating_sub(SPARE), segment, step: o.step.max(1) }
+        let usual = (o.limit_bytes / SEGMENTS).clamp(*SEGMENT.start(), *SEGMENT.end());
+        let segment = o.segment_len.unwrap_or(usual).clamp(HEADER_LEN as u64 + 1, MAX_SEGMENT_LEN);
+        Self { limit: o.limit_bytes.saturating_sub(SPARE), segment, step: o.step_bytes.max(1) }
     }
 
     /// Whether so many bytes more may be written.
-    pub fn admits(&self, work: Work, add: u64, room: &Room) -> bool {
+    pub fn admits(&self, work: WriteKind, add: u64, room: &SpaceUsage) -> bool {
         // A new segment may have to begin, and each file is rounded up.
         let after = room.used + add + 2 * BLOCK;
         let copies = room.longest.max(self.segment).min(self.limit / 4) + BLOCK;
         let live = (room.live + add + room.ends) as f64;
         match work {
-            Work::New => {
+            WriteKind::New => {
                 let room_for_all = self.limit.saturating_sub(2 * copies) as f64;
                 after + copies + room.ends <= self.limit && live <= room_for_all * LIVE_MOST
             }
-            Work::Going | Work::Relaxed => after + copies + room.ends <= self.limit,
-            Work::End => after + copies <= self.limit,
-            Work::Carried => after <= self.limit,
+            WriteKind::Update | WriteKind::Deferred => after + copies + room.ends <= self.limit,
+            WriteKind::End => after + copies <= self.limit,
+            WriteKind::Import => after <= self.limit,
         }
     }
 
     /// Whether compaction may write so many bytes more: it alone may use the room that is kept for it.
-    pub fn admits_copy(&self, add: u64, room: &Room) -> bool {
+    pub fn admits_copy(&self, add: u64, room: &SpaceUsage) -> bool {
         room.used + add + 2 * BLOCK <= self.limit
     }
 
     /// Whether a segment of this length is to be followed by a new one before so many bytes are added.
     pub fn rolls(&self, len: u64, add: u64) -> bool {
-        len > HEADER as u64 && len + add > self.segment
+        len > HEADER_LEN as u64 && len + add > self.segment
     }
 
     /// Whether compaction has something to do.
-    pub fn due(&self, room: &Room) -> bool {
+    pub fn due(&self, room: &SpaceUsage) -> bool {
         let dead = room.log.saturating_sub(room.live) as f64;
         let many = room.log > DEAD_SEGMENTS * self.segment && dead > room.log as f64 * DEAD;
         many || room.used as f64 > self.limit as f64 * HIGH
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -6,15 +6,18 @@
 //! it was written (`firm`): bad bytes before that point of a later sound frame were safe once, so they are
 //! damage.
 
-use crate::error::Refusal;
-use crate::format::{Flaw, Frame, HEADER, Header, Record, TABLES, name, read_frame, records, salt};
+use crate::error::Corruption;
+use crate::format::{
+    Frame, FrameError, HEADER_LEN, Header, Record, TABLE_COUNT, checksum_seed, read_frame, records,
+    segment_file_name,
+};
 use crate::index::Index;
 use crc32c::crc32c;
 use std::fmt;
 
 /// What was found at a start that an operator wants to know.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Notes {
+pub struct RecoveryReport {
     /// Nothing was there: the store is new.
     pub created: bool,
     /// Bytes of a torn tail that were dropped, and the file.
@@ -29,7 +32,7 @@
     pub keys: usize,
 }
 
-impl fmt::Display for Notes {
+impl fmt::Display for RecoveryReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         if self.created {
             return f.write_str("a new store");
@@ -55,8 +58,8 @@
     pub header: Result<Header, (usize, String, String)>,
 }
 
-fn refuse(number: u32, offset: u64, expected: impl Into<String>, found: impl Into<String>) -> Refusal {
-    Refusal { file: name(number), offset, expected: expected.into(), found: found.into() }
+fn refuse(number: u32, offset: u64, expected: impl Into<String>, found: impl Into<String>) -> Corruption {
+    Corruption { file: segment_file_name(number), offset, expected: expected.into(), found: found.into() }
 }
 
 /// The segments that make up the log, oldest first, and those below a gap, which must have been dropped.
@@ -73,7 +76,7 @@
 /// # Errors
 /// A header that cannot be read or belongs elsewhere, a segment that is missing or shorter than the next
 /// says.
-pub fn order(mut found: Vec<Found>) -> Result<Order, Refusal> {
+pub fn order(mut found: Vec<Found>) -> Result<Order, Corruption> {
     found.sort_by_key(|f| f.number);
     let mut log: Vec<(u32, u64, Header)> = Vec::new();
     for f in &found {
@@ -86,9 +89,9 @@
         }
         log.push((f.number, f.len, header));
     }
-    let Some(store) = log.last().map(|l| l.2.store) else { return Ok(Order { log, below: Vec::new() }) };
-    if let Some(l) = log.iter().find(|l| l.2.store != store) {
-        let found = format!("store {:016x}", l.2.store);
+    let Some(store) = log.last().map(|l| l.2.store_id) else { return Ok(Order { log, below: Vec::new() }) };
+    if let Some(l) = log.iter().find(|l| l.2.store_id != store) {
+        let found = format!("store {:016x}", l.2.store_id);
         return Err(refuse(l.0, 16, format!("store {store:016x}, as the last segment"), found));
     }
     // Names that were removed come back in any order after a loss of power.
@@ -96,9 +99,9 @@
     let below = log.drain(..gap).map(|l| l.0).collect();
     for w in log.windows(2) {
         let ((number, len, _), next) = (w[0], w[1].2);
-        if len < u64::from(next.before_len) {
-            let found = format!("the end of the file (so says {})", name(w[1].0));
-            return Err(refuse(number, len, format!("{} bytes", next.before_len), found));
+        if len < u64::from(next.previous_len) {
+            let found = format!("the end of the file (so says {})", segment_file_name(w[1].0));
+            return Err(refuse(number, len, format!("{} bytes", next.previous_len), found));
         }
     }
     Ok(Order { log, below })
@@ -135,20 +138,25 @@
     ///
     /// # Errors
     /// Bytes that no crash explains.
-    pub fn segment(&mut self, header: &Header, bytes: &[u8], next: Option<&Header>) -> Result<Tail, Refusal> {
+    pub fn segment(
+        &mut self,
+        header: &Header,
+        bytes: &[u8],
+        next: Option<&Header>,
+    ) -> Result<Tail, Corruption> {
         let number = header.number;
-        if let Some(next) = self.next.filter(|n| *n != header.first) {
-            let found = format!("frame {}", header.first);
+        if let Some(next) = self.next.filter(|n| *n != header.first_seq) {
+            let found = format!("frame {}", header.first_seq);
             return Err(refuse(number, 32, format!("frame {next} as the first"), found));
         }
-        self.base = self.base.max(header.base);
-        let until = next.map_or(bytes.len(), |n| (n.before_len as usize).min(bytes.len()));
-        let (mut at, mut seq, salt) = (HEADER, header.first, salt(header.store, number));
+        self.base = self.base.max(header.log_start);
+        let until = next.map_or(bytes.len(), |n| (n.previous_len as usize).min(bytes.len()));
+        let (mut at, mut seq, seed) = (HEADER_LEN, header.first_seq, checksum_seed(header.store_id, number));
         while at < until {
-            let frame = match read_frame(&bytes[at..until], salt) {
+            let frame = match read_frame(&bytes[at..until], seed) {
                 Ok(frame) => frame,
                 Err(flaw) if next.is_some() => return Err(flawed(number, at, seq, flaw)),
-                Err(flaw) => match later(&bytes[at..], salt, at, seq) {
+                Err(flaw) => match later(&bytes[at..], seed, at, seq) {
                     Some((place, later)) => {
                         let mut why = flawed(number, at, seq, flaw);
                         why.found += &format!(", though frame {later} at byte {place} is sound");
@@ -166,9 +174,12 @@
             seq += 1;
         }
         let sum = crc32c(&bytes[..at]);
-        if let Some(next) = next.filter(|n| n.before_sum != sum) {
-            let expected =
-                format!("bytes with checksum {:08x} (so says {})", next.before_sum, name(next.number));
+        if let Some(next) = next.filter(|n| n.previous_checksum != sum) {
+            let expected = format!(
+                "bytes with checksum {:08x} (so says {})",
+                next.previous_checksum,
+                segment_file_name(next.number)
+            );
             return Err(refuse(number, 0, expected, format!("{sum:08x}")));
         }
         self.index.grown(number, bytes.len() as u64);
@@ -177,14 +188,14 @@
         Ok(Tail { len: at as u32, sum, seq })
     }
 
-    fn enter(&mut self, number: u32, at: usize, frame: &Frame<'_>) -> Result<(), Refusal> {
-        let payload = at + crate::format::FRAME;
+    fn enter(&mut self, number: u32, at: usize, frame: &Frame<'_>) -> Result<(), Corruption> {
+        let payload = at + crate::format::FRAME_HEADER_LEN;
         for record in records(frame.payload) {
             let unread = |o: usize| refuse(number, (payload + o) as u64, "a record", "bytes that are none");
             let record = record.map_err(unread)?;
             match record {
-                Record::Base(base) => self.base = self.base.max(base),
-                Record::Put { table, .. } if table.0 >= TABLES => return Err(unread(0)),
+                Record::LogStart(base) => self.base = self.base.max(base),
+                Record::Put { table, .. } if table.0 >= TABLE_COUNT => return Err(unread(0)),
                 _ => {}
             }
             self.index.apply(&record, number, at as u32, payload as u32);
@@ -196,7 +207,7 @@
     ///
     /// # Errors
     /// A segment is missing.
-    pub fn finish(&mut self, oldest: u32, below: &[u32]) -> Result<Vec<u32>, Refusal> {
+    pub fn finish(&mut self, oldest: u32, below: &[u32]) -> Result<Vec<u32>, Corruption> {
         // The first segment of all is number 1.
         let base = self.base.max(1);
         if oldest > base || below.iter().any(|b| *b >= base) {
@@ -213,24 +224,26 @@
     }
 }
 
-fn flawed(number: u32, at: usize, seq: u64, flaw: Flaw) -> Refusal {
+fn flawed(number: u32, at: usize, seq: u64, flaw: FrameError) -> Corruption {
     let found = match flaw {
-        Flaw::Short => "an end within a frame".to_owned(),
-        Flaw::Length(n) => format!("a frame of {n} bytes, which none has"),
-        Flaw::Sum { real, said } => format!("bytes with checksum {real:08x} under a checksum of {said:08x}"),
+        FrameError::Truncated => "an end within a frame".to_owned(),
+        FrameError::InvalidLength(n) => format!("a frame of {n} bytes, which none has"),
+        FrameError::ChecksumMismatch { computed, stored } => {
+            format!("bytes with checksum {computed:08x} under a checksum of {stored:08x}")
+        }
     };
     refuse(number, at as u64, format!("frame {seq}"), found)
 }
 
 /// A sound frame behind a bad place that proves that place to have been safe once: where, and its number.
-fn later(bytes: &[u8], salt: u32, from: usize, seq: u64) -> Option<(usize, u64)> {
+fn later(bytes: &[u8], seed: u32, from: usize, seq: u64) -> Option<(usize, u64)> {
     (1..bytes.len()).find_map(|n| {
         // The number alone tells most places apart; a checksum is only then worth its time.
         let found = crate::format::u64_at(&bytes[n..], 8);
         if found <= seq || found - seq > bytes.len() as u64 {
             return None;
         }
-        let frame = read_frame(&bytes[n..], salt).ok()?;
-        (frame.firm as usize > from).then_some((from + n, frame.seq))
+        let frame = read_frame(&bytes[n..], seed).ok()?;
+        (frame.durable_len as usize > from).then_some((from + n, frame.seq))
     })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,14 +1,14 @@
 //! The shell: carries out on the disk what the format, the index, the plan and recovery say.
 
 use crate::checkpoint::{self, Checkpoint, Writer};
-use crate::error::{Error, Refusal};
+use crate::error::{Corruption, Error};
 use crate::format::{
-    Batch, FRAME, Flaw, Frame, HEADER, Header, Record, Table, frame, frame_len, name, number, read_frame,
-    records, salt, u64_at,
+    Batch, FRAME_HEADER_LEN, Frame, FrameError, HEADER_LEN, Header, Record, Table, checksum_seed, frame,
+    frame_len, read_frame, records, segment_file_name, segment_number, u64_at,
 };
 use crate::index::{Index, Place};
-use crate::plan::{Durability, Options, Plan, Room, Work, blocks};
-use crate::recover::{Found, Notes, Recovery, Tail, order};
+use crate::plan::{Durability, Options, Plan, SpaceUsage, WriteKind, blocks};
+use crate::recover::{Found, Recovery, RecoveryReport, Tail, order};
 use crc32c::crc32c_append;
 use notchpoint_seam::disk::SyncFuture;
 use notchpoint_seam::{Disk, File};
@@ -50,7 +50,7 @@
 
 /// Where a write ends: it is safe once the log is up to there.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Mark {
+pub struct LogPosition {
     segment: u32,
     end: u64,
 }
@@ -59,7 +59,7 @@
 pub(crate) struct Condemned {
     pub(crate) segment: u32,
     pub(crate) len: u64,
-    pub(crate) mark: Mark,
+    pub(crate) mark: LogPosition,
 }
 
 /// How far the oldest segment is looked through.
@@ -69,9 +69,9 @@
 }
 
 /// A sync that is under way: await `done`, and hand it back with what came of it.
-pub struct Sync {
+pub struct PendingSync {
     /// What is to be awaited.
-    pub done: Option<SyncFuture>,
+    pub future: Option<SyncFuture>,
     segment: u32,
     point: Point,
 }
@@ -106,7 +106,7 @@
     pub(crate) cleaner: Option<Cleaner>,
     pub(crate) condemned: Vec<Condemned>,
     /// Damage that compaction met: it goes no further.
-    pub(crate) damaged: Option<Refusal>,
+    pub(crate) damaged: Option<Corruption>,
     /// What other files of the folder take, the reserve and checkpoints included.
     pub(crate) others: u64,
     pub(crate) copied: u64,
@@ -128,8 +128,8 @@
 pub(crate) fn read_found(disk: &dyn Disk) -> io::Result<Vec<Found>> {
     let mut found = Vec::new();
     for (name, len) in disk.list_files()? {
-        if let Some(number) = number(&name) {
-            found.push(Found { number, len, header: Header::read(&disk.read_at(&name, 0, HEADER)?) });
+        if let Some(number) = segment_number(&name) {
+            found.push(Found { number, len, header: Header::decode(&disk.read_at(&name, 0, HEADER_LEN)?) });
         }
     }
     Ok(found)
@@ -140,28 +140,30 @@
     pub(crate) recovery: Recovery,
     pub(crate) last: Option<(Header, Tail, u64)>,
     pub(crate) left: Vec<u32>,
-    pub(crate) notes: Notes,
+    pub(crate) notes: RecoveryReport,
     checkpointed: bool,
 }
 
 /// Reads all that is needed. Nothing is changed.
 pub(crate) fn read(disk: &dyn Disk, options: &Options) -> Result<Read, Error> {
     let order = order(read_found(disk)?)?;
-    let mut notes = Notes { created: order.log.is_empty(), ..Notes::default() };
+    let mut notes = RecoveryReport { created: order.log.is_empty(), ..RecoveryReport::default() };
     let Some((oldest, _, first)) = order.log.first().copied() else {
         let recovery = Recovery::default();
         return Ok(Read { recovery, last: None, left: order.below, notes, checkpointed: false });
     };
-    let checkpoint = disk.read(checkpoint::FILE)?.map(|bytes| checkpoint::read(&bytes, first.store));
+    let checkpoint = disk.read(checkpoint::FILE)?.map(|bytes| checkpoint::read(&bytes, first.store_id));
     let log: u64 = order.log.iter().map(|l| l.1).sum();
-    let long = options.checkpoint > 0 && log >= 2 * options.checkpoint;
+    let long = options.checkpoint_interval > 0 && log >= 2 * options.checkpoint_interval;
     let checkpoint = match checkpoint {
         Some(Ok(c)) => {
             let newest = order.log.last().map_or(0, |l| l.0);
             if c.segment > newest {
                 let (expected, found) = ("this segment, which the index knows", "no such file");
                 let (expected, found) = (expected.into(), found.into());
-                return Err(Refusal { file: name(c.segment), offset: 0, expected, found }.into());
+                return Err(
+                    Corruption { file: segment_file_name(c.segment), offset: 0, expected, found }.into()
+                );
             }
             Some(c).filter(|c| long && c.segment >= oldest)
         }
@@ -180,15 +182,15 @@
         let next = order.log.get(n + 1).map(|l| &l.2);
         if *number < from {
             recovery.index.grown(*number, *len);
-            recovery.index.sealed(*number, next.map_or(0, |h| h.before_len));
+            recovery.index.sealed(*number, next.map_or(0, |h| h.previous_len));
             continue;
         }
-        let bytes = disk.read(&name(*number))?.unwrap_or_default();
+        let bytes = disk.read(&segment_file_name(*number))?.unwrap_or_default();
         let tail = recovery.segment(header, &bytes, next)?;
         notes.read += 1;
         if next.is_none() {
             let torn = bytes.len() as u64 - u64::from(tail.len);
-            notes.torn = (torn > 0).then(|| (name(*number), torn));
+            notes.torn = (torn > 0).then(|| (segment_file_name(*number), torn));
             last = Some((*header, tail, bytes.len() as u64));
         }
     }
@@ -199,9 +201,9 @@
         if from == oldest {
             let (expected, found) = ("no record in force, since it was dropped", "some");
             let (expected, found) = (expected.into(), found.into());
-            return Err(Refusal { file: name(number), offset: 0, expected, found }.into());
+            return Err(Corruption { file: segment_file_name(number), offset: 0, expected, found }.into());
         }
-        let plain = Options { checkpoint: 0, ..options.clone() };
+        let plain = Options { checkpoint_interval: 0, ..options.clone() };
         let mut again = read(disk, &plain)?;
         again.notes.index = Some(format!("{}: it names a segment that was dropped", checkpoint::FILE));
         return Ok(again);
@@ -217,7 +219,7 @@
     /// # Errors
     /// Another process has the folder, it cannot be read or written, or what stands in it is explained by no
     /// crash. Then nothing was changed.
-    pub fn open(disk: Rc<dyn Disk>, options: Options) -> Result<(Self, Notes), Error> {
+    pub fn open(disk: Rc<dyn Disk>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         let lock = disk.lock().map_err(|e| match e.kind() {
             ErrorKind::WouldBlock => {
                 io::Error::new(e.kind(), "another process has this folder (its lock is held)")
@@ -231,12 +233,12 @@
             disk.remove(file)?;
         }
         for number in left {
-            disk.remove(&name(number))?;
+            disk.remove(&segment_file_name(number))?;
             index.dropped(number);
         }
         let (active, seq) = match last {
             Some((header, tail, len)) => {
-                let mut file = disk.append(&name(header.number))?;
+                let mut file = disk.append(&segment_file_name(header.number))?;
                 if len > u64::from(tail.len) {
                     file.set_len(tail.len.into())?;
                 }
@@ -250,14 +252,20 @@
                 (Active { header, file, written, sum, pending, firm }, tail.seq)
             }
             None => {
-                let header =
-                    Header { store: options.id, number: 1, first: 1, base: 1, before_len: 0, before_sum: 0 };
+                let header = Header {
+                    store_id: options.id,
+                    number: 1,
+                    first_seq: 1,
+                    log_start: 1,
+                    previous_len: 0,
+                    previous_checksum: 0,
+                };
                 (create(&*disk, &options, header, &[])?, 1)
             }
         };
         index.grown(active.header.number, active.written);
         let plan = Plan::new(&options);
-        let (base, since) = (base.max(1), if checkpointed { 0 } else { options.checkpoint });
+        let (base, since) = (base.max(1), if checkpointed { 0 } else { options.checkpoint_interval });
         let mut store = Self {
             disk,
             plan,
@@ -287,7 +295,7 @@
             names.iter().find(|f| f.0 == file).map_or(0, |f| blocks(f.1))
         };
         let names = store.disk.list_files()?;
-        store.others = names.iter().filter(|f| number(&f.0).is_none()).map(|f| blocks(f.1)).sum();
+        store.others = names.iter().filter(|f| segment_number(&f.0).is_none()).map(|f| blocks(f.1)).sum();
         store.others -= takes(&names, RESERVE);
         store.checkpoint_len = takes(&names, checkpoint::FILE);
         store.make_reserve();
@@ -295,28 +303,28 @@
     }
 
     /// What the ends of all that is open will take: room is kept for it.
-    pub fn expect_ends(&mut self, bytes: u64) {
+    pub fn set_expected_end_bytes(&mut self, bytes: u64) {
         self.ends = bytes;
     }
 
-    pub(crate) fn room(&self) -> Room {
+    pub(crate) fn room(&self) -> SpaceUsage {
         let (mut log, mut used, mut longest) = (0, self.others, 0);
         for (_, u) in self.index.segments() {
             (log, used, longest) = (log + u.len, used + blocks(u.len), longest.max(u.len));
         }
-        used += blocks(self.options.reserve) * u64::from(self.reserve);
+        used += blocks(self.options.reserve_bytes) * u64::from(self.reserve);
         used += self.checkpoint.as_ref().map_or(0, |c| blocks(c.2));
-        Room { used, log, live: self.index.live(), longest, ends: self.ends }
+        SpaceUsage { used, log, live: self.index.live(), longest, ends: self.ends }
     }
 
     /// Writes a batch: all of it, or after an error nothing. Where its safety is awaited, by
-    /// [`Self::is_firm`].
+    /// [`Self::is_durable`].
     ///
     /// # Errors
     /// There is no room, or the disk cannot be written. The next call tries anew.
-    pub fn apply(&mut self, batch: &Batch, work: Work) -> Result<Mark, Error> {
+    pub fn apply(&mut self, batch: &Batch, work: WriteKind) -> Result<LogPosition, Error> {
         if batch.is_empty() {
-            return Ok(self.mark());
+            return Ok(self.log_end());
         }
         if !batch.fits() {
             return Err(Error::TooLong);
@@ -333,17 +341,17 @@
         if self.step_checkpoint(add).is_err() {
             self.give_up_checkpoint();
         }
-        if !self.reserve && work == Work::New {
+        if !self.reserve && work == WriteKind::New {
             self.make_reserve();
         }
         Ok(mark)
     }
 
-    fn make_room(&mut self, add: u64, work: Work) -> Result<(), Error> {
+    fn make_room(&mut self, add: u64, work: WriteKind) -> Result<(), Error> {
         let mut steps = 0;
         while !self.plan.admits(work, add, &self.room()) {
             steps += 1;
-            let enough = work == Work::New && steps > STEPS_FOR_NEW;
+            let enough = work == WriteKind::New && steps > STEPS_FOR_NEW;
             if enough || !self.clean(self.plan.step())? {
                 return Err(Error::Full);
             }
@@ -352,7 +360,7 @@
     }
 
     /// Writes a batch behind all others, in a new segment if the present one is full.
-    pub(crate) fn place(&mut self, batch: &Batch, work: Work) -> Result<Mark, Error> {
+    pub(crate) fn place(&mut self, batch: &Batch, work: WriteKind) -> Result<LogPosition, Error> {
         self.heal()?;
         if self.must_roll || self.plan.rolls(self.active.len(), batch.len() as u64) {
             self.roll()?;
@@ -363,30 +371,30 @@
             Durability::Process => at,
             Durability::Power => a.firm.len as u32,
         };
-        let bytes = batch.frame(salt(a.header.store, number), self.seq, firm);
+        let bytes = batch.frame(checksum_seed(a.header.store_id, number), self.seq, firm);
         let before = a.pending.len();
         a.pending.extend(&bytes);
-        let later = work == Work::Relaxed && a.pending.len() <= RELAXED_MOST;
+        let later = work == WriteKind::Deferred && a.pending.len() <= RELAXED_MOST;
         if !later && let Err(e) = self.write(work) {
             self.active.pending.truncate(before);
             return Err(e.into());
         }
-        self.enter(&bytes[FRAME..], at);
-        Ok(self.mark())
+        self.enter(&bytes[FRAME_HEADER_LEN..], at);
+        Ok(self.log_end())
     }
 
     /// Enters the records of a frame that stands there, which is known to be sound.
     fn enter(&mut self, payload: &[u8], at: u32) {
         let number = self.active.header.number;
         for record in records(payload).flatten() {
-            self.index.apply(&record, number, at, at + FRAME as u32);
+            self.index.apply(&record, number, at, at + FRAME_HEADER_LEN as u32);
         }
         self.seq += 1;
         self.index.grown(number, self.active.len());
     }
 
     /// Writes what is pending.
-    fn write(&mut self, work: Work) -> io::Result<()> {
+    fn write(&mut self, work: WriteKind) -> io::Result<()> {
         let a = &mut self.active;
         if a.pending.is_empty() {
             return Ok(());
@@ -405,7 +413,7 @@
                 return Err(e);
             }
             let full = matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
-            if !(full && work == Work::End && self.reserve) || self.disk.remove(RESERVE).is_err() {
+            if !(full && work == WriteKind::End && self.reserve) || self.disk.remove(RESERVE).is_err() {
                 return Err(e);
             }
             (self.reserve, self.reserve_again) = (false, RESERVE_AGAIN);
@@ -422,11 +430,11 @@
     /// It cannot be written, and is kept.
     pub fn flush(&mut self) -> Result<(), Error> {
         self.heal()?;
-        Ok(self.write(Work::Relaxed)?)
+        Ok(self.write(WriteKind::Deferred)?)
     }
 
     fn roll(&mut self) -> Result<(), Error> {
-        self.write(Work::Going)?;
+        self.write(WriteKind::Update)?;
         if self.options.durability == Durability::Power && self.active.firm.len < self.active.written {
             // The next header says that this segment is whole.
             if let Err(e) = self.active.file.sync() {
@@ -448,10 +456,10 @@
         let old = self.active.header;
         Header {
             number: old.number + 1,
-            first: end.seq,
-            base: self.base,
-            before_len: end.len as u32,
-            before_sum: end.sum,
+            first_seq: end.seq,
+            log_start: self.base,
+            previous_len: end.len as u32,
+            previous_checksum: end.sum,
             ..old
         }
     }
@@ -470,16 +478,16 @@
         let Some(trusted) = self.trouble else { return Ok(()) };
         let a = &self.active;
         let (number, span) = (a.header.number, a.written.saturating_sub(trusted.len) as usize);
-        let mut again = self.disk.read_at(&name(number), trusted.len, span)?;
+        let mut again = self.disk.read_at(&segment_file_name(number), trusted.len, span)?;
         if again.len() != span {
             return Err(io::Error::from(ErrorKind::UnexpectedEof).into());
         }
         again.extend(&a.pending);
-        let salt = salt(a.header.store, number);
+        let seed = checksum_seed(a.header.store_id, number);
         let mut frames = Vec::new();
         let mut rest = &again[..];
         while !rest.is_empty() {
-            let frame = read_frame(rest, salt).map_err(|flaw| unsound(number, trusted.len, flaw))?;
+            let frame = read_frame(rest, seed).map_err(|flaw| unsound(number, trusted.len, flaw))?;
             rest = &rest[frame.len()..];
             frames.push(frame);
         }
@@ -488,7 +496,7 @@
         let fresh = create(&*self.disk, &self.options, header, &frames)?;
         self.seq = trusted.seq;
         self.succeed(fresh, trusted);
-        let mut at = HEADER as u32;
+        let mut at = HEADER_LEN as u32;
         for f in &frames {
             self.enter(f.payload, at);
             at += f.len() as u32;
@@ -498,12 +506,12 @@
     }
 
     /// The end of all that was handed in.
-    pub fn mark(&self) -> Mark {
-        Mark { segment: self.active.header.number, end: self.active.len() }
+    pub fn log_end(&self) -> LogPosition {
+        LogPosition { segment: self.active.header.number, end: self.active.len() }
     }
 
     /// Whether all up to there outlasts what the store's durability says.
-    pub fn is_firm(&self, mark: &Mark) -> bool {
+    pub fn is_durable(&self, mark: &LogPosition) -> bool {
         match self.options.durability {
             Durability::Process => true,
             Durability::Power => {
@@ -517,22 +525,22 @@
     ///
     /// # Errors
     /// What was kept back cannot be written.
-    pub fn sync_begin(&mut self) -> Result<Option<Sync>, Error> {
+    pub fn begin_sync(&mut self) -> Result<Option<PendingSync>, Error> {
         self.heal()?;
-        self.write(Work::Going)?;
+        self.write(WriteKind::Update)?;
         let a = &self.active;
         if self.options.durability == Durability::Process || a.firm.len == a.written {
             return Ok(None);
         }
         let point = Point { len: a.written, sum: a.sum, seq: self.seq };
-        Ok(Some(Sync { done: Some(a.file.sync_in_background()), segment: a.header.number, point }))
+        Ok(Some(PendingSync { future: Some(a.file.sync_in_background()), segment: a.header.number, point }))
     }
 
     /// Takes in how a sync ended. After one that failed what it was for is written again elsewhere.
     ///
     /// # Errors
     /// That failed as well; the next call tries anew, and nothing is firm until then.
-    pub fn sync_end(&mut self, sync: &Sync, result: io::Result<()>) -> Result<(), Error> {
+    pub fn finish_sync(&mut self, sync: &PendingSync, result: io::Result<()>) -> Result<(), Error> {
         if sync.segment == self.active.header.number {
             match result {
                 Ok(()) if self.trouble.is_none() => {
@@ -554,9 +562,9 @@
     /// # Errors
     /// It cannot be written or synced.
     pub fn sync_now(&mut self) -> Result<(), Error> {
-        if let Some(sync) = self.sync_begin()? {
+        if let Some(sync) = self.begin_sync()? {
             let done = self.active.file.sync();
-            self.sync_end(&sync, done)?;
+            self.finish_sync(&sync, done)?;
         }
         Ok(())
     }
@@ -570,7 +578,7 @@
     }
 
     fn value(&self, p: Place) -> Result<Vec<u8>, Error> {
-        let file = name(p.segment);
+        let file = segment_file_name(p.segment);
         let a = &self.active;
         let own = p.segment == a.header.number && u64::from(p.frame) >= a.written;
         let bytes = if own {
@@ -584,15 +592,15 @@
                 None => bytes,
             }
         };
-        let frame = read_frame(&bytes, salt(a.header.store, p.segment));
+        let frame = read_frame(&bytes, checksum_seed(a.header.store_id, p.segment));
         let frame = frame.map_err(|flaw| unsound(p.segment, p.frame.into(), flaw))?;
-        let from = (p.at - p.frame) as usize - FRAME;
+        let from = (p.at - p.frame) as usize - FRAME_HEADER_LEN;
         let value = frame.payload.get(from..from + p.len as usize);
-        value.map(<[u8]>::to_vec).ok_or_else(|| unsound(p.segment, p.at.into(), Flaw::Short).into())
+        value.map(<[u8]>::to_vec).ok_or_else(|| unsound(p.segment, p.at.into(), FrameError::Truncated).into())
     }
 
     /// Whether a key is there.
-    pub fn has(&self, table: Table, key: &[u8]) -> bool {
+    pub fn contains_key(&self, table: Table, key: &[u8]) -> bool {
         self.index.get(table, key).is_some()
     }
 
@@ -607,24 +615,24 @@
     /// It cannot be read, or is not what was written.
     pub fn visit(&self, mut each: impl FnMut(Table, &[u8], &[u8])) -> Result<(), Error> {
         for (number, usage) in self.index.segments() {
-            let mut bytes = self.disk.read(&name(number))?.unwrap_or_default();
+            let mut bytes = self.disk.read(&segment_file_name(number))?.unwrap_or_default();
             let active = number == self.active.header.number;
             let until = if active { self.active.written } else { usage.until.into() };
             if (bytes.len() as u64) < until {
-                return Err(unsound(number, bytes.len() as u64, Flaw::Short).into());
+                return Err(unsound(number, bytes.len() as u64, FrameError::Truncated).into());
             }
             bytes.truncate(until as usize);
             if active {
                 bytes.extend(&self.active.pending);
             }
-            let (mut at, salt) = (HEADER, salt(self.active.header.store, number));
+            let (mut at, seed) = (HEADER_LEN, checksum_seed(self.active.header.store_id, number));
             while at < bytes.len() {
                 let frame =
-                    read_frame(&bytes[at..], salt).map_err(|flaw| unsound(number, at as u64, flaw))?;
+                    read_frame(&bytes[at..], seed).map_err(|flaw| unsound(number, at as u64, flaw))?;
                 for record in records(frame.payload).flatten() {
-                    let Record::Put { table, key, value, at: v } = record else { continue };
+                    let Record::Put { table, key, value, value_offset: v } = record else { continue };
                     let there = self.index.get(table, key);
-                    let here = (number, at as u32, (at + FRAME + v) as u32);
+                    let here = (number, at as u32, (at + FRAME_HEADER_LEN + v) as u32);
                     if there.is_some_and(|p| (p.segment, p.frame, p.at) == here) {
                         each(table, key, value);
                     }
@@ -639,7 +647,7 @@
     ///
     /// # Errors
     /// The disk cannot be read or written; nothing is lost.
-    pub fn step(&mut self) -> Result<bool, Error> {
+    pub fn compact_step(&mut self) -> Result<bool, Error> {
         self.heal()?;
         if !self.plan.due(&self.room()) && self.cleaner.is_none() {
             return Ok(false);
@@ -662,17 +670,17 @@
     }
 
     /// The place that compaction could not read, if it met one: nothing was lost by that, and room runs out.
-    pub fn damage(&self) -> Option<&Refusal> {
+    pub fn compaction_error(&self) -> Option<&Corruption> {
         self.damaged.as_ref()
     }
 
     fn step_checkpoint(&mut self, add: u64) -> Result<(), Error> {
-        if self.options.checkpoint == 0 {
+        if self.options.checkpoint_interval == 0 {
             return Ok(());
         }
         self.since_checkpoint += add;
         if self.checkpoint.is_none() {
-            if self.since_checkpoint < self.options.checkpoint {
+            if self.since_checkpoint < self.options.checkpoint_interval {
                 return Ok(());
             }
             self.since_checkpoint = 0;
@@ -697,7 +705,7 @@
             return Ok(());
         }
         // It names places up to the log's end: they must be no less lasting than it is.
-        self.write(Work::Going)?;
+        self.write(WriteKind::Update)?;
         if self.options.durability == Durability::Power {
             self.sync_now()?;
             file.sync()?;
@@ -715,15 +723,15 @@
     }
 
     fn make_reserve(&mut self) {
-        if self.options.reserve == 0 || self.reserve {
+        if self.options.reserve_bytes == 0 || self.reserve {
             return;
         }
         self.reserve_again = self.reserve_again.saturating_sub(1);
-        let room = Room { used: self.room().used + blocks(self.options.reserve), ..self.room() };
-        if self.reserve_again > 0 || !self.plan.admits(Work::New, 0, &room) {
+        let room = SpaceUsage { used: self.room().used + blocks(self.options.reserve_bytes), ..self.room() };
+        if self.reserve_again > 0 || !self.plan.admits(WriteKind::New, 0, &room) {
             return;
         }
-        let bytes = vec![0; self.options.reserve as usize];
+        let bytes = vec![0; self.options.reserve_bytes as usize];
         let made = self.disk.remove(RESERVE).and_then(|()| self.disk.append(RESERVE)?.write_all(&bytes));
         self.reserve = made.is_ok();
         if made.is_err() {
@@ -740,21 +748,26 @@
     }
 }
 
-pub(crate) fn unsound(number: u32, offset: u64, flaw: Flaw) -> Refusal {
-    Refusal { file: name(number), offset, expected: "a sound frame".into(), found: format!("{flaw:?}") }
+pub(crate) fn unsound(number: u32, offset: u64, flaw: FrameError) -> Corruption {
+    Corruption {
+        file: segment_file_name(number),
+        offset,
+        expected: "a sound frame".into(),
+        found: format!("{flaw:?}"),
+    }
 }
 
 /// Makes a segment. It gets its name when its header and these frames stand in it whole, so that a crash
 /// leaves no segment without them.
 fn create(disk: &dyn Disk, options: &Options, header: Header, frames: &[Frame<'_>]) -> Result<Active, Error> {
-    let mut bytes = header.write().to_vec();
+    let mut bytes = header.encode().to_vec();
     for (n, f) in frames.iter().enumerate() {
         let firm = if options.durability == Durability::Process { bytes.len() as u32 } else { 0 };
         bytes.extend(frame(
             f.payload,
             f.count,
-            salt(header.store, header.number),
-            header.first + n as u64,
+            checksum_seed(header.store_id, header.number),
+            header.first_seq + n as u64,
             firm,
         ));
     }
@@ -765,7 +778,7 @@
         if options.durability == Durability::Power {
             file.sync()?;
         }
-        disk.rename(NEW, &name(header.number))?;
+        disk.rename(NEW, &segment_file_name(header.number))?;
         if options.durability == Durability::Power {
             disk.sync_directory()?;
         }
@@ -776,6 +789,6 @@
         let _ = disk.remove(NEW);
     })?;
     let sum = crc32c_append(0, &bytes);
-    let (len, seq) = (bytes.len() as u64, header.first + frames.len() as u64);
+    let (len, seq) = (bytes.len() as u64, header.first_seq + frames.len() as u64);
     Ok(Active { header, file, written: len, sum, pending: Vec::new(), firm: Point { len, sum, seq } })
 }
--- a/crates/store/tests/bytes.rs
+++ b/crates/store/tests/bytes.rs
@@ -20,7 +20,7 @@
 enum Came {
     /// To the last state, or to this earlier one.
     State(usize),
-    Refused(notchpoint_store::Refusal),
+    Corrupt(notchpoint_store::Corruption),
 }
 
 fn open(files: &BTreeMap<String, Vec<u8>>, maps: &[Map]) -> Came {
@@ -30,12 +30,12 @@
             // What a checkpoint covers is not read at the start, but found out when it is.
             let found = match map(&store) {
                 Ok(found) => found,
-                Err(Error::Refused(why)) => return Came::Refused(why),
+                Err(Error::Corrupt(why)) => return Came::Corrupt(why),
                 Err(e) => panic!("{e}"),
             };
             Came::State(maps.iter().rposition(|m| *m == found).expect("a state that was"))
         }
-        Err(Error::Refused(why)) => Came::Refused(why),
+        Err(Error::Corrupt(why)) => Came::Corrupt(why),
         Err(e) => panic!("{e}"),
     }
 }
@@ -54,7 +54,7 @@
                     assert!(n + 1 == maps.len() || *name == last, "{name} cut at {len}: state {n}")
                 }
                 // A cut that takes the record of a dropped segment away leaves that one missing.
-                Came::Refused(why) => {
+                Came::Corrupt(why) => {
                     assert!(why.file.ends_with(".log") && name != "index", "{name} cut at {len}: {why}")
                 }
             }
@@ -83,7 +83,7 @@
                     );
                     tail += 1;
                 }
-                Came::Refused(why) => {
+                Came::Corrupt(why) => {
                     assert!(segments.contains(&&why.file), "{name}, byte {at}: {why}");
                     refused += 1;
                 }
@@ -98,7 +98,7 @@
     let (files, maps) = store();
     let segments: Vec<String> = files.keys().filter(|f| f.ends_with(".log")).cloned().collect();
     let refused = |files: &BTreeMap<String, Vec<u8>>| match open(files, &maps) {
-        Came::Refused(why) => why.to_string(),
+        Came::Corrupt(why) => why.to_string(),
         Came::State(n) => panic!("state {n}"),
     };
     for name in &segments[..segments.len() - 1] {
@@ -145,7 +145,7 @@
         let sum = crc32c::crc32c(&b[..60]);
         b[60..64].copy_from_slice(&sum.to_le_bytes());
     });
-    let Came::Refused(why) = open(&files, &maps) else { panic!("opened") };
+    let Came::Corrupt(why) = open(&files, &maps) else { panic!("opened") };
     assert_eq!((&why.expected[..], &why.found[..]), ("version 1 or older", "version 2"));
 }
 
@@ -171,11 +171,12 @@
     let set = options(Durability::Process);
     let saved =
         inspect::salvage(&Hands(from), Rc::new(Hands(to.clone())), set, |_, _, _, _| {}).expect("saved");
-    assert!(saved.lost.len() == 1 && saved.missing.len() == 1 && !saved.doubtful.is_empty());
+    assert!(saved.unreadable.len() == 1 && saved.missing_frames.len() == 1 && !saved.uncertain.is_empty());
     let (store, _) = Store::open(Rc::new(Hands(to)), options(Durability::Process)).expect("sound");
     let (found, whole) = (map(&store).expect("read"), maps.last().expect("a state"));
     assert!(
-        found.len() as u64 == saved.keys && whole.iter().filter(|e| found.get(e.0) == Some(e.1)).count() > 10
+        found.len() as u64 == saved.key_count
+            && whole.iter().filter(|e| found.get(e.0) == Some(e.1)).count() > 10
     );
     // Never in place, nor over another store.
     let full = Sim::with(&files, 1);
--- a/crates/store/tests/crash.rs
+++ b/crates/store/tests/crash.rs
@@ -80,7 +80,7 @@
 
 #[test]
 fn the_folder_is_never_over_its_limit() {
-    let limit = options(Durability::Process).limit;
+    let limit = options(Durability::Process).limit_bytes;
     for seed in 0..40 {
         let sim = Sim::new(seed, None);
         let played = play(&sim, Durability::Process, seed, 600);
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -3,7 +3,7 @@
 #![allow(dead_code)]
 
 use notchpoint_seam::{Disk, File};
-use notchpoint_store::{Batch, Durability, Error, Mark, Options, Store, Table, Work};
+use notchpoint_store::{Batch, Durability, Error, LogPosition, Options, Store, Table, WriteKind};
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::any::Any;
@@ -305,8 +305,14 @@
 
 /// The options of a script: small segments, so that a short run rolls, compacts and checkpoints often.
 pub fn options(durability: Durability) -> Options {
-    let segment = Some(2_500);
-    Options { segment, durability, step: 700, checkpoint: 6_000, ..Options::new(77, 64_000 + (16 << 10)) }
+    let segment_len = Some(2_500);
+    Options {
+        segment_len,
+        durability,
+        step_bytes: 700,
+        checkpoint_interval: 6_000,
+        ..Options::new(77, 64_000 + (16 << 10))
+    }
 }
 
 /// What came of a script.
@@ -384,24 +390,24 @@
 /// Goes on with a script on an open store.
 pub fn go_on(store: &mut Store, sim: &Rc<Sim>, played: &mut Played, seed: u64, batches: usize) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let mut marks: Vec<(usize, Mark)> = Vec::new();
+    let mut marks: Vec<(usize, LogPosition)> = Vec::new();
     for n in 0..batches {
         let (mut next, mut batch) = (played.maps.last().cloned().unwrap_or_default(), Batch::default());
         for _ in 0..random.random_range(1..4) {
             change(&mut next, &mut batch, &mut random);
         }
         let work = match random.random_range(0..8) {
-            0 => Work::Relaxed,
-            1 | 2 => Work::New,
-            3 | 4 => Work::End,
-            _ => Work::Going,
+            0 => WriteKind::Deferred,
+            1 | 2 => WriteKind::New,
+            3 | 4 => WriteKind::End,
+            _ => WriteKind::Update,
         };
         match store.apply(&batch, work) {
             Ok(mark) => {
                 played.maybe = None;
                 played.maps.push(next);
                 // What may be lost is promised with the next write of another kind.
-                if work != Work::Relaxed {
+                if work != WriteKind::Deferred {
                     played.written = played.maps.len() - 1;
                     marks.push((played.maps.len() - 1, mark));
                 }
@@ -420,19 +426,19 @@
             }
         }
         if n % 5 == 4
-            && let Ok(sync) = store.sync_begin()
+            && let Ok(sync) = store.begin_sync()
         {
             played.written = played.maps.len() - 1;
             if let Some(mut sync) = sync {
-                let done = futures_ready(sync.done.take().expect("a sync"));
-                let _ = store.sync_end(&sync, done);
+                let done = futures_ready(sync.future.take().expect("a sync"));
+                let _ = store.finish_sync(&sync, done);
             }
         }
         if sim.is_dead() {
             break;
         }
         for (n, mark) in &marks {
-            if store.is_firm(mark) {
+            if store.is_durable(mark) {
                 played.promised = played.promised.max(*n);
             }
         }
