--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -56,6 +56,7 @@
     pub disk_bytes: u64,
     /// The endpoint list as it was when the configuration was written.
     pub initial_list: EndpointList,
+    /// The settings of the decision module.
     pub settings: Settings,
     pub names: Names,
 }
--- a/crates/daemon/src/settings/descriptors.rs
+++ b/crates/daemon/src/settings/descriptors.rs
@@ -4,13 +4,13 @@
 
 /// Descriptors of the process itself: standard streams, the event loop, signals, listening sockets, datagram
 /// sockets, the files and the lock of the store, and a recording that is being written.
-const OWN: usize = 24;
+const OWN_DESCRIPTORS: usize = 24;
 /// A watch of the endpoint list, and the one that replaces it.
-const WATCHES: usize = 2;
+const WATCH_CONNECTIONS: usize = 2;
 /// Connections that post notices, and the one that is kept alive.
 const NOTICE_CONNECTIONS: usize = 7;
 /// The socket for hand-overs, and the connection of one.
-const HAND_OVER: usize = 2;
+const HAND_OVER_DESCRIPTORS: usize = 2;
 /// The maximum number of connections of operators and their tools. It is further limited to one in
 /// [`OPERATOR_DIVISOR`] of all descriptors.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 24;
@@ -40,7 +40,14 @@
     /// store have descriptors of their own.
     fn split(all: usize, slots: usize) -> Self {
         let operators = MAX_OPERATOR_CONNECTIONS.min(all / OPERATOR_DIVISOR).max(1);
-        let left = all.saturating_sub(OWN + WATCHES + NOTICE_CONNECTIONS + HAND_OVER + operators + slots);
+        let left = all.saturating_sub(
+            OWN_DESCRIPTORS
+                + WATCH_CONNECTIONS
+                + NOTICE_CONNECTIONS
+                + HAND_OVER_DESCRIPTORS
+                + operators
+                + slots,
+        );
         let clients = (all / 2).min(left * 2 / 3).max(1);
         let idle = (all / 4).min(left.saturating_sub(clients));
         Self {
@@ -56,7 +63,7 @@
         let Self {
             client_connections: clients, idle_connections: idle, operator_connections: operators, ..
         } = self;
-        let own = OWN + WATCHES + NOTICE_CONNECTIONS + HAND_OVER;
+        let own = OWN_DESCRIPTORS + WATCH_CONNECTIONS + NOTICE_CONNECTIONS + HAND_OVER_DESCRIPTORS;
         format!(
             "limits.sockets {}: {clients} for clients' connections, {} for calls, {idle} for idle \
              connections to endpoints, {operators} for operators, {own} for the process itself",
@@ -67,10 +74,10 @@
     /// Returns a warning if a part has too few descriptors.
     pub fn warning(&self, config: &Config) -> Option<String> {
         if !self.is_sufficient {
-            return Some("too few for all parts to work".into());
+            return Some("limits.sockets is too small for all parts of the sender".into());
         }
         let has_few = self.client_connections * MIN_CLIENT_DIVISOR < config.max_descriptors;
-        has_few.then(|| "calls (familyInfo.slots) leave clients few places".into())
+        has_few.then(|| "calls (familyInfo.slots) leave clients few connections".into())
     }
 }
 
--- a/crates/daemon/src/settings/descriptors/tests.rs
+++ b/crates/daemon/src/settings/descriptors/tests.rs
@@ -5,10 +5,10 @@
     for all in 40..5_000 {
         for slots in [1, 3, 7, 24] {
             let budget = DescriptorBudget::split(all, slots);
-            let sum = OWN
-                + WATCHES
+            let sum = OWN_DESCRIPTORS
+                + WATCH_CONNECTIONS
                 + NOTICE_CONNECTIONS
-                + HAND_OVER
+                + HAND_OVER_DESCRIPTORS
                 + slots
                 + budget.operator_connections
                 + budget.idle_connections
@@ -36,7 +36,7 @@
     let mut config = crate::settings::config::read(text).expect("a valid configuration");
     (config.max_descriptors, config.settings.slots) = (256, 200);
     let budget = DescriptorBudget::new(&config);
-    assert!(budget.warning(&config).is_some_and(|warning| warning.contains("few places")));
+    assert!(budget.warning(&config).is_some_and(|warning| warning.contains("few connections")));
     let description = budget.describe(&config);
     for part in ["256: 3 for clients", "200 for calls", "16 for operators", "35 for the process"] {
         assert!(description.contains(part), "{part}: {description}");
--- a/crates/daemon/src/settings/operator.rs
+++ b/crates/daemon/src/settings/operator.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Replication of the messages that this sender holds to other senders.
+/// The settings for replicating the messages that this sender holds to other senders.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct CopiesSettings {
@@ -185,7 +185,7 @@
     }
 }
 
-/// Detection of failing zones by the senders of the fleet, and evacuation of such zones.
+/// The settings for the detection of failing zones by the senders of the fleet, and for their evacuation.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct ZoneSettings {
@@ -320,7 +320,7 @@
     }
 }
 
-/// The store of accepted messages, in the state folder.
+/// The settings of the store of accepted messages, in the state folder.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct StoreSettings {
@@ -368,7 +368,7 @@
     }
 }
 
-/// The program's log, on standard output.
+/// The settings of the log, which the program writes to standard output.
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq)]
 #[serde(deny_unknown_fields, default)]
 pub struct LogSettings {
@@ -386,7 +386,7 @@
     Json,
 }
 
-/// The flight recorder.
+/// The settings of the flight recorder.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct RecorderSettings {
@@ -397,6 +397,7 @@
     pub limit_mb: f64,
 }
 
+/// Where a recording is kept.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum RecorderStore {
