--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -103,8 +103,8 @@
         self.failures > 0 || !matches!(self.breaker, Breaker::Closed) || self.latency.is_slow(SLOW_FACTOR)
     }
 
-    fn record_served(&mut self, now: Micros, took: Micros, low: bool, limit: f64, probe_rate: f64) {
-        self.latency.observe(took);
+    fn record_served(&mut self, now: Micros, latency: Micros, low: bool, limit: f64, probe_rate: f64) {
+        self.latency.observe(latency);
         if !low && self.last_cut.is_none_or(|t| now >= t + CUT_COOLDOWN) {
             self.window = (self.window + WINDOW_STEP).min(limit.max(MIN_WINDOW));
         }
@@ -206,8 +206,8 @@
         }
         for route in self.apply_list(update) {
             let credit = self.rng.f64();
-            let fresh = || Route { window: MIN_WINDOW, pace: 1.0, credit, ..Route::default() };
-            self.routes.entry(route).or_insert_with(fresh);
+            let new_route = || Route { window: MIN_WINDOW, pace: 1.0, credit, ..Route::default() };
+            self.routes.entry(route).or_insert_with(new_route);
         }
         self.forget_unlisted(FORGET_AFTER);
         let dests = &self.dests;
@@ -286,17 +286,17 @@
     /// Refuses the message with the least worth per time that it would be held. This keeps a rush to one
     /// destination, or failed destinations, from displacing other messages; it errs if the wait is misjudged.
     fn shed(&mut self) -> bool {
-        let mut victim: Option<(f64, MessageId)> = None;
+        let mut least: Option<(f64, MessageId)> = None;
         for (dest, d) in self.waiting() {
             let wait = self.expected_wait(dest, d);
             for &id in d.queue.iter().filter(|id| self.permitted(&self.held[id]).1) {
                 let worth = self.held[&id].worth_at(&self.settings, self.now + wait) / wait as f64;
-                if victim.is_none_or(|v| worth <= v.0) {
-                    victim = Some((worth, id));
+                if least.is_none_or(|v| worth <= v.0) {
+                    least = Some((worth, id));
                 }
             }
         }
-        let Some((_, id)) = victim else { return false };
+        let Some((_, id)) = least else { return false };
         self.actions.push(Action::Refuse { id, retry_after: SEC.min(self.settings.max_retry_after) });
         self.finish(id);
         true
@@ -430,17 +430,17 @@
                 r.accrue_credit(&self.settings, self.now, 0.0, rate);
             }
         }
-        let mut barred: Vec<EndpointId> = Vec::new();
+        let mut excluded: Vec<EndpointId> = Vec::new();
         while self.calls.len() < self.settings.slots as usize {
             let mut best: Option<(f64, EndpointId, MessageId)> = None;
             for (id, d) in self.waiting() {
-                let candidate = self.best_candidate(id, d, &barred);
+                let candidate = self.best_candidate(id, d, &excluded);
                 if candidate.is_some_and(|f| best.is_none_or(|b| f.0 > b.0)) {
                     best = candidate;
                 }
             }
             let Some((_, endpoint, id)) = best else { return };
-            self.send_call(endpoint, id, &mut barred);
+            self.send_call(endpoint, id, &mut excluded);
         }
     }
 
@@ -448,7 +448,7 @@
         &self,
         dest: DestinationId,
         d: &Dest,
-        barred: &[EndpointId],
+        excluded: &[EndpointId],
     ) -> Option<(f64, EndpointId, MessageId)> {
         // The best call has the most priority per time in a slot: many messages, or a fast route.
         if self.share_hold(dest).is_some() {
@@ -458,7 +458,7 @@
         let mut ranks: Vec<(bool, bool, Micros, u32, bool, bool, EndpointId)> = Vec::new();
         for &id in &d.endpoints {
             let e = &self.endpoints[&id];
-            if barred.contains(&id) || self.endpoint_hold(id).is_some() {
+            if excluded.contains(&id) || self.endpoint_hold(id).is_some() {
                 continue;
             }
             let Some(r) = self.routes.get(&(dest, d.per_endpoint.then_some(id))) else { continue };
@@ -503,14 +503,14 @@
         self.priority(y, wait).total_cmp(&self.priority(x, wait)).then(x.due.cmp(&y.due)).then(a.cmp(b))
     }
 
-    fn send_call(&mut self, endpoint: EndpointId, id: MessageId, barred: &mut Vec<EndpointId>) {
+    fn send_call(&mut self, endpoint: EndpointId, id: MessageId, excluded: &mut Vec<EndpointId>) {
         let dest = self.endpoints[&endpoint].dest;
         let d = &self.dests[&dest];
         let route_id = (dest, d.per_endpoint.then_some(endpoint));
         let probe = self.is_probe(endpoint);
         let mut bundle = vec![id];
         if d.max_bundle > 1 {
-            barred.push(endpoint);
+            excluded.push(endpoint);
             let wait = self.expected_wait(dest, d);
             let in_backoff =
                 |q: &MessageId| self.endpoints[&endpoint].backoffs.contains_key(&Some(self.held[q].class));
--- a/crates/policy/src/choice/slots.rs
+++ b/crates/policy/src/choice/slots.rs
@@ -116,13 +116,13 @@
         let mut ranked: Vec<(f64, Vec<MessageId>)> = Vec::new();
         for (dest, d) in self.waiting() {
             let (share, rate) = (self.share_room(dest), d.arrival_rate(self.now));
-            let (mut room, mut seen, mut queue) = (0, BTreeSet::new(), BTreeSet::new());
+            let (mut room, mut counted, mut queue) = (0, BTreeSet::new(), BTreeSet::new());
             for &e in d.endpoints.iter().filter(|e| self.endpoint_hold(**e).is_none()) {
                 let route = (dest, d.per_endpoint.then_some(e));
                 let Some(r) = self.routes.get(&route) else { continue };
                 let Ok(probe) = self.check_route(r, rate) else { continue };
                 queue.extend(d.queue.iter().filter(|q| self.is_sendable(**q, e)).take(MAX_CONSIDERED));
-                if seen.insert(route) {
+                if counted.insert(route) {
                     room += if probe { 1 } else { r.free_window() };
                     total += r.latency.mean(CALL_TIME);
                     routes += 1.0;
--- a/crates/policy/src/choice/tests.rs
+++ b/crates/policy/src/choice/tests.rs
@@ -57,11 +57,11 @@
         let id = MessageId(n);
         let message =
             Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in: SEC };
-        let gone = ListEntry { phase: Phase::Gone, ..entry.clone() };
+        let removed = ListEntry { phase: Phase::Gone, ..entry.clone() };
         let list = |e| Event::List(ListUpdate::Changes(vec![e]));
         sender.handle(now, &[list(entry), Event::Taken(message)], &mut out);
         let ended = Event::Ended { id, attempt: 0, outcome: Served, is_final: true, allowance: None };
-        sender.handle(now + MS, &[ended, list(gone)], &mut out);
+        sender.handle(now + MS, &[ended, list(removed)], &mut out);
     }
     assert_eq!(out.iter().filter(|a| matches!(a, Action::Send { .. })).count(), 200);
     let limit = (FORGET_AFTER / SEC) as usize + 2;
@@ -141,9 +141,9 @@
     /// Compares `unlisted` with a search of the whole state.
     fn check(&self, list_changed: bool) {
         let Sender { endpoints, dests, routes, unlisted, queued, .. } = &self.sender;
-        let gone: BTreeSet<EndpointId> =
+        let removed: BTreeSet<EndpointId> =
             endpoints.iter().filter(|(_, e)| !e.listed).map(|(&id, _)| id).collect();
-        assert_eq!(unlisted.endpoints, gone);
+        assert_eq!(unlisted.endpoints, removed);
         for (id, d) in dests.iter().filter(|(_, d)| d.endpoints.is_empty()) {
             assert!(unlisted.dests.contains(id), "{id:?}");
             let is_in_use =
--- a/crates/policy/src/note.rs
+++ b/crates/policy/src/note.rs
@@ -36,8 +36,8 @@
 }
 
 /// Encodes a note.
-pub fn encode(word: Report, route: RouteId) -> Vec<u8> {
-    let (code, more) = word.code();
+pub fn encode(report: Report, route: RouteId) -> Vec<u8> {
+    let (code, more) = report.code();
     let mut body = vec![FORMAT, code];
     body.extend(route.0.0.to_le_bytes());
     if let Some(e) = route.1 {
@@ -53,7 +53,7 @@
 pub fn decode(body: &[u8]) -> Option<(Report, RouteId)> {
     let number = |b: &[u8]| b.try_into().map(u64::from_le_bytes).ok();
     let (&[FORMAT, code], mut rest) = body.split_at_checked(2)? else { return None };
-    let word = match code {
+    let report = match code {
         0 => Report::Down,
         1 => Report::Up,
         2 => Report::Full,
@@ -70,7 +70,7 @@
         16 => Some(EndpointId(number(&rest[8..])?)),
         _ => return None,
     };
-    Some((word, (DestinationId(number(&rest[..8])?), endpoint)))
+    Some((report, (DestinationId(number(&rest[..8])?), endpoint)))
 }
 
 #[cfg(test)]
@@ -79,11 +79,11 @@
 
     #[test]
     fn notes_survive_a_round_trip_and_malformed_ones_are_rejected() {
-        for word in [Report::Down, Report::Up, Report::Full, Report::Scarce, Report::Wait(u32::MAX)] {
+        for report in [Report::Down, Report::Up, Report::Full, Report::Scarce, Report::Wait(u32::MAX)] {
             for endpoint in [None, Some(EndpointId(u64::MAX))] {
                 let route = (DestinationId(1 << 40), endpoint);
-                let body = encode(word, route);
-                assert_eq!(decode(&body), Some((word, route)));
+                let body = encode(report, route);
+                assert_eq!(decode(&body), Some((report, route)));
                 assert_eq!(decode(&body[1..]), None);
                 assert_eq!(decode(&[&body[..], &[0]].concat()), None);
             }
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -132,7 +132,7 @@
     pub wait_reporter: Option<u32>,
     /// Nothing is sent before this time.
     pub paused_until: Micros,
-    /// The time until which the destination asked this sender to wait; never after `rest_until`.
+    /// The time until which the destination asked this sender to wait; never after `paused_until`.
     pub wait_until: Micros,
     pub latency: Latency,
     pub connection_failures: ConnectionFailures,
@@ -215,7 +215,7 @@
     /// The longest idle time of connections that are used, and until when it applies: the destination's
     /// endpoints silently closed connections that had been idle for longer.
     pub trusted_idle: (Micros, Micros),
-    /// The rate of incoming messages per second, as of `rate_at`.
+    /// The rate of incoming messages per second, as of `rate_updated`.
     pub average_rate: f64,
     pub rate_updated: Micros,
 }
@@ -389,8 +389,8 @@
 
     fn apply_entry(&mut self, entry: &ListEntry) -> Option<RouteId> {
         let kind = self.settings.kinds.get(entry.kind as usize)?;
-        let fresh = || Endpoint { dest: entry.dest, ..Endpoint::default() };
-        let e = self.endpoints.entry(entry.endpoint).or_insert_with(fresh);
+        let new_endpoint = || Endpoint { dest: entry.dest, ..Endpoint::default() };
+        let e = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
         (e.listed, e.zone, e.kind) = (entry.phase == Phase::Live, entry.zone, entry.kind as usize);
         e.live = e.listed && !self.out_of_service.contains(&entry.endpoint);
         if e.listed {
@@ -421,8 +421,8 @@
     /// Drops endpoints that are not live on the list, unless calls to them are in flight or they are out of
     /// service.
     fn drop_unlisted_endpoints(&mut self) {
-        let (endpoints, taken_out) = (&self.endpoints, &self.out_of_service);
-        let is_removable = |id: &EndpointId| endpoints[id].in_flight == 0 && !taken_out.contains(id);
+        let (endpoints, out_of_service) = (&self.endpoints, &self.out_of_service);
+        let is_removable = |id: &EndpointId| endpoints[id].in_flight == 0 && !out_of_service.contains(id);
         let removable: Vec<EndpointId> =
             self.unlisted.endpoints.iter().copied().filter(is_removable).collect();
         for id in removable {
@@ -531,7 +531,7 @@
 const MAX_WEIGHT: f64 = 32.0;
 
 impl LifeTable {
-    /// Adds `by` calls that reached a stage.
+    /// Adds `count` calls that reached a stage.
     pub fn add_reached(&mut self, lost: bool, stage: usize, count: f64) {
         let cell = &mut self.0[usize::from(lost)][stage];
         cell.0 = (cell.0 + count).max(0.0);
@@ -629,10 +629,12 @@
 pub mod seed {
     use serde::{Deserialize, Deserializer, Serializer};
 
+    /// Serializes the seed.
     pub fn serialize<S: Serializer>(rng: &fastrand::Rng, to: S) -> Result<S::Ok, S::Error> {
         to.serialize_u64(rng.get_seed())
     }
 
+    /// Restores a generator from its seed.
     pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<fastrand::Rng, D::Error> {
         u64::deserialize(from).map(fastrand::Rng::with_seed)
     }
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -619,8 +619,8 @@
 #[test]
 fn replaced_endpoints_get_no_further_calls_and_new_ones_are_used_at_once() {
     let mut rig = Rig::new(sparse(9), 0, 3);
-    let gone = (0..3).map(|e| entry(e, 1, 0, Phase::Draining));
-    rig.list(gone.chain((10..13).map(|e| entry(e, 1, 0, Phase::Live))).collect());
+    let removed = (0..3).map(|e| entry(e, 1, 0, Phase::Draining));
+    rig.list(removed.chain((10..13).map(|e| entry(e, 1, 0, Phase::Live))).collect());
     for _ in 0..12 {
         rig.submit(IDEMPOTENT);
         rig.advance(100 * MS);
