--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -328,7 +328,7 @@
                     return Close::TimedOut;
                 }
                 if is_due {
-                    // Bytes have just arrived. Meanwhile the connection's own task reads them.
+                    // Bytes have just arrived. The next iterations of the loop read them.
                     tokio::time::sleep(SLOT_POLL_INTERVAL).await;
                 }
             }
@@ -394,10 +394,11 @@
             Ok(Ok(body)) => body,
         };
     let headers = headers?;
-    // A destination that no recent list named is answered with 503, since the list may be late.
     if inbound.admission.is_shutting_down.get() {
         return Ok(refuse(inbound, Refusal::ShuttingDown));
     }
+    // A destination that no recent list named is refused with 503 and not as invalid, since the list may be
+    // late.
     if !inbound.calls.knows_destination(headers.dest) {
         return Ok(refuse(inbound, Refusal::UnknownDestination));
     }
@@ -416,9 +417,9 @@
     if !record_message(inbound, headers.id, open)? {
         return Ok(refuse(inbound, Refusal::NoRoom));
     }
-    let (mark, mut record) =
+    let (position, mut record) =
         (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(headers.id) });
-    if !wait_until_safe(inbound, headers.id, &mark).await {
+    if !wait_until_safe(inbound, headers.id, &position).await {
         return if record.withdraw() {
             Ok(refuse(inbound, Refusal::NotDurable))
         } else {
@@ -442,7 +443,7 @@
     sent_at: Instant,
     tracker: &AckTracker,
 ) -> Result<Response<Full<Bytes>>, StatusCode> {
-    let passed = ForwardedRequest {
+    let request = ForwardedRequest {
         id: headers.id,
         tag,
         tenant: headers.tenant_name.clone(),
@@ -451,7 +452,7 @@
         idempotency_key: headers.idempotency_key.clone(),
         body: body.to_vec(),
     };
-    let class = match successor.forward(passed).await {
+    let class = match successor.forward(request).await {
         ForwardResult::Recorded { class } => class,
         ForwardResult::RetryLater => return Ok(refuse(inbound, Refusal::Successor)),
         ForwardResult::Conflict => return Err(StatusCode::CONFLICT),
@@ -461,17 +462,21 @@
 }
 
 /// Records a message that the predecessor process has read, under the same conditions as one that this
-/// process reads. If `before` is set, a process in between may have recorded it and died before its answer;
-/// an existing record then belongs to the same request.
-pub async fn record_handed_over(inbound: &Inbound, passed: ForwardedRequest, before: bool) -> ForwardResult {
-    let class = inbound.active_settings.borrow().classes.index_of(&passed.tag);
-    let Some(class) = class.filter(|_| inbound.calls.knows_destination(passed.dest)) else {
+/// process reads. If `may_be_recorded` is set, a process in between may have recorded it and died before its
+/// answer; an existing record then belongs to the same request.
+pub async fn record_forwarded(
+    inbound: &Inbound,
+    request: ForwardedRequest,
+    may_be_recorded: bool,
+) -> ForwardResult {
+    let class = inbound.active_settings.borrow().classes.index_of(&request.tag);
+    let Some(class) = class.filter(|_| inbound.calls.knows_destination(request.dest)) else {
         return ForwardResult::RetryLater;
     };
-    if before && inbound.journal.borrow().get(passed.id).is_some() {
+    if may_be_recorded && inbound.journal.borrow().get(request.id).is_some() {
         return ForwardResult::Recorded { class: class as u32 };
     }
-    let ForwardedRequest { id, tag, tenant, dest, deadline, idempotency_key, body } = passed;
+    let ForwardedRequest { id, tag, tenant, dest, deadline, idempotency_key, body } = request;
     let mut open = OpenMessage::new(&tag, &tenant, dest.0, deadline, body.into());
     open.idempotency_key = idempotency_key;
     match record_message(inbound, id, open) {
@@ -479,8 +484,8 @@
         Ok(false) => return ForwardResult::RetryLater,
         Err(_) => return ForwardResult::Conflict,
     }
-    let (mark, mut record) = (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(id) });
-    if !wait_until_safe(inbound, id, &mark).await {
+    let (position, mut record) = (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(id) });
+    if !wait_until_safe(inbound, id, &position).await {
         return if record.withdraw() { ForwardResult::RetryLater } else { ForwardResult::Conflict };
     }
     record.id = None;
@@ -489,21 +494,21 @@
 
 /// Waits until a record is durable and copied as far as the settings ask for. Returns whether it may be
 /// promised.
-async fn wait_until_safe(inbound: &Inbound, id: MessageId, mark: &LogPosition) -> bool {
+async fn wait_until_safe(inbound: &Inbound, id: MessageId, position: &LogPosition) -> bool {
     let Some(copies) = &inbound.copies else {
-        return inbound.durability.wait_until_durable(mark, DURABILITY_TIMEOUT).await;
+        return inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT).await;
     };
-    let is_unsafe_to_repeat = {
+    let is_at_most_once = {
         let (journal, active) = (inbound.journal.borrow(), inbound.active_settings.borrow());
         journal.get(id).is_none_or(|open| active.is_unsafe_to_repeat(&open.class))
     };
     // Both run at once, since the replicas' disks are no faster than this one.
     let (is_copied, is_durable) = tokio::join!(
-        copies.replicate(id, is_unsafe_to_repeat, DURABILITY_TIMEOUT),
-        inbound.durability.wait_until_durable(mark, DURABILITY_TIMEOUT)
+        copies.replicate(id, is_at_most_once, DURABILITY_TIMEOUT),
+        inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT)
     );
     // If the confirmation is not written, the message is not promised, and a restart treats it as unpromised.
-    is_copied && is_durable && (!is_unsafe_to_repeat || inbound.journal.borrow_mut().confirm(id).is_ok())
+    is_copied && is_durable && (!is_at_most_once || inbound.journal.borrow_mut().confirm(id).is_ok())
 }
 
 /// Returns the deadline of a message on the journal's timeline. A delay between the two clock readings makes
--- a/crates/daemon/src/platform/discovery.rs
+++ b/crates/daemon/src/platform/discovery.rs
@@ -29,9 +29,9 @@
 /// The time without a heartbeat or a complete value after which a watch counts as silent. A heartbeat comes
 /// every 2 s, and the rest allows for the network. Bytes that complete nothing do not keep a watch alive.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// The time after a malformed value until a new watch begins from before that value, whose content has to be
-/// known after 6 s. Until then valid values after it are read, and a service whose values are never valid is
-/// not asked more often.
+/// The time from a malformed value to the start of a new watch. That watch begins before the malformed value,
+/// whose content has to be known after 6 s. Until then valid values after it are read. The delay also limits
+/// the requests to a service whose values are never valid.
 const REREAD_DELAY: Duration = Duration::from_secs(2);
 /// The time-out from the start of an attempt until the head of the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
--- a/crates/daemon/src/platform/notice_scheduler.rs
+++ b/crates/daemon/src/platform/notice_scheduler.rs
@@ -120,9 +120,9 @@
         let delay = self.repost_delay();
         let batch = self.pending.iter_mut().filter(|n| n.due <= now).take(MAX_NOTICES_PER_POST);
         let notices: Vec<_> = batch
-            .map(|n| {
-                n.due = now + delay;
-                (n.id, n.verdict)
+            .map(|notice| {
+                notice.due = now + delay;
+                (notice.id, notice.verdict)
             })
             .collect();
         self.consecutive_reposts = if needs_new_connection { self.consecutive_reposts + 1 } else { 0 };
@@ -135,25 +135,25 @@
 
     /// Records that the platform confirmed a post. Returns the messages whose notices are now delivered.
     pub fn record_confirmed(&mut self, post: u64, now: Time) -> Vec<MessageId> {
-        let Some(p) = self.posts.remove(&post) else { return Vec::new() };
-        let took = now.saturating_sub(p.started);
+        let Some(ended) = self.posts.remove(&post) else { return Vec::new() };
+        let took = now.saturating_sub(ended.started);
         self.response_time =
             if self.response_time.is_zero() { took } else { (self.response_time * 7 + took) / 8 };
         (self.consecutive_reposts, self.consecutive_failures) = (0, 0);
         self.not_before = now;
-        self.pending.retain(|n| !p.ids.contains(&n.id));
+        self.pending.retain(|n| !ended.ids.contains(&n.id));
         // Notices of earlier posts keep their due time, since this answer says nothing about those posts.
-        p.ids
+        ended.ids
     }
 
     /// Records that a post failed. Its notices are due again soon, on another connection.
     pub fn record_failed(&mut self, post: u64, now: Time) {
-        let Some(p) = self.posts.remove(&post) else { return };
+        let Some(ended) = self.posts.remove(&post) else { return };
         let delay = (RETRY_DELAY_MIN * (1 << self.consecutive_failures.min(8))).min(RETRY_DELAY_MAX);
         self.consecutive_failures += 1;
         self.not_before = now + delay;
-        for n in self.pending.iter_mut().filter(|n| p.ids.contains(&n.id)) {
-            n.due = n.due.min(now + delay);
+        for notice in self.pending.iter_mut().filter(|n| ended.ids.contains(&n.id)) {
+            notice.due = notice.due.min(now + delay);
         }
     }
 
--- a/crates/daemon/src/platform/peers.rs
+++ b/crates/daemon/src/platform/peers.rs
@@ -48,19 +48,19 @@
             loop {
                 // An error may report an earlier datagram that could not be delivered. The delay keeps a
                 // persistent error from causing a busy loop.
-                let Ok((n, from)) = poll_fn(|cx| receiving_socket.poll_recv_from(cx, &mut buffer)).await
+                let Ok((len, from)) = poll_fn(|cx| receiving_socket.poll_recv_from(cx, &mut buffer)).await
                 else {
                     sleep(RECEIVE_RETRY_DELAY).await;
                     continue;
                 };
                 // Only notes from senders of the fleet are accepted.
                 if let Some(from) =
-                    known_peers.iter().position(|p| *p == from).filter(|_| n <= MAX_NOTE_BYTES)
+                    known_peers.iter().position(|p| *p == from).filter(|_| len <= MAX_NOTE_BYTES)
                 {
-                    if zone_monitor.as_ref().is_some_and(|z| z.receive_note(from, &buffer[..n])) {
+                    if zone_monitor.as_ref().is_some_and(|z| z.receive_note(from, &buffer[..len])) {
                         continue;
                     }
-                    let (from, body) = (from as u32, buffer[..n].to_vec());
+                    let (from, body) = (from as u32, buffer[..len].to_vec());
                     let _ = inputs.send(Input::Event(Event::Note { from, body }));
                 }
             }
--- a/crates/daemon/src/platform/reports.rs
+++ b/crates/daemon/src/platform/reports.rs
@@ -153,7 +153,7 @@
         notices: &[(MessageId, Verdict)],
     ) -> Result<Connection, Failure> {
         let mut sender = match connection {
-            Some(c) if !c.is_closed() => c,
+            Some(connection) if !connection.is_closed() => connection,
             _ => {
                 let stream = self.net.connect(self.address.get()).await?;
                 let _ = stream.set_nodelay(); // If it fails, small writes are delayed, but still arrive.
--- a/crates/daemon/src/platform/zone_monitor.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -260,8 +260,8 @@
     }
 
     fn handle_outputs(&self, out: Vec<Output>, note_sender: Option<&NoteSender>) {
-        for o in out {
-            match o {
+        for output in out {
+            match output {
                 Output::Send(to, body) => {
                     if let Some(note_sender) = note_sender {
                         note_sender.send(Some(self.numbers.index_of(to)), &body);
@@ -296,21 +296,21 @@
     /// Logs an event of the state machine.
     fn log(&self, event: &ZoneEvent) {
         match event {
-            ZoneEvent::HealthChanged { zone, before, finding: f, changes } => {
+            ZoneEvent::HealthChanged { zone, before, finding, changes } => {
                 let text = format!(
                     "zones: {} is {} (was {}, change {changes} on this sender): {:.0} of {:.0} calls and \
                      {} of {} destinations fail, as observed by {} senders in {} zones",
                     self.zone_name(*zone),
-                    health_name(f.health),
+                    health_name(finding.health),
                     health_name(*before),
-                    f.failed_calls,
-                    f.calls,
-                    f.destinations.0,
-                    f.destinations.1,
-                    f.senders.len(),
-                    f.sender_zones.len(),
+                    finding.failed_calls,
+                    finding.calls,
+                    finding.destinations.0,
+                    finding.destinations.1,
+                    finding.senders.len(),
+                    finding.sender_zones.len(),
                 );
-                match f.health {
+                match finding.health {
                     Health::Failing => tracing::warn!("{text}"),
                     _ => tracing::info!("{text}"),
                 }
@@ -339,8 +339,8 @@
                     match reason {
                         TransitionReason::Evidence => "it is found failing",
                         TransitionReason::Quorum => "enough other senders have the same state",
-                        TransitionReason::ProbeFailed => "trial calls failed",
-                        TransitionReason::StepHeld => "trial calls were served",
+                        TransitionReason::ProbeFailed => "its probes failed",
+                        TransitionReason::StepHeld => "it served the previous step",
                     },
                     format_senders(senders),
                 );
@@ -368,25 +368,25 @@
         let zones: serde_json::Map<String, serde_json::Value> = state_machine
             .statuses()
             .iter()
-            .map(|(&zone, s)| {
-                let f = &s.finding;
-                let status = serde_json::json!({
-                    "standing": health_name(s.health),
-                    "changes": s.health_changes,
-                    "state": phase_name(s.phase()),
-                    "term": s.evacuation.term,
+            .map(|(&zone, status)| {
+                let finding = &status.finding;
+                let json = serde_json::json!({
+                    "standing": health_name(status.health),
+                    "changes": status.health_changes,
+                    "state": phase_name(status.phase()),
+                    "term": status.evacuation.term,
                     "share": state_machine.share(zone),
-                    "spared": self.destinations(&s.exempt).iter().map(|d| d.0).collect::<Vec<_>>(),
-                    "failed_in_a_row": s.consecutive_failures,
-                    "with": { "as_far": s.in_sync.0, "heard": s.in_sync.1 },
-                    "calls": f.calls.round(),
-                    "failed": f.failed_calls.round(),
-                    "destinations": { "failing": f.destinations.0, "seen": f.destinations.1 },
-                    "senders": f.senders.len(),
-                    "from_zones": f.sender_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
-                    "against": f.opposing_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
+                    "spared": self.destinations(&status.exempt).iter().map(|d| d.0).collect::<Vec<_>>(),
+                    "failed_in_a_row": status.consecutive_failures,
+                    "with": { "as_far": status.in_sync.0, "heard": status.in_sync.1 },
+                    "calls": finding.calls.round(),
+                    "failed": finding.failed_calls.round(),
+                    "destinations": { "failing": finding.destinations.0, "seen": finding.destinations.1 },
+                    "senders": finding.senders.len(),
+                    "from_zones": finding.sender_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
+                    "against": finding.opposing_zones.iter().map(|&z| self.zone_name(z)).collect::<Vec<_>>(),
                 });
-                (self.zone_name(zone), status)
+                (self.zone_name(zone), json)
             })
             .collect();
         let (out, stay) = (&settings.0.out, &settings.0.stay);
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -565,7 +565,7 @@
                 let may_be_recorded = unacknowledged.contains(&id);
                 tokio::task::spawn_local(async move {
                     let result =
-                        crate::clients::inbound::record_handed_over(&inbound, request, may_be_recorded).await;
+                        crate::clients::inbound::record_forwarded(&inbound, request, may_be_recorded).await;
                     if matches!(result, ForwardResult::Recorded { .. }) {
                         match &mut *recorded.borrow_mut() {
                             Some(ids) => _ = ids.insert(id),
--- a/crates/daemon/src/settings/descriptors.rs
+++ b/crates/daemon/src/settings/descriptors.rs
@@ -12,7 +12,7 @@
 /// The socket for hand-overs, and the connection of one.
 const HAND_OVER_DESCRIPTORS: usize = 2;
 /// The maximum number of connections of operators and their tools. It is further limited to one in
-/// [`OPERATOR_DIVISOR`] of all descriptors.
+/// `OPERATOR_DIVISOR` of all descriptors.
 pub const MAX_OPERATOR_CONNECTIONS: usize = 24;
 const OPERATOR_DIVISOR: usize = 16;
 /// With less than one in this many of all descriptors, clients' connections displace one another constantly.
--- a/crates/daemon/src/state/durability.rs
+++ b/crates/daemon/src/state/durability.rs
@@ -41,11 +41,11 @@
 
     /// Waits until all records up to a position are durable. Returns false if that takes longer than
     /// `timeout`.
-    pub async fn wait_until_durable(&self, mark: &LogPosition, timeout: Duration) -> bool {
+    pub async fn wait_until_durable(&self, position: &LogPosition, timeout: Duration) -> bool {
         let until = Instant::now() + timeout;
         loop {
             let sync_finished = self.sync_finished.notified();
-            if self.is_durable(mark) {
+            if self.is_durable(position) {
                 return true;
             }
             self.sync_requested.notify_one();
@@ -56,15 +56,15 @@
     }
 
     /// Whether all records up to a position survive what the operator asked for.
-    pub fn is_durable(&self, mark: &LogPosition) -> bool {
-        self.journal.borrow().is_durable(mark)
+    pub fn is_durable(&self, position: &LogPosition) -> bool {
+        self.journal.borrow().is_durable(position)
     }
 
     async fn run(&self) {
         loop {
             self.sync_requested.notified().await;
-            if let Err(e) = self.sync().await {
-                tracing::warn!("journal: sync failed: {e}");
+            if let Err(error) = self.sync().await {
+                tracing::warn!("journal: sync failed: {error}");
                 sleep(RETRY_DELAY).await;
             }
             self.sync_finished.notify_waiters();
@@ -81,8 +81,8 @@
         let failed = result.as_ref().err().map(ToString::to_string);
         self.journal.borrow_mut().finish_sync(&sync, result)?;
         // By now the records of the failed sync are in another segment, and durable there.
-        failed.into_iter().for_each(|e| {
-            tracing::warn!("journal: sync failed, its records were written to a new segment: {e}")
+        failed.into_iter().for_each(|error| {
+            tracing::warn!("journal: sync failed, its records were written to a new segment: {error}")
         });
         Ok(())
     }
@@ -125,14 +125,14 @@
     #[test]
     fn records_are_durable_only_after_a_sync_and_one_sync_serves_all_waiting_tasks() {
         with_power_durability(async |journal, durability, _, _| {
-            let mut marks = Vec::new();
+            let mut positions = Vec::new();
             for id in 0..32 {
                 accept(&journal, id);
-                marks.push(durability.log_end());
+                positions.push(durability.log_end());
             }
-            assert!(marks.iter().all(|m| !durability.is_durable(m)), "written is not durable");
-            assert!(durability.wait_until_durable(&marks[31], SHORT).await);
-            assert!(marks.iter().all(|m| durability.is_durable(m)));
+            assert!(positions.iter().all(|p| !durability.is_durable(p)), "written is not durable");
+            assert!(durability.wait_until_durable(&positions[31], SHORT).await);
+            assert!(positions.iter().all(|p| durability.is_durable(p)));
         });
     }
 
@@ -140,11 +140,11 @@
     fn while_syncs_fail_nothing_is_durable_and_then_the_records_move_to_another_segment() {
         with_power_durability(async |journal, durability, folder, disk_state| {
             accept(&journal, 1);
-            let mark = durability.log_end();
+            let position = durability.log_end();
             disk_state.set(SYNCS_FAIL);
-            assert!(!durability.wait_until_durable(&mark, SHORT).await, "a failed sync promises nothing");
+            assert!(!durability.wait_until_durable(&position, SHORT).await, "a failed sync promises nothing");
             disk_state.set(WORKING);
-            assert!(durability.wait_until_durable(&mark, 10 * SHORT).await, "it recovers by itself");
+            assert!(durability.wait_until_durable(&position, 10 * SHORT).await, "it recovers by itself");
             // A file whose sync failed is not synced again.
             assert!(folder.join("0000000002.log").exists());
             assert!(journal.borrow().get(MessageId(1)).is_some());
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -1,5 +1,5 @@
-//! The journal of accepted messages, from their record to their end: messages, attempts and verdicts in the
-//! store's table of messages, and the open ones in memory as well.
+//! The journal records accepted messages until they end: the messages, their attempts and their verdicts. The
+//! records are in the store's table of messages; open messages are held in memory as well.
 //!
 //! Written records outlast the process without a sync. If the operator asks for more (`[store]`),
 //! `durability.rs` waits for the sync before anything is promised or sent.
@@ -106,8 +106,8 @@
         if let Some(error) = unreadable {
             return Err(io::Error::new(io::ErrorKind::InvalidData, error).into());
         }
-        for m in open.values_mut() {
-            m.attempts.sort_by_key(|a| a.number);
+        for message in open.values_mut() {
+            message.attempts.sort_by_key(|a| a.number);
         }
         let held_count = open.values().filter(|m| m.verdict.is_none()).count();
         let released_log_end = store.log_end();
@@ -345,8 +345,8 @@
     /// Records a verdict, before its notice is sent: after the notice the client may send the message again.
     /// Returns whether the verdict is written. If not, the write is pending, and a kill would lose it.
     pub fn record_verdict(&mut self, id: MessageId, verdict: Verdict) -> bool {
-        let Some(m) = self.open.get_mut(&id) else { return true };
-        if m.verdict.replace(verdict).is_none() {
+        let Some(message) = self.open.get_mut(&id) else { return true };
+        if message.verdict.replace(verdict).is_none() {
             self.held_count -= 1;
         }
         let mut batch = Batch::default();
@@ -358,8 +358,8 @@
 
     /// Records the end of a message, for which nothing is left to do. Returns whether that is written.
     pub fn record_end(&mut self, id: MessageId) -> bool {
-        let Some(m) = self.open.remove(&id) else { return true };
-        self.held_count -= usize::from(m.verdict.is_none());
+        let Some(message) = self.open.remove(&id) else { return true };
+        self.held_count -= usize::from(message.verdict.is_none());
         let mut batch = Batch::default();
         batch.delete_prefix(MESSAGES, &id.0.to_be_bytes());
         let written = self.append_or_defer(batch);
@@ -402,14 +402,14 @@
         Ok(())
     }
 
-    fn append(&mut self, batch: &Batch, work: WriteKind) -> Result<(), Error> {
+    fn append(&mut self, batch: &Batch, kind: WriteKind) -> Result<(), Error> {
         self.flush_pending_writes()?;
         let Some(store) = &mut self.store else {
             // The owner of the store records ends. Nothing new starts in this process.
             let not_owned = || io::Error::other("another process owns the store");
-            return if work == WriteKind::End { Ok(()) } else { Err(not_owned().into()) };
+            return if kind == WriteKind::End { Ok(()) } else { Err(not_owned().into()) };
         };
-        store.apply(batch, work).map(drop)
+        store.apply(batch, kind).map(drop)
     }
 
     /// Writes and syncs everything, then closes the store and releases its lock. After an error the store
@@ -431,8 +431,8 @@
 
     /// Whether all records up to a position survive what the operator asked for: the end of the process, or a
     /// loss of power.
-    pub fn is_durable(&self, mark: &LogPosition) -> bool {
-        self.store.as_ref().is_none_or(|s| s.is_durable(mark))
+    pub fn is_durable(&self, position: &LogPosition) -> bool {
+        self.store.as_ref().is_none_or(|s| s.is_durable(position))
     }
 
     /// Begins a sync. Returns `None` if there is nothing to sync.
@@ -527,13 +527,13 @@
         let folder = tempfile::tempdir().expect("a folder");
         let mut journal = open(folder.path());
         let (mut last, mut refused) = (None, 0);
-        for n in 0..400 {
-            let id = MessageId(n);
+        for number in 0..400 {
+            let id = MessageId(number);
             match journal.accept(id, message(20_000)) {
                 Ok(()) => last = Some(id),
                 // The folder is full: the message is refused, and an end frees space.
-                Err(e) => {
-                    assert_eq!(e.kind(), io::ErrorKind::StorageFull);
+                Err(error) => {
+                    assert_eq!(error.kind(), io::ErrorKind::StorageFull);
                     refused += 1;
                     let first = journal.iter().next().expect("something is open").0;
                     journal.record_end(first);
@@ -671,10 +671,10 @@
         bytes[120] ^= 1;
         fs::write(&path, &bytes).expect("written");
         let disk = Rc::new(Folder(folder.path().to_owned()));
-        let Err(e) = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT)) else {
+        let Err(error) = Journal::open(disk, Rc::new(SystemClock), Options::new(1, LIMIT)) else {
             panic!("opened")
         };
-        let text = crate::state::storage::describe_open_error(e).to_string();
+        let text = crate::state::storage::describe_open_error(error).to_string();
         for part in ["0000000001.log, byte 64", "frame 1", "notchpoint store salvage"] {
             assert!(text.contains(part), "{text}");
         }
--- a/crates/daemon/src/state/legacy.rs
+++ b/crates/daemon/src/state/legacy.rs
@@ -8,8 +8,8 @@
 use notchpoint_store::{Batch, Corruption, Error, Store, WriteKind};
 use std::collections::BTreeMap;
 
-const FILE: &str = "journal";
-const NEW: &str = "journal.new";
+const FILE_NAME: &str = "journal";
+const TEMP_FILE_NAME: &str = "journal.new";
 /// The length of an id.
 const ID_BYTES: usize = 8;
 /// The longest record. It holds one body of at most 64 KiB.
@@ -22,16 +22,16 @@
 /// The folder cannot be read or written, or the old journal is damaged. The old journal then stays unchanged.
 pub fn migrate(disk: &dyn Disk, store: &mut Store) -> Result<(), Error> {
     // A process may have ended while it replaced the file. The old file is then still complete.
-    disk.remove(NEW)?;
-    let Some(old) = disk.read(FILE)? else { return Ok(()) };
+    disk.remove(TEMP_FILE_NAME)?;
+    let Some(old) = disk.read(FILE_NAME)? else { return Ok(()) };
     let open = read(&old)?;
-    for (id, m) in &open {
+    for (id, message) in &open {
         let mut batch = Batch::default();
-        write(&mut batch, *id, m);
+        write(&mut batch, *id, message);
         store.apply(&batch, WriteKind::Import)?;
     }
     store.sync_now()?;
-    disk.remove(FILE)?;
+    disk.remove(FILE_NAME)?;
     disk.sync_directory()?;
     tracing::info!("journal: {} open messages migrated from the format of an earlier build", open.len());
     Ok(())
@@ -53,7 +53,7 @@
     };
     if let Some(n) = (1..rest.len()).find(is_valid) {
         return Err(Corruption {
-            file: FILE.into(),
+            file: FILE_NAME.into(),
             offset,
             expected: "a record, or the end of the file".into(),
             found: format!("invalid bytes, and a valid record {n} bytes further on"),
@@ -167,21 +167,24 @@
     #[test]
     fn the_old_journal_is_migrated_once() {
         let folder = tempfile::tempdir().expect("a folder");
-        fs::write(folder.path().join(FILE), old_journal()).expect("written");
+        fs::write(folder.path().join(FILE_NAME), old_journal()).expect("written");
         for _ in 0..2 {
             let journal = open(folder.path()).expect("opened");
             let found: Vec<(u64, OpenMessage)> = journal.iter().map(|(id, m)| (id.0, m.clone())).collect();
             assert_eq!(found.iter().map(|f| f.0).collect::<Vec<_>>(), [1, 2]);
-            let (m, a) = (
+            let (message, attempt) = (
                 &found[1].1,
                 Attempt { number: 0, endpoint: EndpointId(9), started_at: 77, never_ran: true },
             );
-            assert_eq!((&m.attempts[..], m.verdict), (&[a][..], Some(Verdict::Bounced(250))));
             assert_eq!(
-                (&m.class[..], &m.tenant[..], &m.body[..], m.deadline),
+                (&message.attempts[..], message.verdict),
+                (&[attempt][..], Some(Verdict::Bounced(250)))
+            );
+            assert_eq!(
+                (&message.class[..], &message.tenant[..], &message.body[..], message.deadline),
                 ("payment", "acme", &b"body"[..], 9_000)
             );
-            assert!(!folder.path().join(FILE).exists());
+            assert!(!folder.path().join(FILE_NAME).exists());
         }
     }
 
@@ -192,14 +195,14 @@
         for at in 0..50 {
             let mut bad = old.clone();
             bad[at] ^= 0x10;
-            let refusal = read(&bad).expect_err("valid records follow");
-            assert!(refusal.offset == 0 && refusal.file == FILE, "{refusal}");
+            let corruption = read(&bad).expect_err("valid records follow");
+            assert!(corruption.offset == 0 && corruption.file == FILE_NAME, "{corruption}");
         }
         let folder = tempfile::tempdir().expect("a folder");
         let mut bad = old.clone();
         bad[20] ^= 0x10;
-        fs::write(folder.path().join(FILE), &bad).expect("written");
+        fs::write(folder.path().join(FILE_NAME), &bad).expect("written");
         assert!(open(folder.path()).is_err());
-        assert_eq!(fs::read(folder.path().join(FILE)).expect("still there"), bad);
+        assert_eq!(fs::read(folder.path().join(FILE_NAME)).expect("still there"), bad);
     }
 }
--- a/crates/daemon/src/state/record.rs
+++ b/crates/daemon/src/state/record.rs
@@ -88,19 +88,19 @@
 }
 
 /// Adds all records of a message to a batch.
-pub fn write(batch: &mut Batch, id: MessageId, m: &OpenMessage) {
-    batch.put(MESSAGES, &key(id, MESSAGE, None), &encode_message(m));
-    for a in &m.attempts {
-        batch.put(MESSAGES, &key(id, ATTEMPT, Some(a.number)), &encode_attempt(a));
+pub fn write(batch: &mut Batch, id: MessageId, message: &OpenMessage) {
+    batch.put(MESSAGES, &key(id, MESSAGE, None), &encode_message(message));
+    for attempt in &message.attempts {
+        batch.put(MESSAGES, &key(id, ATTEMPT, Some(attempt.number)), &encode_attempt(attempt));
     }
-    if !m.idempotency_key.is_empty() {
-        batch.put(MESSAGES, &key(id, IDEMPOTENCY_KEY, None), m.idempotency_key.as_bytes());
+    if !message.idempotency_key.is_empty() {
+        batch.put(MESSAGES, &key(id, IDEMPOTENCY_KEY, None), message.idempotency_key.as_bytes());
     }
-    if !m.is_confirmed {
+    if !message.is_confirmed {
         batch.put(MESSAGES, &key(id, UNCONFIRMED, None), &[]);
     }
-    if let Some(v) = m.verdict {
-        batch.put(MESSAGES, &key(id, VERDICT, None), &encode_verdict(v));
+    if let Some(verdict) = message.verdict {
+        batch.put(MESSAGES, &key(id, VERDICT, None), &encode_verdict(verdict));
     }
 }
 
@@ -115,22 +115,22 @@
 const PRESUMED_ATTEMPT: u32 = 1 << 16;
 
 /// Encodes a message without its attempts, idempotency key and verdict, which have records of their own.
-pub fn encode_message(m: &OpenMessage) -> Vec<u8> {
-    let mut record = m.dest.to_le_bytes().to_vec();
-    record.extend(m.deadline.to_le_bytes());
-    for name in [&m.class, &m.tenant] {
+pub fn encode_message(message: &OpenMessage) -> Vec<u8> {
+    let mut record = message.dest.to_le_bytes().to_vec();
+    record.extend(message.deadline.to_le_bytes());
+    for name in [&message.class, &message.tenant] {
         record.extend((name.len() as u16).to_le_bytes());
         record.extend(name.as_bytes());
     }
-    record.extend(&m.body);
+    record.extend(&message.body);
     record
 }
 
 /// Encodes an attempt. Its number is part of the key.
-pub fn encode_attempt(a: &Attempt) -> Vec<u8> {
-    let mut record = a.endpoint.0.to_le_bytes().to_vec();
-    record.extend(a.started_at.to_le_bytes());
-    record.push(a.never_ran.into());
+pub fn encode_attempt(attempt: &Attempt) -> Vec<u8> {
+    let mut record = attempt.endpoint.0.to_le_bytes().to_vec();
+    record.extend(attempt.started_at.to_le_bytes());
+    record.push(attempt.never_ran.into());
     record
 }
 
@@ -186,21 +186,26 @@
 pub fn load_record(key: &[u8], value: &[u8], open: &mut BTreeMap<MessageId, OpenMessage>) -> Option<()> {
     let (id, mut kind) = (message_id(key)?, Fields(&key[8..]));
     let mut fields = Fields(value);
-    let m = open.entry(id).or_insert_with(|| OpenMessage::new("", "", 0, 0, Bytes::new()));
+    let message = open.entry(id).or_insert_with(|| OpenMessage::new("", "", 0, 0, Bytes::new()));
     match kind.read_bytes()? {
         [MESSAGE] => {
             let OpenMessage { class, tenant, dest, deadline, body, .. } = fields.read_message()?;
-            *m = OpenMessage { class, tenant, dest, deadline, body, ..m.clone() };
+            *message = OpenMessage { class, tenant, dest, deadline, body, ..message.clone() };
         }
         [ATTEMPT] => {
             let number = kind.read_bytes().map(u32::from_be_bytes)?;
             let (endpoint, started_at) = (EndpointId(fields.read_u64()?), fields.read_u64()?);
-            m.attempts.push(Attempt { number, endpoint, started_at, never_ran: fields.read_bytes()? != [0] });
+            message.attempts.push(Attempt {
+                number,
+                endpoint,
+                started_at,
+                never_ran: fields.read_bytes()? != [0],
+            });
         }
-        [IDEMPOTENCY_KEY] => m.idempotency_key = String::from_utf8(fields.0.to_vec()).ok()?,
-        [UNCONFIRMED] => m.is_confirmed = false,
+        [IDEMPOTENCY_KEY] => message.idempotency_key = String::from_utf8(fields.0.to_vec()).ok()?,
+        [UNCONFIRMED] => message.is_confirmed = false,
         [VERDICT] => {
-            m.verdict =
+            message.verdict =
                 Some(if fields.0.is_empty() { Verdict::Dead } else { Verdict::Bounced(fields.read_u64()?) });
         }
         _ => return None,
--- a/crates/daemon/src/state/storage.rs
+++ b/crates/daemon/src/state/storage.rs
@@ -35,8 +35,8 @@
 /// Describes why the journal did not open, and for a damaged one the commands that help.
 pub fn describe_open_error(error: Error) -> Failure {
     match error {
-        Error::Corrupt(refusal) => format!(
-            "the journal is damaged: {refusal}. The sender does not start, and nothing was changed. \
+        Error::Corrupt(corruption) => format!(
+            "the journal is damaged: {corruption}. The sender does not start, and nothing was changed. \
              `notchpoint store check DIR` reports the damage; `notchpoint store salvage DIR --to NEW` \
              saves all that can be read"
         )
@@ -103,11 +103,11 @@
     let name = dir.display();
     let report = match inspect::check(&open_folder(dir)?) {
         Ok(report) => report,
-        Err(Error::Corrupt(refusal)) => {
-            print(&format!("{name}: damaged: {refusal}\n"))?;
+        Err(Error::Corrupt(corruption)) => {
+            print(&format!("{name}: damaged: {corruption}\n"))?;
             return Ok(ExitCode::from(1));
         }
-        Err(e) => return Err(format!("{name}: {e}").into()),
+        Err(error) => return Err(format!("{name}: {error}").into()),
     };
     print(&format!("{name}: sound: {}\n", report.recovery))?;
     for (number, keys, bytes) in report.tables.iter().map(|(t, (k, b))| (*t, k, b)) {
@@ -140,12 +140,14 @@
                         let row = notchpoint_copies::describe_row(key, None);
                         format!("delete copies: {}", row.unwrap_or_else(|| hex(key)))
                     }
-                    Record::Put { table: t, key, value, .. } => {
-                        format!("put {} {} ({} bytes)", table_name(t), hex(key), value.len())
+                    Record::Put { table: table_id, key, value, .. } => {
+                        format!("put {} {} ({} bytes)", table_name(table_id), hex(key), value.len())
                     }
-                    Record::Delete { table: t, key } => format!("delete {} {}", table_name(t), hex(key)),
-                    Record::DeletePrefix { table: t, key } => {
-                        format!("delete {} {}*", table_name(t), hex(key))
+                    Record::Delete { table: table_id, key } => {
+                        format!("delete {} {}", table_name(table_id), hex(key))
+                    }
+                    Record::DeletePrefix { table: table_id, key } => {
+                        format!("delete {} {}*", table_name(table_id), hex(key))
                     }
                     Record::LogStart(n) => format!("segments below {n} are dropped"),
                 };
@@ -179,10 +181,10 @@
     for (from, to) in &saved.missing_frames {
         print(&format!("lost: frames {from} to {}\n", to - 1))?;
     }
-    for (t, key) in &saved.uncertain {
+    for (table_id, key) in &saved.uncertain {
         print(&format!(
             "in doubt: {} {}: lost records may have changed or ended it\n",
-            table_name(*t),
+            table_name(*table_id),
             hex(key)
         ))?;
     }
--- a/crates/daemon/tests/fleet/zones.rs
+++ b/crates/daemon/tests/fleet/zones.rs
@@ -284,7 +284,7 @@
     assert!(whole(&fleet, 3, "b"), "on its own word");
     fleet.heal();
     all_left(&fleet, "b");
-    fleet.says(3, "enough other senders have come as far");
+    fleet.says(3, "enough other senders have the same state");
 }
 
 #[test]
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -4,7 +4,7 @@
 //! recording holds exactly these, so that each decision can be made again, bit for bit, and asked for its
 //! reason. Bodies of messages never enter it.
 //!
-//! - [`format`]: how a recording is written as bytes, and read as far as it is whole.
+//! - [`mod@format`]: how a recording is written as bytes, and read as far as it is whole.
 //! - [`ring`]: which segment bytes go to, and which one gives way, so that the whole has a bound.
 //! - [`store`]: where segments lie: in memory or in a folder.
 //! - [`recorder`]: what the sender calls once a turn.
