--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -1,5 +1,5 @@
-//! What stands round the program in the tests: endpoints, the platform, clients, all on loopback sockets.
-//! It waits on conditions; the one time limit is only there so that a failing test ends.
+//! The environment of the program in the tests: endpoints, the platform and clients, all on loopback sockets.
+//! Tests wait for conditions; the time limit only makes a failing test end.
 
 use notchpoint_faults::{Fault, FaultController};
 use std::collections::BTreeMap;
@@ -11,31 +11,37 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// The control file of the fault shim, where a test injects faults.
-const FAULTS: &str = "faults";
-/// A client waits so long for an answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-const LIMIT: Duration = Duration::from_secs(60);
+/// The control file of the fault shim, in the folder of a sender that faults are injected into.
+const FAULT_FILE: &str = "faults";
+/// How long `Client::try_submit` waits for a response.
+const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
+/// How long a test waits for a condition before it fails.
+const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
-pub fn until(what: &str, mut holds: impl FnMut() -> bool) {
+/// Waits until a condition holds, and fails the test with `what` if it does not within `WAIT_LIMIT`.
+pub fn wait_until(what: &str, mut condition: impl FnMut() -> bool) {
     let start = Instant::now();
-    while !holds() {
-        assert!(start.elapsed() < LIMIT, "never came: {what}");
+    while !condition() {
+        assert!(start.elapsed() < WAIT_LIMIT, "the condition was not met in {WAIT_LIMIT:?}: {what}");
         thread::sleep(Duration::from_millis(5));
     }
 }
 
+/// A request or a response that was read.
 #[derive(Clone, Debug)]
-pub struct Heard {
-    /// `METHOD path` of a request, the status of an answer.
+pub struct HttpMessage {
+    /// `METHOD path` of a request, the status of a response.
     pub line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
-    pub at: Instant,
+    /// When its last byte was read.
+    pub received_at: Instant,
+    /// The number of the connection, in the order in which the endpoint accepted them.
     pub connection: usize,
 }
 
-impl Heard {
+impl HttpMessage {
+    /// Returns a header's value; empty if the header is absent.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
@@ -44,15 +50,15 @@
         self.line.parse().expect("a status")
     }
 
-    /// The ids of a batch's messages, in their order.
+    /// Returns the ids of a batch's messages, in their order.
     pub fn ids(&self) -> Vec<String> {
         let text = String::from_utf8_lossy(&self.body).into_owned();
         text.lines().filter(|l| l.contains(" - ")).map(|l| l[..16].to_owned()).collect()
     }
 }
 
-/// Reads a request or an answer; nothing where the connection ends before its last byte.
-fn hear(from: &mut impl BufRead, connection: usize) -> Option<Heard> {
+/// Reads a request or a response. Returns `None` if the connection ends before its last byte.
+fn read_message(from: &mut impl BufRead, connection: usize) -> Option<HttpMessage> {
     let mut first = String::new();
     from.read_line(&mut first).ok().filter(|n| *n > 0)?;
     let mut words = first.split_whitespace();
@@ -68,33 +74,36 @@
     let length = headers.get("content-length").and_then(|l| l.parse().ok()).unwrap_or(0);
     let mut body = vec![0; length];
     from.read_exact(&mut body).ok()?;
-    Some(Heard { line, headers, body, at: Instant::now(), connection })
+    Some(HttpMessage { line, headers, body, received_at: Instant::now(), connection })
 }
 
-pub fn answer(status: &str, headers: &str, body: &str) -> Reply {
-    Reply::Say(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()))
+/// Returns a reply with this status line, these header lines and this body.
+pub fn response(status: &str, headers: &str, body: &str) -> Reply {
+    Reply::Respond(format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len()))
 }
 
+/// What an endpoint does with a call. Texts are written as they are.
 pub enum Reply {
-    Say(String),
-    /// Says it and ends the connection.
-    Last(String),
-    /// Says it after a while.
-    After(Duration, String),
-    /// Says one thing, and another a little later.
-    Twice(String, String),
-    /// Keeps silent, with the connection open.
+    Respond(String),
+    /// Writes the text and closes the connection.
+    RespondAndClose(String),
+    /// Writes the text after this time.
+    RespondAfter(Duration, String),
+    /// Writes the first text, and the second 50 ms later.
+    RespondTwice(String, String),
+    /// Writes nothing and keeps the connection open.
     Hang,
-    Cut,
+    /// Closes the connection without a response.
+    Close,
 }
 
-pub type Log = Arc<Mutex<Vec<Heard>>>;
+pub type RequestLog = Arc<Mutex<Vec<HttpMessage>>>;
 
-/// An address whose queue of connections is full: what is dialed there is not answered.
+/// An address whose accept queue is full, so that connects to it stay pending.
 pub struct Unreachable {
     listener: socket2::Socket,
     pub address: SocketAddr,
-    held: Vec<TcpStream>,
+    queued: Vec<TcpStream>,
 }
 
 impl Unreachable {
@@ -104,104 +113,109 @@
         listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
         listener.listen(0).expect("it listens");
         let address = listener.local_addr().expect("one").as_socket().expect("one");
-        let mut held = vec![TcpStream::connect(address).expect("the queue takes one")];
+        let mut queued = vec![TcpStream::connect(address).expect("the queue takes one")];
         while let Ok(one) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
-            held.push(one);
+            queued.push(one);
         }
-        Self { listener, address, held }
+        Self { listener, address, queued }
     }
 
-    /// Some connection to it waits to come up: the system's table has one in the state SYN-SENT.
+    /// Returns whether a connect to the address is pending: the system's table has one in the state SYN-SENT.
     pub fn is_dialed(&self) -> bool {
         let (port, table) =
             (format!(":{:04X} 02 ", self.address.port()), std::fs::read_to_string("/proc/net/tcp"));
         table.expect("the system's table").contains(&port)
     }
 
-    /// It can be reached from now on.
+    /// Empties the accept queue, so that connects succeed, and returns the listener.
     pub fn listen(self) -> TcpListener {
-        drop(self.held);
+        drop(self.queued);
         self.listener.into()
     }
 }
 
-/// A partner's endpoint. It does what the test says, call by call.
+/// A partner's endpoint. The test's handler decides what it does with each call.
 pub struct Endpoint {
     pub address: SocketAddr,
-    pub heard: Log,
-    pub closed: Arc<Mutex<usize>>,
-    /// How often something was said later.
-    pub late: Arc<Mutex<usize>>,
+    pub requests: RequestLog,
+    pub closed_connections: Arc<Mutex<usize>>,
+    /// How often the second text of `Reply::RespondTwice` was written.
+    pub late_responses: Arc<Mutex<usize>>,
 }
 
 impl Endpoint {
-    pub fn new(does: impl FnMut(&Heard) -> Reply + Send + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), does)
+    pub fn new(handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> Self {
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), handler)
     }
 
-    pub fn on(listener: TcpListener, does: impl FnMut(&Heard) -> Reply + Send + 'static) -> Self {
+    pub fn on(listener: TcpListener, handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> Self {
         let address = listener.local_addr().expect("an address");
-        let (heard, closed, late) = (Log::default(), Arc::<Mutex<usize>>::default(), Arc::default());
-        let (log, ends, does) = (heard.clone(), closed.clone(), Arc::new(Mutex::new(does)));
-        let told_late: Arc<Mutex<usize>> = Arc::clone(&late);
+        let (requests, closed_connections, late_responses) =
+            (RequestLog::default(), Arc::<Mutex<usize>>::default(), Arc::default());
+        let (log, closed, handler) =
+            (requests.clone(), closed_connections.clone(), Arc::new(Mutex::new(handler)));
+        let late_count: Arc<Mutex<usize>> = Arc::clone(&late_responses);
         thread::spawn(move || {
             for (number, stream) in listener.incoming().enumerate() {
-                let (log, ends, does) = (log.clone(), ends.clone(), does.clone());
-                let late = told_late.clone();
+                let (log, closed, handler) = (log.clone(), closed.clone(), handler.clone());
+                let late = late_count.clone();
                 thread::spawn(move || {
                     let Ok(stream) = stream else { return };
                     let mut reader = BufReader::new(&stream);
-                    while let Some(request) = hear(&mut reader, number) {
-                        log.lock().expect("sound").push(request.clone());
-                        let reply = (does.lock().expect("sound"))(&request);
+                    while let Some(request) = read_message(&mut reader, number) {
+                        log.lock().expect("not poisoned").push(request.clone());
+                        let reply = (handler.lock().expect("not poisoned"))(&request);
                         let said = match &reply {
-                            Reply::Say(text) | Reply::Last(text) => (&stream).write_all(text.as_bytes()),
-                            Reply::After(span, text) => {
+                            Reply::Respond(text) | Reply::RespondAndClose(text) => {
+                                (&stream).write_all(text.as_bytes())
+                            }
+                            Reply::RespondAfter(span, text) => {
                                 thread::sleep(*span);
                                 (&stream).write_all(text.as_bytes())
                             }
-                            Reply::Twice(first, later) => {
+                            Reply::RespondTwice(first, later) => {
                                 let said = (&stream).write_all(first.as_bytes());
                                 thread::sleep(Duration::from_millis(50));
                                 let said = said.and_then(|()| (&stream).write_all(later.as_bytes()));
-                                *late.lock().expect("sound") += 1;
+                                *late.lock().expect("not poisoned") += 1;
                                 said
                             }
                             Reply::Hang => continue,
-                            Reply::Cut => break,
+                            Reply::Close => break,
                         };
-                        if said.is_err() || matches!(reply, Reply::Last(_)) {
+                        if said.is_err() || matches!(reply, Reply::RespondAndClose(_)) {
                             break;
                         }
                     }
                     drop(stream);
-                    *ends.lock().expect("sound") += 1;
+                    *closed.lock().expect("not poisoned") += 1;
                 });
             }
         });
-        Self { address, heard, closed, late }
+        Self { address, requests, closed_connections, late_responses }
     }
 
     pub fn calls(&self) -> usize {
-        self.heard.lock().expect("sound").len()
+        self.requests.lock().expect("not poisoned").len()
     }
 
-    pub fn call(&self, n: usize) -> Heard {
-        until("a call", || self.calls() > n);
-        self.heard.lock().expect("sound")[n].clone()
+    /// Waits for the call with this number, counted from 0, and returns it.
+    pub fn call(&self, n: usize) -> HttpMessage {
+        wait_until("a call", || self.calls() > n);
+        self.requests.lock().expect("not poisoned")[n].clone()
     }
 }
 
-/// Discovery and the place for notices.
+/// The platform: the discovery service and the receiver of notices.
 #[derive(Clone)]
 pub struct Platform {
     pub address: SocketAddr,
     pub notices: Arc<Mutex<Vec<String>>>,
-    /// So many requests with notices are turned away first.
-    pub turn_away: Arc<Mutex<usize>>,
+    /// How many of the next requests with notices are rejected with 503.
+    pub notices_to_reject: Arc<Mutex<usize>>,
     pub watches: Arc<Mutex<Vec<Sender<String>>>>,
-    /// Changes that were told, by revision: a watch that begins behind one is told of it.
-    told: Arc<Mutex<Vec<(u64, String)>>>,
+    /// The published changes by revision; a watch that starts below a revision receives that change first.
+    changes: Arc<Mutex<Vec<(u64, String)>>>,
 }
 
 impl Platform {
@@ -210,100 +224,101 @@
         let platform = Self {
             address: listener.local_addr().expect("an address"),
             notices: Arc::default(),
-            turn_away: Arc::default(),
+            notices_to_reject: Arc::default(),
             watches: Arc::default(),
-            told: Arc::default(),
+            changes: Arc::default(),
         };
         let shared = platform.clone();
         thread::spawn(move || {
             for stream in listener.incoming().flatten() {
                 let shared = shared.clone();
-                thread::spawn(move || shared.talk(&stream));
+                thread::spawn(move || shared.serve(&stream));
             }
         });
         platform
     }
 
-    fn talk(&self, mut stream: &TcpStream) {
+    fn serve(&self, mut stream: &TcpStream) {
         let mut reader = BufReader::new(stream);
-        while let Some(request) = hear(&mut reader, 0) {
+        while let Some(request) = read_message(&mut reader, 0) {
             if request.line.starts_with("GET ") {
-                let (tell, told) = channel();
+                let (sender, lines) = channel();
                 let index = request.line.split_once("index=").and_then(|(_, n)| n.parse().ok()).unwrap_or(0);
-                let mut watches = self.watches.lock().expect("sound");
-                let behind = self.told.lock().expect("sound").clone();
-                for (_, line) in behind.into_iter().filter(|(revision, _)| *revision > index) {
-                    let _ = tell.send(line);
+                let mut watches = self.watches.lock().expect("not poisoned");
+                let missed = self.changes.lock().expect("not poisoned").clone();
+                for (_, line) in missed.into_iter().filter(|(revision, _)| *revision > index) {
+                    let _ = sender.send(line);
                 }
-                watches.push(tell);
+                watches.push(sender);
                 drop(watches);
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-                let mut fine = stream.write_all(head.as_bytes()).is_ok();
-                while fine {
-                    // While nothing changes, an empty line comes.
-                    let line = match told.recv_timeout(Duration::from_secs(1)) {
+                let mut is_open = stream.write_all(head.as_bytes()).is_ok();
+                while is_open {
+                    // While nothing changes, an empty line is the heartbeat.
+                    let line = match lines.recv_timeout(Duration::from_secs(1)) {
                         Ok(line) => line + "\n",
                         Err(std::sync::mpsc::RecvTimeoutError::Timeout) => "\n".to_owned(),
                         Err(_) => return,
                     };
-                    fine = write!(stream, "{:x}\r\n{line}\r\n", line.len()).is_ok();
+                    is_open = write!(stream, "{:x}\r\n{line}\r\n", line.len()).is_ok();
                 }
                 return;
             }
-            let away = {
-                let mut left = self.turn_away.lock().expect("sound");
-                let away = *left > 0;
-                *left -= usize::from(away);
-                away
+            let is_rejected = {
+                let mut left = self.notices_to_reject.lock().expect("not poisoned");
+                let is_rejected = *left > 0;
+                *left -= usize::from(is_rejected);
+                is_rejected
             };
-            if !away {
+            if !is_rejected {
                 let text = String::from_utf8(request.body).expect("text");
-                self.notices.lock().expect("sound").extend(text.lines().map(str::to_owned));
+                self.notices.lock().expect("not poisoned").extend(text.lines().map(str::to_owned));
             }
-            let status = if away { "503 No" } else { "204 Fine" };
+            let status = if is_rejected { "503 No" } else { "204 Fine" };
             if write!(stream, "HTTP/1.1 {status}\r\nContent-Length: 0\r\n\r\n").is_err() {
                 return;
             }
         }
     }
 
-    /// Tells all watches of a change.
-    pub fn tell(&self, revision: u64, members: &[String]) {
-        until("a watch", || !self.watches.lock().expect("sound").is_empty());
+    /// Sends a change of the endpoint list to all watches.
+    pub fn publish(&self, revision: u64, members: &[String]) {
+        wait_until("a watch", || !self.watches.lock().expect("not poisoned").is_empty());
         let line =
             format!("{{\"revision\":{revision},\"complete\":false,\"members\":[{}]}}", members.join(","));
-        let mut watches = self.watches.lock().expect("sound");
-        self.told.lock().expect("sound").push((revision, line.clone()));
+        let mut watches = self.watches.lock().expect("not poisoned");
+        self.changes.lock().expect("not poisoned").push((revision, line.clone()));
         watches.retain(|w| w.send(line.clone()).is_ok());
     }
 
-    /// Tells all watches of a change in a value that cannot be read. A watch that begins behind it is told
-    /// whole.
-    pub fn tell_spoilt(&self, revision: u64, members: &[String]) {
-        until("a watch", || !self.watches.lock().expect("sound").is_empty());
+    /// Sends a change to all watches in a form that cannot be parsed. A watch that starts below its revision
+    /// receives the valid form.
+    pub fn publish_malformed(&self, revision: u64, members: &[String]) {
+        wait_until("a watch", || !self.watches.lock().expect("not poisoned").is_empty());
         let line =
             format!("{{\"revision\":{revision},\"complete\":false,\"members\":[{}]}}", members.join(","));
-        let spoilt = line.replace("\"cell\":", "\"cell\":x");
-        let mut watches = self.watches.lock().expect("sound");
-        self.told.lock().expect("sound").push((revision, line));
-        watches.retain(|w| w.send(spoilt.clone()).is_ok());
+        let malformed = line.replace("\"cell\":", "\"cell\":x");
+        let mut watches = self.watches.lock().expect("not poisoned");
+        self.changes.lock().expect("not poisoned").push((revision, line));
+        watches.retain(|w| w.send(malformed.clone()).is_ok());
     }
 
-    /// The notice for a message, once it has come.
+    /// Waits for the notice for a message and returns it.
     pub fn notice(&self, id: u64) -> String {
         let found = || {
-            let notices = self.notices.lock().expect("sound");
+            let notices = self.notices.lock().expect("not poisoned");
             notices.iter().find(|n| n.contains(&format!("{id:016x}"))).cloned()
         };
-        until("a notice", || found().is_some());
-        found().expect("it has come")
+        wait_until("a notice", || found().is_some());
+        found().expect("it has arrived")
     }
 
     pub fn has_notice(&self, id: u64) -> bool {
-        self.notices.lock().expect("sound").iter().any(|n| n.contains(&format!("{id:016x}")))
+        self.notices.lock().expect("not poisoned").iter().any(|n| n.contains(&format!("{id:016x}")))
     }
 }
 
+/// Returns an endpoint's entry in the list.
 pub fn member(id: &str, address: SocketAddr, kind: &str, dest: u64, phase: &str) -> String {
     format!(
         "{{\"id\":\"{id}\",\"host_port\":\"{address}\",\"locality\":\"a\",\"flavor\":\"{kind}\",\
@@ -311,8 +326,8 @@
     )
 }
 
-/// The configuration with the list service there.
-pub fn at(address: &str) -> impl Fn(String) -> String {
+/// Returns a change of the configuration that sets the address of the discovery service.
+pub fn with_discovery(address: &str) -> impl Fn(String) -> String {
     move |text| {
         let (before, rest) = text.split_once("\"discovery\": \"").expect("there");
         let (_, after) = rest.split_once('"').expect("there");
@@ -320,56 +335,60 @@
     }
 }
 
-/// Adds a class whose repeats are known for two seconds.
-pub fn with_keyed_class(text: String) -> String {
+/// Adds the class `keyed` to a configuration, with a deduplication window of two seconds.
+pub fn with_deduplicated_class(text: String) -> String {
     let keyed = r#""classes": [{"name": "keyed", "effect": "deduplicated", "group": "all", "memorySpanS": 2.0,
         "sloS": 1.0, "deadlineS": 60.0, "worth": 1.0},"#;
     text.replace("\"classes\": [", keyed)
 }
 
-/// The program, with its folder. It is killed when dropped.
+/// A sender: a process of the program, with its folder. It is killed when dropped.
 pub struct Node {
     pub folder: tempfile::TempDir,
     pub platform: Platform,
     pub address: SocketAddr,
-    /// Where operators call.
+    /// The operators' address.
     pub admin: SocketAddr,
-    /// The clients' socket, where the test holds it.
-    held: Option<TcpListener>,
+    /// The clients' socket, if the test holds it.
+    client_listener: Option<TcpListener>,
     child: Child,
 }
 
 impl Node {
-    /// Knows these endpoints from the start; `change` alters its configuration.
+    /// Starts a sender whose initial list has these entries; `change` edits its configuration.
     pub fn new(members: &[String], change: impl Fn(String) -> String) -> Self {
         Self::with_operator(members, change, None)
     }
 
-    /// One whose clients' socket the test holds, so that processes may take over from one another.
-    pub fn held(members: &[String]) -> Self {
+    /// Starts a sender that inherits its clients' socket from the test, so that processes can hand over.
+    pub fn with_inherited_socket(members: &[String]) -> Self {
         Self::build(members, |c| c, None, true)
     }
 
-    /// One whose system calls can be made to fail. Gives what controls that beside it; it goes on over
-    /// restarts.
+    /// Starts a sender whose system calls can be made to fail, and returns the controller of the faults. They
+    /// stay in force over restarts.
     pub fn with_faults(members: &[String], change: impl Fn(String) -> String) -> (Self, FaultController) {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
+        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
         (Self::build_in(folder, members, change, None, false), faults)
     }
 
-    /// One whose clients' socket the test holds, and whose system calls can be made to fail.
-    pub fn held_with_faults(members: &[String]) -> (Self, FaultController) {
+    /// Starts a sender that inherits its clients' socket and whose system calls can be made to fail.
+    pub fn with_inherited_socket_and_faults(members: &[String]) -> (Self, FaultController) {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
+        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
         (Self::build_in(folder, members, |text| text, None, true), faults)
     }
 
-    /// One whose clients' socket the test holds, and which has no sockets of its own for a while as it
-    /// starts: so many times in a thousand each.
-    pub fn held_short_of_sockets(members: &[String], per_mille: u32, span: Duration) -> Self {
+    /// Starts a sender that inherits its clients' socket and that, for `span` from its start, fails to create
+    /// sockets of its own with a probability of `per_mille`.
+    pub fn with_inherited_socket_and_failing_sockets(
+        members: &[String],
+        per_mille: u32,
+        span: Duration,
+    ) -> Self {
         let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULTS)).expect("a control file");
+        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
         faults.fail(Fault::Socket, libc::ENFILE, per_mille).expect("set");
         thread::spawn(move || {
             thread::sleep(span);
@@ -378,7 +397,7 @@
         Self::build_in(folder, members, |text| text, None, true)
     }
 
-    /// With an operator's file; in it FOLDER stands for a folder beside the state.
+    /// Starts a sender with an operator's file, in which FOLDER stands for a folder beside the state.
     pub fn with_operator(
         members: &[String],
         change: impl Fn(String) -> String,
@@ -391,9 +410,9 @@
         members: &[String],
         change: impl Fn(String) -> String,
         operator: Option<&str>,
-        holds: bool,
+        inherits_socket: bool,
     ) -> Self {
-        Self::build_in(tempfile::tempdir().expect("a folder"), members, change, operator, holds)
+        Self::build_in(tempfile::tempdir().expect("a folder"), members, change, operator, inherits_socket)
     }
 
     fn build_in(
@@ -401,7 +420,7 @@
         members: &[String],
         change: impl Fn(String) -> String,
         operator: Option<&str>,
-        holds: bool,
+        inherits_socket: bool,
     ) -> Self {
         let platform = Platform::new();
         let text = include_str!("config.json")
@@ -413,74 +432,77 @@
             let text = text.replace("FOLDER", &folder.path().join("recording").display().to_string());
             std::fs::write(folder.path().join("operator.toml"), text).expect("a file");
         }
-        let held = holds.then(|| TcpListener::bind("127.0.0.1:0").expect("a port"));
-        let (child, address, admin) = start(&folder, held.as_ref());
-        let node = Self { folder, platform, address, admin, held, child };
-        assert_eq!(node.ask("GET /up", &[], b"").status(), 200);
+        let client_listener = inherits_socket.then(|| TcpListener::bind("127.0.0.1:0").expect("a port"));
+        let (child, address, admin) = start(&folder, client_listener.as_ref());
+        let node = Self { folder, platform, address, admin, client_listener, child };
+        assert_eq!(node.request("GET /up", &[], b"").status(), 200);
         node
     }
 
-    /// Ends it as SIGKILL does and starts it again.
+    /// Kills the process with SIGKILL and starts it again.
     pub fn restart(&mut self) {
         self.kill();
-        // Only the new process's watch is told of what changes from here on.
-        self.platform.watches.lock().expect("sound").clear();
+        // Changes from here on are sent only to the new process's watch.
+        self.platform.watches.lock().expect("not poisoned").clear();
         self.start_again();
     }
 
     pub fn start_again(&mut self) {
-        (self.child, self.address, self.admin) = start(&self.folder, self.held.as_ref());
+        (self.child, self.address, self.admin) = start(&self.folder, self.client_listener.as_ref());
     }
 
-    /// Starts it, and sends these signals once it says that it has come to this step. Whether it then ends as
-    /// it should.
-    pub fn starts_until(&mut self, step: &str, signals: &[&str]) -> bool {
-        self.child = command(&self.folder, self.held.as_ref()).spawn().expect("the program");
-        self.says_until(step, signals)
+    /// Starts the process and sends it these signals once it logs this step. Returns whether it then exits
+    /// with success.
+    pub fn start_and_signal_at(&mut self, step: &str, signals: &[&str]) -> bool {
+        self.child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
+        self.signal_at_log_line(step, signals)
     }
 
-    fn says_until(&mut self, step: &str, signals: &[&str]) -> bool {
+    fn signal_at_log_line(&mut self, step: &str, signals: &[&str]) -> bool {
         let mut lines = BufReader::new(self.child.stdout.take().expect("its output")).lines();
         while !lines.next().expect("it started").expect("text").contains(step) {}
         signals.iter().for_each(|signal| self.signal(signal));
         thread::spawn(move || lines.for_each(drop));
-        self.exit()
+        self.exited_cleanly()
     }
 
-    /// Starts the next process beside this one, and sends it these signals once it says that it has come to
-    /// this step. Whether it then ends as it should.
-    pub fn next_until(&mut self, step: &str, signals: &[&str]) -> bool {
-        let child = command(&self.folder, self.held.as_ref()).spawn().expect("the program");
+    /// Starts a successor beside the running process and sends it these signals once it logs this step.
+    /// Returns whether it then exits with success.
+    pub fn start_successor_and_signal_at(&mut self, step: &str, signals: &[&str]) -> bool {
+        let child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
         let serves = std::mem::replace(&mut self.child, child);
-        let ended = self.says_until(step, signals);
+        let ended = self.signal_at_log_line(step, signals);
         self.child = serves;
         ended
     }
 
-    /// Starts the next process beside this one, and kills it at the first of these lines; gives that.
-    pub fn next_says(&self, either: &[&str]) -> String {
-        let mut child = command(&self.folder, self.held.as_ref()).spawn().expect("the program");
+    /// Starts a successor beside the running process, kills it at the first log line that contains one of
+    /// these texts, and returns the line.
+    pub fn successor_log_line(&self, either: &[&str]) -> String {
+        let mut child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
         let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
         let mut said = lines.map(|line| line.expect("text"));
-        let found = said.find(|line| either.iter().any(|part| line.contains(part))).expect("it says one");
+        let found = said.find(|line| either.iter().any(|part| line.contains(part))).expect("one is logged");
         child.kill().expect("it runs");
         child.wait().expect("it ended");
         found
     }
 
-    /// Starts the next process beside this one, and gives the old one once the new one is ready.
-    pub fn upgrade(&mut self) -> Old {
-        let (child, address, admin) = start(&self.folder, self.held.as_ref());
+    /// Starts a successor beside the running process, and returns the predecessor once the successor is
+    /// ready.
+    pub fn hand_over(&mut self) -> Predecessor {
+        let (child, address, admin) = start(&self.folder, self.client_listener.as_ref());
         assert_eq!(address, self.address, "one socket for both");
-        let old = Old(std::mem::replace(&mut self.child, child), std::mem::replace(&mut self.admin, admin));
-        until("a yes", || self.say("GET /status").status() == 200);
-        old
+        let predecessor =
+            Predecessor(std::mem::replace(&mut self.child, child), std::mem::replace(&mut self.admin, admin));
+        wait_until("the successor answers operators", || self.admin_request("GET /status").status() == 200);
+        predecessor
     }
 
-    /// The process before the one that was killed serves again.
-    pub fn goes_on_with(&mut self, mut old: Old) {
-        std::mem::swap(&mut self.child, &mut old.0);
-        self.admin = old.1;
+    /// Makes the predecessor the running process again, after its successor was killed.
+    pub fn continue_with(&mut self, mut predecessor: Predecessor) {
+        std::mem::swap(&mut self.child, &mut predecessor.0);
+        self.admin = predecessor.1;
     }
 
     pub fn kill(&mut self) {
@@ -488,7 +510,7 @@
         self.child.wait().expect("it ended");
     }
 
-    /// The system lets it have no more descriptors than so many.
+    /// Limits the process to so many descriptors.
     pub fn limit_descriptors(&self, most: usize) {
         let args = [format!("--pid={}", self.child.id()), format!("--nofile={most}:{most}")];
         assert!(Command::new("prlimit").args(args).status().expect("prlimit").success());
@@ -498,7 +520,7 @@
         self.signal("-TERM");
     }
 
-    /// Replaces the configuration, and says so.
+    /// Replaces the configuration and sends SIGHUP.
     pub fn reload(&self, text: &str) {
         std::fs::write(self.folder.path().join("config.json"), text).expect("a file");
         self.signal("-HUP");
@@ -509,8 +531,8 @@
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
     }
 
-    /// The number of its process.
-    pub fn process(&self) -> u32 {
+    /// Returns the process id.
+    pub fn pid(&self) -> u32 {
         self.child.id()
     }
 
@@ -518,51 +540,52 @@
         std::fs::read_to_string(self.folder.path().join("config.json")).expect("a file")
     }
 
-    pub fn exit(&mut self) -> bool {
-        until("its exit", || self.child.try_wait().expect("a child").is_some());
+    /// Waits for the exit of the process, and returns whether it was successful.
+    pub fn exited_cleanly(&mut self) -> bool {
+        wait_until("its exit", || self.child.try_wait().expect("a child").is_some());
         self.child.wait().expect("a child").success()
     }
 
-    /// An operator's call.
-    pub fn say(&self, line: &str) -> Heard {
-        Client::new(self.admin).ask(line, &[], b"")
+    /// Sends an operator's request and returns the response.
+    pub fn admin_request(&self, line: &str) -> HttpMessage {
+        Client::new(self.admin).request(line, &[], b"")
     }
 
-    pub fn ask(&self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> Heard {
-        Client::new(self.address).ask(line, headers, body)
+    pub fn request(&self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
+        Client::new(self.address).request(line, headers, body)
     }
 
-    /// Hands in a message, and gives the answer.
-    pub fn hand_in(&self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> Heard {
-        Client::new(self.address).hand_in(class, id, dest, ms, body)
+    /// Submits a message on a new connection and returns the response.
+    pub fn submit(&self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
+        Client::new(self.address).submit(class, id, dest, ms, body)
     }
 
-    pub fn journal(&self) -> std::path::PathBuf {
+    pub fn log_path(&self) -> std::path::PathBuf {
         self.folder.path().join("state/0000000001.log")
     }
 }
 
-/// A process that another has taken over from, and where operators called it.
-pub struct Old(pub Child, pub SocketAddr);
+/// A process that has handed over to a successor, and its operators' address.
+pub struct Predecessor(pub Child, pub SocketAddr);
 
-impl Old {
+impl Predecessor {
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
     }
 
-    /// Whether it ended as it should, once it has.
-    pub fn left(&mut self) -> bool {
-        until("its exit", || self.0.try_wait().expect("a child").is_some());
+    /// Waits for the exit of the process, and returns whether it was successful.
+    pub fn exited_cleanly(&mut self) -> bool {
+        wait_until("its exit", || self.0.try_wait().expect("a child").is_some());
         self.0.wait().expect("a child").success()
     }
 
-    pub fn has_left(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         self.0.try_wait().expect("a child").is_some()
     }
 }
 
-impl Drop for Old {
+impl Drop for Predecessor {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
@@ -576,19 +599,19 @@
     }
 }
 
-fn command(folder: &tempfile::TempDir, held: Option<&TcpListener>) -> Command {
+fn command(folder: &tempfile::TempDir, client_listener: Option<&TcpListener>) -> Command {
     let mut command = Command::new(env!("CARGO_BIN_EXE_notchpoint"));
     let operator = folder.path().join("operator.toml");
     if operator.exists() {
         command.arg("--operator").arg(operator);
     }
-    let faults = folder.path().join(FAULTS);
+    let faults = folder.path().join(FAULT_FILE);
     if faults.exists() {
         notchpoint_faults::preload(&faults, &mut command).expect("the shim is built");
     }
-    if let Some(held) = held {
-        // The platform names descriptor 4; a test can hand on the standard input without unsafe code.
-        let socket: std::os::fd::OwnedFd = held.try_clone().expect("a descriptor").into();
+    if let Some(client_listener) = client_listener {
+        // The platform passes descriptor 4; a test can pass the standard input without unsafe code.
+        let socket: std::os::fd::OwnedFd = client_listener.try_clone().expect("a descriptor").into();
         command.stdin(Stdio::from(socket)).env("BALANCER_ACCEPT_FD", "0");
     }
     command
@@ -599,8 +622,11 @@
     command
 }
 
-fn start(folder: &tempfile::TempDir, held: Option<&TcpListener>) -> (Child, SocketAddr, SocketAddr) {
-    let mut child = command(folder, held).spawn().expect("the program");
+fn start(
+    folder: &tempfile::TempDir,
+    client_listener: Option<&TcpListener>,
+) -> (Child, SocketAddr, SocketAddr) {
+    let mut child = command(folder, client_listener).spawn().expect("the program");
     let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
     let mut admin = None;
     let address = loop {
@@ -612,18 +638,18 @@
             break address.parse().expect("an address");
         }
     };
-    // What it says later is read, so that it never blocks on a full pipe.
+    // The rest of the output is read, so that the process never blocks on a full pipe.
     thread::spawn(move || lines.for_each(drop));
     (child, address, admin.expect("an address for operators"))
 }
 
-/// One connection of a client.
+/// A client with one connection.
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
     pub fn new(address: SocketAddr) -> Self {
         let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(LIMIT)).expect("an option");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("an option");
         Self(BufReader::new(stream))
     }
 
@@ -631,48 +657,50 @@
         let mut text = format!("{line} HTTP/1.1\r\nHost: api.internal\r\nContent-Length: {}\r\n", body.len());
         headers.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
         let bytes = [text.as_bytes(), b"\r\n", body].concat();
-        // An answer may come before all is written.
+        // A response may arrive before all is written.
         let _ = self.0.get_mut().write_all(&bytes);
     }
 
-    pub fn ask(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> Heard {
+    pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
         self.send(line, headers, body);
-        hear(&mut self.0, 0).expect("an answer")
+        read_message(&mut self.0, 0).expect("an answer")
     }
 
-    pub fn hand_in(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> Heard {
+    pub fn submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
         let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
         let headers = headers(&id, class, &ms, &dest);
-        self.ask(&format!("POST /{class}"), &headers, body)
+        self.request(&format!("POST /{class}"), &headers, body)
     }
 
-    /// The status, or nothing where the connection ends without an answer, or 400 ms pass.
-    pub fn try_hand_in(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> Option<u16> {
-        self.0.get_ref().set_read_timeout(Some(PATIENCE)).expect("an option");
+    /// Submits a message. Returns the status, or `None` if the connection ends without a response or 400 ms
+    /// pass.
+    pub fn try_submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> Option<u16> {
+        self.0.get_ref().set_read_timeout(Some(CLIENT_TIMEOUT)).expect("an option");
         let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
         self.send(&format!("POST /{class}"), &headers(&id, class, &ms, &dest), body);
-        hear(&mut self.0, 0).map(|heard| heard.status())
+        read_message(&mut self.0, 0).map(|heard| heard.status())
     }
 
-    pub fn raw(&mut self, bytes: &[u8]) {
+    pub fn write_raw(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("written");
     }
 
-    /// What the other side says until it ends the connection.
-    pub fn until_end(&mut self) -> String {
+    /// Reads until the other side closes the connection.
+    pub fn read_to_close(&mut self) -> String {
         let mut said = Vec::new();
         if let Err(e) = self.0.read_to_end(&mut said) {
-            assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "it never ended");
+            assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "the connection was not closed");
         }
         String::from_utf8_lossy(&said).into_owned()
     }
 
-    /// The other side has ended the connection.
-    pub fn ended(&mut self) -> bool {
+    /// Waits for a byte or the end of the connection, and returns whether the other side has closed it.
+    pub fn is_closed(&mut self) -> bool {
         self.0.read(&mut [0; 1]).is_ok_and(|n| n == 0)
     }
 }
 
+/// Returns the headers of a message.
 pub fn headers<'a>(id: &'a str, class: &'a str, ms: &'a str, dest: &'a str) -> [(&'a str, &'a str); 5] {
     let (tenant, class) = (("X-Tenant-Id", "acme"), ("X-Priority-Class", class));
     [("X-Request-ID", id), class, tenant, ("X-Timeout-Ms", ms), ("X-Envelope", dest)]
