--- a/crates/daemon/tests/fleet/fleet.rs
+++ b/crates/daemon/tests/fleet/fleet.rs
@@ -58,6 +58,7 @@
         Self { address, state, streams, bytes_passed }
     }
 
+    /// Closes all connections of the link.
     fn break_all(&self) {
         for stream in self.streams.lock().expect("not poisoned").drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
@@ -84,6 +85,7 @@
     let _ = back.join();
 }
 
+/// Relays bytes in one direction, according to the state of the link.
 fn relay_bytes(
     from: &TcpStream,
     to: &TcpStream,
@@ -473,27 +475,28 @@
             .expect("the program");
         let output = BufReader::new(child.stdout.take().expect("its output"));
         s.child = Some(child);
-        let (log, name, said) = (s.log.clone(), s.name.clone(), s.log.clone());
-        let (tell, told) = std::sync::mpsc::channel();
+        let (log, name, shown_log) = (s.log.clone(), s.name.clone(), s.log.clone());
+        let (ready, address) = std::sync::mpsc::channel();
         thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
                 if std::env::var_os("SHOW").is_some() {
                     println!("{name}: {line}");
                 }
                 if let Some((_, at)) = line.split_once("listening on ") {
-                    let _ = tell.send(at.parse().expect("an address"));
+                    let _ = ready.send(at.parse().expect("an address"));
                 }
                 log.lock().expect("not poisoned").push(line);
             }
         });
         thread::spawn(move || {
-            let listens = told.recv_timeout(Duration::from_secs(30));
-            listens.unwrap_or_else(|e| {
-                panic!("it does not listen: {e}; {:?}", said.lock().expect("not poisoned"))
+            let listening = address.recv_timeout(Duration::from_secs(30));
+            listening.unwrap_or_else(|e| {
+                panic!("it does not listen: {e}; {:?}", shown_log.lock().expect("not poisoned"))
             })
         })
     }
 
+    /// Starts a sender's process and waits until it listens.
     pub fn start(&mut self, i: usize) {
         let started = self.spawn(i);
         self.senders[i].address = started.join().expect("it started");
@@ -508,6 +511,7 @@
         predecessor
     }
 
+    /// Sends a signal to a sender's process.
     pub fn signal(&self, i: usize, name: &str) {
         let pid = self.senders[i].child.as_ref().expect("it runs").id().to_string();
         assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
@@ -540,6 +544,7 @@
         self.update_links(from, to, |w, dialed| if dialed { w.forward = false } else { w.backward = false });
     }
 
+    /// Holds all bytes between two senders.
     pub fn cut(&self, a: usize, b: usize) {
         self.cut_one_way(a, b);
         self.cut_one_way(b, a);
@@ -550,6 +555,7 @@
         (0..self.senders.len()).filter(|&j| j != i).for_each(|j| self.cut(i, j));
     }
 
+    /// Delays the bytes on the links that `from` dials to `to`.
     pub fn delay(&self, from: usize, to: usize, by: Duration) {
         self.links[&(from, to)].state.lock().expect("not poisoned").delay = by;
     }
@@ -584,6 +590,7 @@
         }
     }
 
+    /// Sets what all endpoints do with calls.
     pub fn set_behavior(&self, behavior: Behavior) {
         self.endpoint_state.lock().expect("not poisoned").behavior = Some(behavior);
     }
@@ -615,6 +622,7 @@
         }
     }
 
+    /// Submits a message for destination 3 to a sender and returns the response.
     pub fn submit(&self, i: usize, class: &str, id: u64, ms: u64) -> HttpMessage {
         Client::new(self.senders[i].address).submit(class, id, 3, ms, b"hello")
     }
@@ -623,13 +631,14 @@
     /// ids that were acknowledged.
     pub fn submit_many(&self, i: usize, ids: std::ops::Range<u64>, ms: u64) -> Vec<u64> {
         let mut client = Client::new(self.senders[i].address);
-        let mut taken = |id: &u64| {
+        let mut is_accepted = |id: &u64| {
             let class = if id.is_multiple_of(2) { "payment" } else { "update" };
             client.submit(class, *id, 3, ms, b"hello").status() == 202
         };
-        ids.filter(|id| taken(id)).collect()
+        ids.filter(|id| is_accepted(id)).collect()
     }
 
+    /// Returns how many calls endpoints received for a message, except in zones that are down.
     pub fn calls(&self, id: u64) -> usize {
         self.endpoint_state
             .lock()
@@ -640,6 +649,7 @@
             .unwrap_or(0)
     }
 
+    /// Returns how often a message ran at endpoints.
     pub fn runs(&self, id: u64) -> usize {
         self.endpoint_state
             .lock()
@@ -654,10 +664,12 @@
         self.endpoint_state.lock().expect("not poisoned").answered.contains(&format!("{id:016x}"))
     }
 
+    /// Returns whether a message was answered by an endpoint or has a notice.
     pub fn has_ended(&self, id: u64) -> bool {
         self.was_answered(id) || self.platform.has_notice(id)
     }
 
+    /// Waits until all these messages have ended.
     pub fn wait_until_all_ended(&self, ids: &[u64]) {
         let open = || ids.iter().filter(|id| !self.has_ended(**id)).count();
         let begun = Instant::now();
@@ -672,14 +684,14 @@
     /// Asserts that each payment ran at most once, and that none which ran was reported as bounced (safe to
     /// submit again).
     pub fn assert_nothing_twice(&self, ids: &[u64]) {
-        let bounced = |id: u64| {
+        let is_bounced = |id: u64| {
             let notices = self.platform.notices.lock().expect("not poisoned");
             let name = format!("{id:016x}");
             notices.iter().any(|n| n.contains(&name) && n.contains("bounced"))
         };
         for &id in ids.iter().filter(|id| id.is_multiple_of(2)) {
             assert!(self.runs(id) <= 1, "payment {id} ran {} times", self.runs(id));
-            assert!(self.runs(id) == 0 || !bounced(id), "payment {id} ran and was bounced");
+            assert!(self.runs(id) == 0 || !is_bounced(id), "payment {id} ran and was bounced");
         }
     }
 
@@ -709,20 +721,23 @@
     /// have ended, and all senders report that another loss can be borne.
     pub fn lose_and_replace(&mut self, lost: &[usize]) {
         let n = self.senders.len();
-        let gone = |i: usize| format!("n{i} has failed or is unreachable");
+        let failure_text = |i: usize| format!("n{i} has failed or is unreachable");
         let others: Vec<usize> = (0..n).filter(|i| !lost.contains(i)).collect();
-        let knew = |fleet: &Self| -> usize {
-            let told = |&at: &usize| lost.iter().map(|&i| fleet.log_count(at, &gone(i))).sum::<usize>();
-            others.iter().map(told).sum()
+        let known_losses = |fleet: &Self| -> usize {
+            let reports =
+                |&at: &usize| lost.iter().map(|&i| fleet.log_count(at, &failure_text(i))).sum::<usize>();
+            others.iter().map(reports).sum()
         };
-        let before = knew(self);
+        let before = known_losses(self);
         lost.iter().for_each(|&i| self.lose_machine(i));
         self.set_behavior(Behavior::Serve);
         let starts: Vec<_> = lost.iter().map(|&i| (i, self.spawn(i))).collect();
         for (i, started) in starts {
             self.senders[i].address = started.join().expect("it started");
         }
-        wait_until("all others know of the loss", || knew(self) >= before + lost.len() * others.len());
+        wait_until("all others know of the loss", || {
+            known_losses(self) >= before + lost.len() * others.len()
+        });
         self.wait_until_redundant();
     }
 
@@ -769,10 +784,12 @@
 
 const ZONES: [char; 3] = ['a', 'b', 'c'];
 
+/// Returns the zone of a sender.
 fn zone(i: usize) -> char {
     ZONES[i % 3]
 }
 
+/// Records a call at an endpoint and returns the reply that the test's settings call for.
 fn handle_call(endpoint_state: &Mutex<EndpointState>, zone: char, dest: u64, call: &HttpMessage) -> Reply {
     let id = call.header("x-request-id").to_owned();
     let mut all = endpoint_state.lock().expect("not poisoned");
--- a/crates/daemon/tests/fleet/main.rs
+++ b/crates/daemon/tests/fleet/main.rs
@@ -14,6 +14,7 @@
 use std::time::Duration;
 use world::{Client, headers, wait_until};
 
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
 
 #[test]
@@ -38,9 +39,9 @@
     // If the sender is lost before a replica has the message, its client must not have received 202.
     let mut fleet = Fleet::new(3, 1);
     fleet.isolate(0);
-    let answer = fleet.submit(0, "payment", 2, LONG);
-    assert_eq!(answer.status(), 503);
-    assert!(!answer.header("retry-after").is_empty(), "the response has Retry-After");
+    let response = fleet.submit(0, "payment", 2, LONG);
+    assert_eq!(response.status(), 503);
+    assert!(!response.header("retry-after").is_empty(), "the response has Retry-After");
     fleet.wait_for_log(0, "too few replicas: 1 messages refused");
     fleet.lose_machine(0);
     fleet.heal();
@@ -67,15 +68,15 @@
     // The sender is stopped first, so that it sends nothing more, whatever its links still hold.
     fleet.signal(0, "-STOP");
     client.set_read_timeout(Some(Duration::from_millis(50))).expect("an option");
-    let mut heard = [0; 12];
-    let heard =
-        client.read(&mut heard).is_ok_and(|n| n > 0).then(|| String::from_utf8_lossy(&heard).into_owned());
-    assert!(heard.as_ref().is_none_or(|h| !h.ends_with("202")), "acknowledged too early: {heard:?}");
+    let mut bytes = [0; 12];
+    let received =
+        client.read(&mut bytes).is_ok_and(|n| n > 0).then(|| String::from_utf8_lossy(&bytes).into_owned());
+    assert!(received.as_ref().is_none_or(|h| !h.ends_with("202")), "acknowledged too early: {received:?}");
     fleet.lose_machine(0);
     fleet.heal();
     assert_eq!(fleet.submit(1, "payment", 4, LONG).status(), 202);
     fleet.wait_until_all_ended(&[4]);
-    if heard.is_none() {
+    if received.is_none() {
         // The new owner cannot know what the client received, so it ends the message: that is safe in both
         // cases.
         fleet.wait_until_all_ended(&[2]);
--- a/crates/daemon/tests/fleet/zones.rs
+++ b/crates/daemon/tests/fleet/zones.rs
@@ -9,6 +9,7 @@
 
 const SENDERS: usize = 6;
 
+/// Starts a fleet that watches zones and evacuates none.
 fn watching_fleet() -> Fleet {
     Fleet::with(&FleetOptions { notes: true, zones: true, ..FleetOptions::of(SENDERS, 0) })
 }
@@ -51,10 +52,12 @@
 const FAILING: &str = "zones: b is failing";
 const ISOLATED: &str = "zones: this sender is isolated";
 
+/// Waits until the log of each sender contains this text.
 fn wait_for_log_of_all(fleet: &Fleet, what: &str) {
     (0..SENDERS).for_each(|i| fleet.wait_for_log(i, what));
 }
 
+/// Asserts that no sender's log contains this text.
 fn assert_not_logged(fleet: &Fleet, what: &str) {
     (0..SENDERS).for_each(|i| assert_eq!(fleet.log_count(i, what), 0, "n{i}: {what}"));
 }
@@ -129,12 +132,14 @@
     zone_status(fleet, i, zone).is_none_or(|z| z.2 >= 1.0)
 }
 
-fn wait_until_all_left(fleet: &Fleet, zone: &str) {
+/// Waits until each sender gives the zone less than its full share.
+fn wait_until_all_evacuated(fleet: &Fleet, zone: &str) {
     wait_until(&format!("all senders evacuate {zone}"), || {
         (0..SENDERS).all(|i| !has_full_share(fleet, i, zone))
     });
 }
 
+/// Waits until each sender gives the zone its full share.
 fn wait_until_all_returned(fleet: &Fleet, zone: &str) {
     wait_until(&format!("all senders return to {zone}"), || {
         (0..SENDERS).all(|i| has_full_share(fleet, i, zone))
@@ -154,7 +159,7 @@
     wait_until("calls", || all() >= before + n);
 }
 
-const LEFT: &str = "zones: b is left";
+const EVACUATED: &str = "zones: b is left";
 
 #[test]
 fn failing_zone_is_evacuated_by_all_and_the_return_keeps_within_its_endpoints_capacity() {
@@ -166,7 +171,7 @@
     wait_for_calls(&fleet, 1_500);
     let usual = zone_calls_since(&fleet, 'b', begun) as f64 / 3.0 / begun.elapsed().as_secs_f64();
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     assert_not_logged(&fleet, "zones: a is left");
     assert_not_logged(&fleet, "zones: c is left");
     println!("{}", fleet.status_of(0, "zones").expect("a status"));
@@ -218,7 +223,7 @@
     fleet.endpoint_state.lock().expect("not poisoned").down_destinations = None;
     fleet.set_zone_down('b', true);
     wait_for_log_of_all(&fleet, ISOLATED);
-    assert_not_logged(&fleet, LEFT);
+    assert_not_logged(&fleet, EVACUATED);
 }
 
 #[test]
@@ -245,14 +250,14 @@
     drop(load);
     fleet.set_zone_down('b', true);
     let load = Load::on(&fleet, 0..SENDERS);
-    fleet.wait_for_log_of_any(LEFT);
+    fleet.wait_for_log_of_any(EVACUATED);
     drop(load);
     for i in [0, 4] {
         fleet.kill(i);
         fleet.start(i);
     }
     let load = Load::on(&fleet, 0..SENDERS);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     fleet.set_zone_down('b', false);
     fleet.wait_for_log_of_any("zones: b is returned to");
     drop(load);
@@ -270,7 +275,7 @@
 }
 
 #[test]
-fn a_sender_that_is_stopped_while_the_others_leave_and_return_follows_once_it_goes_on() {
+fn sender_stopped_during_an_evacuation_and_during_the_return_follows_once_it_continues() {
     let fleet = evacuating_fleet();
     let _load = Load::on(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
@@ -278,7 +283,7 @@
     fleet.set_zone_down('b', true);
     wait_until("the others evacuate b", || (0..5).all(|i| !has_full_share(&fleet, i, "b")));
     fleet.signal(5, "-CONT");
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     fleet.signal(3, "-STOP");
     fleet.set_zone_down('b', false);
     wait_until("the others return to b", || [0, 1, 2, 4, 5].iter().all(|&i| has_full_share(&fleet, i, "b")));
@@ -299,7 +304,7 @@
     wait_until("the others evacuate b", || [0, 1, 2, 4, 5].iter().all(|&i| !has_full_share(&fleet, i, "b")));
     assert!(has_full_share(&fleet, 3, "b"), "n3 evacuated the zone on its own");
     fleet.heal();
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     fleet.wait_for_log(3, "enough other senders have the same state");
 }
 
@@ -311,8 +316,8 @@
     fleet.set_zone_down('b', true);
     std::thread::sleep(Duration::from_secs(2));
     fleet.set_zone_down('c', true);
-    wait_until_all_left(&fleet, "b");
-    wait_until_all_left(&fleet, "c");
+    wait_until_all_evacuated(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "c");
     fleet.set_zone_down('a', true);
     // Calls fail in zone a too, and no endpoint responds.
     wait_for_calls(&fleet, 200);
@@ -329,7 +334,7 @@
     let _load = Load::on(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     let failed = |n: u64| {
         let row = |i| fleet.status_of(i, "zones").and_then(|z| z["found"]["b"]["failed_in_a_row"].as_u64());
         (0..SENDERS).all(|i| row(i).is_some_and(|f| f >= n))
@@ -361,7 +366,7 @@
         }
     };
     write("[zones]\nleave = true\nout = [\"b\"]\n");
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     let since = Instant::now();
     wait_for_calls(&fleet, 500);
     assert!(zone_calls_since(&fleet, 'b', since) <= 60, "more than the calls that were in flight");
@@ -386,7 +391,7 @@
     let up = |i: usize| Client::new(fleet.senders[i].address).request("GET /up", &[], b"").status() == 200;
     assert!((0..SENDERS).all(up));
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     wait_until("the senders of b redirect clients", || !up(1) && !up(4));
     assert!([0, 2, 3, 5].into_iter().all(up));
     // A client that connects all the same is served, with an endpoint of another zone.
@@ -407,7 +412,7 @@
     // The notes of n2 reach no other sender, and n2 receives the notes of all.
     (0..SENDERS).filter(|&j| j != 2).for_each(|j| fleet.cut_one_way(2, j));
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     fleet.set_zone_down('b', false);
     wait_until_all_returned(&fleet, "b");
     let terms: Vec<_> = (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|z| z.1)).collect();
@@ -421,7 +426,7 @@
     wait_for_calls(&fleet, 1_500);
     fleet.endpoint_state.lock().expect("not poisoned").down_destinations = Some([3, 4].into());
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     let since = Instant::now();
     wait_for_calls(&fleet, 3_000);
     let endpoint_state = fleet.endpoint_state.lock().expect("not poisoned");
@@ -441,7 +446,7 @@
         .publish(50, &[fleet.list_entry('a', 5, "s", "removed"), fleet.list_entry('c', 5, "s", "removed")]);
     wait_for_calls(&fleet, 500);
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     // Messages for it wait for the zone and are delivered in it, at every sender.
     let ids: Vec<u64> = (0..SENDERS as u64).map(|i| 7_000 + i).collect();
     for (i, &id) in ids.iter().enumerate() {
@@ -459,7 +464,7 @@
     let _load = Load::on(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.set_zone_down('b', true);
-    wait_until_all_left(&fleet, "b");
+    wait_until_all_evacuated(&fleet, "b");
     let lines =
         |name, phase| -> Vec<String> { (3..6).map(|d| fleet.list_entry('b', d, name, phase)).collect() };
     fleet.platform.publish(50, &lines("s", "removed"));
--- a/crates/daemon/tests/sockets/closing.rs
+++ b/crates/daemon/tests/sockets/closing.rs
@@ -1,7 +1,7 @@
 //! Requests that are still in transit while the sender closes a connection.
 
 use crate::world::*;
-use crate::{LONG, ok, one};
+use crate::{LONG, ok, start_with_endpoint};
 use std::io::{Read, Write};
 use std::net::TcpStream;
 use std::time::{Duration, Instant};
@@ -24,25 +24,25 @@
 
 /// Reads until the connection is closed, and asserts that it is not reset: a reset discards unread responses.
 fn read_all(stream: &mut TcpStream) -> String {
-    let mut said = Vec::new();
-    stream.read_to_end(&mut said).expect("an orderly end");
-    String::from_utf8_lossy(&said).into_owned()
+    let mut received = Vec::new();
+    stream.read_to_end(&mut received).expect("an orderly end");
+    String::from_utf8_lossy(&received).into_owned()
 }
 
 #[test]
 fn response_before_the_end_of_a_request_is_not_lost_by_a_reset() {
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = connect(&node);
     let all = [request(1, MORE_THAN_BUFFERS).as_bytes(), &vec![b'x'; MORE_THAN_BUFFERS]].concat();
     client.write_all(&all).expect("all is read although the response is known long before");
-    let said = read_all(&mut client);
-    assert!(said.starts_with("HTTP/1.1 413") && said.contains("connection: close"), "{said}");
+    let received = read_all(&mut client);
+    assert!(received.starts_with("HTTP/1.1 413") && received.contains("connection: close"), "{received}");
     assert_eq!(endpoint.calls(), 0);
 }
 
 #[test]
 fn pipelined_requests_at_the_exit_of_a_process_are_all_answered_and_none_is_sent() {
-    let (mut node, endpoint) = one("shop", |_| ok());
+    let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = connect(&node);
     node.terminate();
     wait_until("the sender drains", || node.request("GET /up", &[], b"").status() == 503);
@@ -52,16 +52,16 @@
         .flat_map(|id| [request(id, 60_000).as_bytes(), &body].concat())
         .collect();
     client.write_all(&all).expect("all requests are read");
-    let said = read_all(&mut client);
-    assert!(said.starts_with("HTTP/1.1 503") && said.contains("connection: close"), "{said}");
-    assert_eq!(count_responses(&said, 503), MORE_THAN_BUFFERS / 60_000, "each that was read is answered");
+    let received = read_all(&mut client);
+    assert!(received.starts_with("HTTP/1.1 503") && received.contains("connection: close"), "{received}");
+    assert_eq!(count_responses(&received, 503), MORE_THAN_BUFFERS / 60_000, "each that was read is answered");
     assert!(node.exited_cleanly());
     assert_eq!(endpoint.calls(), 0);
 }
 
 #[test]
 fn client_that_keeps_its_side_open_or_sends_endlessly_does_not_delay_the_exit() {
-    let (mut node, _endpoint) = one("shop", |_| ok());
+    let (mut node, _endpoint) = start_with_endpoint("shop", |_| ok());
     let (quiet, mut endless) = (connect(&node), connect(&node));
     let (mut reads, mut writes) = (quiet.try_clone().expect("a handle"), endless.try_clone().expect("one"));
     for client in [&quiet, &endless] {
@@ -74,9 +74,9 @@
         while begun.elapsed() < Duration::from_secs(20) && writes.write_all(&[b'x'; 64 << 10]).is_ok() {}
         begun.elapsed()
     });
-    let mut said = [0; 12];
-    endless.read_exact(&mut said).expect("an answer");
-    assert_eq!(&said, b"HTTP/1.1 413");
+    let mut received = [0; 12];
+    endless.read_exact(&mut received).expect("a response");
+    assert_eq!(&received, b"HTTP/1.1 413");
     assert!(
         flood.join().expect("it ended") < Duration::from_secs(10),
         "the sender reads on for a limited time only"
@@ -88,7 +88,7 @@
 
 #[test]
 fn request_after_the_close_of_an_idle_connection_is_not_sent() {
-    let (mut node, endpoint) = one("shop", |_| ok());
+    let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = Client::new(node.address);
     assert_eq!(client.submit("update", 1, 3, LONG, b"x").status(), 202);
     wait_until("its call", || endpoint.calls() == 1);
@@ -102,7 +102,7 @@
 
 #[test]
 fn connection_accepted_during_the_exit_of_the_process_is_answered() {
-    let (mut node, endpoint) = one("shop", |_| ok());
+    let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut idle = Client::new(node.address);
     assert_eq!(idle.request("GET /up", &[], b"").status(), 200);
     node.terminate();
@@ -111,22 +111,22 @@
     let mut client = connect(&node);
     std::thread::sleep(Duration::from_millis(50));
     client.write_all(&[request(1, 1).as_bytes(), b"x"].concat()).expect("written");
-    let said = read_all(&mut client);
-    assert!(said.starts_with("HTTP/1.1 503") && said.contains("connection: close"), "{said:?}");
+    let received = read_all(&mut client);
+    assert!(received.starts_with("HTTP/1.1 503") && received.contains("connection: close"), "{received:?}");
     assert!(node.exited_cleanly());
     assert_eq!(endpoint.calls(), 0);
 }
 
 /// Returns the number of responses with this status.
-fn count_responses(said: &str, status: u16) -> usize {
-    said.matches(&format!("HTTP/1.1 {status}")).count()
+fn count_responses(received: &str, status: u16) -> usize {
+    received.matches(&format!("HTTP/1.1 {status}")).count()
 }
 
 #[test]
 fn requests_that_were_read_together_are_all_answered_before_the_connection_is_closed() {
     // The first request is read in part at SIGTERM; its rest arrives together with many more requests.
     const MORE_REQUESTS: u64 = 40;
-    let (mut node, endpoint) = one("shop", |_| ok());
+    let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = connect(&node);
     let first = request(1, 1);
     client.write_all(first.as_bytes()).expect("written");
@@ -135,23 +135,27 @@
     wait_until("the sender drains", || node.request("GET /up", &[], b"").status() == 503);
     let rest: String = (2..=MORE_REQUESTS).map(|id| request(id, 1) + "x").collect();
     client.write_all(format!("x{rest}").as_bytes()).expect("written");
-    let said = read_all(&mut client);
-    assert_eq!(count_responses(&said, 503), MORE_REQUESTS as usize, "{said}");
-    assert_eq!(said.matches("connection: close").count(), 1, "only the last response has the header: {said}");
+    let received = read_all(&mut client);
+    assert_eq!(count_responses(&received, 503), MORE_REQUESTS as usize, "{received}");
+    assert_eq!(
+        received.matches("connection: close").count(),
+        1,
+        "only the last response has the header: {received}"
+    );
     assert!(node.exited_cleanly());
     assert_eq!(endpoint.calls(), 0);
 }
 
 #[test]
 fn client_that_stops_within_its_second_request_is_closed_in_time() {
-    let (node, _endpoint) = one("shop", |_| ok());
+    let (node, _endpoint) = start_with_endpoint("shop", |_| ok());
     for stop in [5, 40, request(2, 1).len()] {
         let mut client = connect(&node);
         let all = request(1, 1) + "x" + &request(2, 1)[..stop];
         let begun = Instant::now();
         client.write_all(all.as_bytes()).expect("written");
-        let said = read_all(&mut client);
-        assert!(said.starts_with("HTTP/1.1 202"), "{said}");
+        let received = read_all(&mut client);
+        assert!(received.starts_with("HTTP/1.1 202"), "{received}");
         assert!(begun.elapsed() < Duration::from_secs(3), "stopped at {stop}: {:?}", begun.elapsed());
     }
 }
--- a/crates/daemon/tests/sockets/delays.rs
+++ b/crates/daemon/tests/sockets/delays.rs
@@ -56,14 +56,14 @@
     let mut client = Client::new(node.address);
     let (id, ms) = (format!("{:016x}", 1), TIME.as_millis().to_string());
     let lines = headers(&id, "payment", &ms, "dest=9").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
-    let whole = format!("POST /payment HTTP/1.1\r\nHost: api\r\nContent-Length: 1\r\n{lines}\r\nx");
-    client.write_raw(&whole.as_bytes()[..40]);
+    let request = format!("POST /payment HTTP/1.1\r\nHost: api\r\nContent-Length: 1\r\n{lines}\r\nx");
+    client.write_raw(&request.as_bytes()[..40]);
     assert_eq!(node.request("GET /up", &[], b"").status(), 200);
     let _predecessor = node.hand_over();
     // The predecessor has read its beginning, and the successor records it.
     faults.delay_writes(SLOW).expect("set");
     let begun = Instant::now();
-    client.write_raw(&whole.as_bytes()[40..]);
+    client.write_raw(&request.as_bytes()[40..]);
     assert!(client.read_to_close().starts_with("HTTP/1.1 202"), "it is accepted");
     faults.delay_writes(Duration::ZERO).expect("set");
     assert_ended_by(&node, 1, begun + TIME);
@@ -81,10 +81,10 @@
 /// Kills the sender and starts it again while its address is in use by another listener for a while.
 fn restart_without_address(node: &mut Node, address: SocketAddr) {
     node.kill();
-    let taken = TcpListener::bind(address).expect("it is free");
+    let listener = TcpListener::bind(address).expect("it is free");
     let other = thread::spawn(move || {
         thread::sleep(ADDRESS_TAKEN_FOR);
-        drop(taken);
+        drop(listener);
     });
     node.start_again();
     other.join().expect("it is free again");
--- a/crates/daemon/tests/sockets/faults.rs
+++ b/crates/daemon/tests/sockets/faults.rs
@@ -14,22 +14,27 @@
 const MAX_ATTEMPTS_PER_SECOND: u64 = 20;
 
 /// Starts a sender with one endpoint of destination 3 and a fault controller.
-fn one(does: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> (Node, Endpoint, FaultController) {
-    let endpoint = Endpoint::new(does);
+fn start_with_faults(
+    handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static,
+) -> (Node, Endpoint, FaultController) {
+    let endpoint = Endpoint::new(handler);
     let (node, faults) = Node::with_faults(&[member("s-1", endpoint.address, "shop", 3, "up")], |text| text);
     (node, endpoint, faults)
 }
 
 /// Asserts that the fault was injected, and not more often than paced attempts allow.
-fn assert_paced(faults: &FaultController, what: Fault, span: Duration) {
-    let injected = faults.injected_count(what).expect("a count");
-    assert!(injected > 0, "{what:?} was never injected");
-    assert!(injected < MAX_ATTEMPTS_PER_SECOND * span.as_secs(), "{what:?}: {injected} attempts in {span:?}");
+fn assert_paced(faults: &FaultController, fault: Fault, span: Duration) {
+    let injected = faults.injected_count(fault).expect("a count");
+    assert!(injected > 0, "{fault:?} was never injected");
+    assert!(
+        injected < MAX_ATTEMPTS_PER_SECOND * span.as_secs(),
+        "{fault:?}: {injected} attempts in {span:?}"
+    );
 }
 
 #[test]
 fn local_connect_error_uses_no_attempt_and_opens_no_breaker() {
-    let (node, endpoint, faults) = one(|_| response("200 OK", "", ""));
+    let (node, endpoint, faults) = start_with_faults(|_| response("200 OK", "", ""));
     faults.fail(Fault::Connect, libc::EADDRNOTAVAIL, ALWAYS).expect("set");
     for (id, class) in [(1, "payment"), (2, "update")] {
         assert_eq!(node.submit(class, id, 3, LONG, b"x").status(), 202);
@@ -46,7 +51,7 @@
 
 #[test]
 fn attempt_that_cannot_be_recorded_is_not_made_and_is_retried_at_a_limited_rate() {
-    let (node, endpoint, faults) = one(|_| {
+    let (node, endpoint, faults) = start_with_faults(|_| {
         thread::sleep(Duration::from_millis(300));
         response("200 OK", "", "")
     });
@@ -69,17 +74,17 @@
 fn start_waits_for_a_folder_that_fails_for_a_while() {
     let endpoint = Endpoint::new(|_| response("200 OK", "", ""));
     let known = [member("s-1", endpoint.address, "shop", 3, "draining")];
-    for (what, errno) in [(Fault::FileWrite, libc::ENOSPC), (Fault::FileOperation, libc::EIO)] {
+    for (fault, errno) in [(Fault::FileWrite, libc::ENOSPC), (Fault::FileOperation, libc::EIO)] {
         let (mut node, faults) = Node::with_faults(&known, |text| text);
         assert_eq!(node.submit("payment", 1, 3, LONG, b"x").status(), 202);
         node.kill();
         // A partial write as a kill leaves it: the start has to truncate the log.
         let mut log = std::fs::OpenOptions::new().append(true).open(node.log_path()).expect("the log");
         std::io::Write::write_all(&mut log, &[7; 20]).expect("written");
-        faults.fail(what, errno, ALWAYS).expect("set");
+        faults.fail(fault, errno, ALWAYS).expect("set");
         let healer = thread::spawn(move || {
             thread::sleep(Duration::from_secs(3));
-            let injected = faults.injected_count(what).expect("a count");
+            let injected = faults.injected_count(fault).expect("a count");
             faults.clear().expect("set");
             (injected, faults)
         });
@@ -88,7 +93,7 @@
         assert_eq!(node.request("GET /up", &[], b"").status(), 200);
         let took = begun.elapsed();
         let (injected, _faults) = healer.join().expect("it healed");
-        assert!(injected > 0, "{what:?} was never injected");
+        assert!(injected > 0, "{fault:?} was never injected");
         assert!(took < Duration::from_secs(5), "ready only after {took:?}");
         assert!(!node.platform.has_notice(1), "the accepted message is still open");
         assert_eq!(node.submit("payment", 2, 3, LONG, b"x").status(), 202);
@@ -98,7 +103,7 @@
 #[test]
 fn outcome_that_could_not_be_recorded_is_recorded_later_without_other_traffic() {
     // Refused with 429 while nothing can be written: the call never ran, and the kill must not lose that.
-    let (mut node, endpoint, faults) = one({
+    let (mut node, endpoint, faults) = start_with_faults({
         let mut first = true;
         move |_| {
             thread::sleep(Duration::from_millis(300));
@@ -151,19 +156,19 @@
 #[test]
 fn interrupted_short_or_transiently_failing_socket_calls_lose_no_request() {
     const EACH: usize = 40;
-    let (node, endpoint, faults) = one(|_| response("200 OK", "", ""));
+    let (node, endpoint, faults) = start_with_faults(|_| response("200 OK", "", ""));
     let kinds = [
         (Fault::SocketIo, libc::EINTR, 300),
         (Fault::ShortIo, 0, 700),
         (Fault::Accept, libc::ECONNABORTED, 500),
         (Fault::NoDelay, libc::ENOBUFS, 500),
     ];
-    for (round, (what, errno, per_mille)) in (1..).zip(kinds) {
-        faults.fail(what, errno, per_mille).expect("set");
+    for (round, (fault, errno, per_mille)) in (1..).zip(kinds) {
+        faults.fail(fault, errno, per_mille).expect("set");
         let first = round as u64 * 1_000;
-        assert_eq!(count_accepted(&node, first..first + EACH as u64), EACH, "{what:?}");
+        assert_eq!(count_accepted(&node, first..first + EACH as u64), EACH, "{fault:?}");
         wait_until("a call of each", || endpoint.calls() >= round * EACH);
-        assert!(faults.injected_count(what).expect("a count") > 0, "{what:?} was never injected");
+        assert!(faults.injected_count(fault).expect("a count") > 0, "{fault:?} was never injected");
         faults.clear().expect("set");
     }
     assert_eq!(endpoint.calls(), kinds.len() * EACH, "each once");
@@ -206,12 +211,12 @@
         let text = with_discovery(&elsewhere.address.to_string())(node.config());
         faults.fail(Fault::FileRead, errno, ALWAYS).expect("set");
         node.reload(&text);
-        let told = Instant::now();
+        let signalled = Instant::now();
         thread::sleep(Duration::from_millis(1_500));
         faults.clear().expect("set");
         elsewhere.publish(99, &[entry, member("s-1", old.address, "shop", 3, "draining")]);
         // 4 s after the signal a change that only the new service sends must be known.
-        thread::sleep(Duration::from_secs(4).saturating_sub(told.elapsed()));
+        thread::sleep(Duration::from_secs(4).saturating_sub(signalled.elapsed()));
         let calls = old.calls();
         for id in 1..=5 {
             assert_eq!(node.submit("update", id, 3, LONG, b"x").status(), 202);
@@ -231,10 +236,10 @@
     assert_ne!(text, node.config(), "a class changes");
     faults.fail(Fault::FileWrite, libc::ENOSPC, ALWAYS).expect("set");
     node.reload(&with_discovery(&elsewhere.address.to_string())(text));
-    let told = Instant::now();
+    let signalled = Instant::now();
     // The address of the discovery service is not stored in the folder.
     wait_until("a watch at the new service", || !elsewhere.watches.lock().expect("not poisoned").is_empty());
-    assert!(told.elapsed() < Duration::from_secs(1), "only after {:?}", told.elapsed());
+    assert!(signalled.elapsed() < Duration::from_secs(1), "only after {:?}", signalled.elapsed());
     wait_until("a failed write of the classes", || {
         faults.injected_count(Fault::FileWrite).expect("a count") > 0
     });
@@ -283,7 +288,7 @@
 fn transient_lack_of_system_memory_closes_no_connection() {
     // recv and send may fail with these errors on an intact connection.
     const EACH: usize = 40;
-    let (node, endpoint, faults) = one(|_| response("200 OK", "", ""));
+    let (node, endpoint, faults) = start_with_faults(|_| response("200 OK", "", ""));
     for (round, errno) in (1..).zip([libc::ENOMEM, libc::ENOBUFS]) {
         faults.fail(Fault::SocketIo, errno, 300).expect("set");
         let first = round as u64 * 1_000;
@@ -319,7 +324,7 @@
 fn connection_that_cannot_be_registered_with_epoll_is_not_blamed_on_the_endpoint() {
     // Each call needs a connection of its own.
     let closing = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 0\r\n\r\n";
-    let (node, endpoint, faults) = one(move |_| Reply::RespondAndClose(closing.to_owned()));
+    let (node, endpoint, faults) = start_with_faults(move |_| Reply::RespondAndClose(closing.to_owned()));
     let mut client = Client::new(node.address);
     assert_eq!(client.submit("payment", 1, 3, LONG, b"x").status(), 202);
     wait_until("a first call", || endpoint.calls() == 1);
@@ -337,7 +342,7 @@
 
 #[test]
 fn signals_are_handled_while_socket_calls_are_interrupted() {
-    let (mut node, endpoint, faults) = one(|_| response("200 OK", "", ""));
+    let (mut node, endpoint, faults) = start_with_faults(|_| response("200 OK", "", ""));
     faults.fail(Fault::SocketIo, libc::EINTR, 500).expect("set");
     for id in 1..=20 {
         node.signal("-HUP");
@@ -353,7 +358,7 @@
 #[test]
 fn process_pauses_between_retries_while_all_socket_calls_are_interrupted() {
     // A process that retries at once all the time would handle neither signals nor deadlines.
-    let (mut node, endpoint, faults) = one(|_| response("200 OK", "", ""));
+    let (mut node, endpoint, faults) = start_with_faults(|_| response("200 OK", "", ""));
     let mut client = Client::new(node.address);
     assert_eq!(client.submit("payment", 1, 3, LONG, b"x").status(), 202);
     wait_until("its call", || endpoint.calls() == 1);
--- a/crates/daemon/tests/sockets/flight.rs
+++ b/crates/daemon/tests/sockets/flight.rs
@@ -14,11 +14,12 @@
 }
 
 /// Returns the standard output and the standard error of a command.
-pub fn said(output: &Output) -> String {
+pub fn output_text(output: &Output) -> String {
     String::from_utf8_lossy(&[output.stdout.clone(), output.stderr.clone()].concat()).into_owned()
 }
 
-pub fn text(path: &Path) -> &str {
+/// Returns a path as text.
+pub fn path_text(path: &Path) -> &str {
     path.to_str().expect("text")
 }
 
@@ -41,18 +42,18 @@
     }
     // Destination 9 only drains: the message is held as long as the process runs.
     assert_eq!(node.submit("update", 0xabc, 9, LONG, secret).status(), 202);
-    let folder = text(&recording).to_owned();
+    let folder = path_text(&recording).to_owned();
     wait_until("its turn is recorded", || {
-        said(&command(&["explain", &folder, "--message", "0000000000000abc"])).contains("Drained")
+        output_text(&command(&["explain", &folder, "--message", "0000000000000abc"])).contains("Drained")
     });
     node.restart();
     assert_eq!(node.submit("payment", 6, 3, LONG, secret).status(), 202);
     endpoint.call(5);
     node.kill();
-    let played = command(&["replay", &folder]);
-    assert!(played.status.success(), "{}", said(&played));
-    assert!(said(&played).contains("of 2 processes"), "{}", said(&played));
-    let explained = said(&command(&["explain", &folder, "--message", "0000000000000abc"]));
+    let replayed = command(&["replay", &folder]);
+    assert!(replayed.status.success(), "{}", output_text(&replayed));
+    assert!(output_text(&replayed).contains("of 2 processes"), "{}", output_text(&replayed));
+    let explained = output_text(&command(&["explain", &folder, "--message", "0000000000000abc"]));
     assert!(explained.contains("Drained") && explained.contains("update"), "{explained}");
     // The next process resumed the message: its timeline continues there.
     assert!(explained.contains("taken up after a restart"), "{explained}");
@@ -69,7 +70,7 @@
     endpoint.call(0);
     let dumps = || {
         let all = std::fs::read_dir(&recording).expect("a folder").flatten().map(|e| e.path());
-        let mut all: Vec<PathBuf> = all.filter(|p| text(p).ends_with(".nptrec")).collect();
+        let mut all: Vec<PathBuf> = all.filter(|p| path_text(p).ends_with(".nptrec")).collect();
         all.sort();
         all
     };
@@ -84,13 +85,14 @@
         assert!(dumps().len() <= 4);
     }
     let last = dumps().pop().expect("a dump");
-    let played = command(&["replay", text(&last)]);
-    assert!(played.status.success(), "{}", said(&played));
+    let replayed = command(&["replay", path_text(&last)]);
+    assert!(replayed.status.success(), "{}", output_text(&replayed));
     let svg = node.folder.path().join("picture.svg");
-    let explained = command(&["explain", text(&last), "--dest", "3", "--json", "--svg", text(&svg)]);
-    assert!(explained.status.success(), "{}", said(&explained));
+    let explained =
+        command(&["explain", path_text(&last), "--dest", "3", "--json", "--svg", path_text(&svg)]);
+    assert!(explained.status.success(), "{}", output_text(&explained));
     assert!(std::fs::read_to_string(svg).expect("a picture").contains("destination 3"));
-    assert!(said(&explained).contains("\"end\":\"delivered\""), "{}", said(&explained));
+    assert!(output_text(&explained).contains("\"end\":\"delivered\""), "{}", output_text(&explained));
 }
 
 #[test]
@@ -103,13 +105,17 @@
     wait_until("a watch at the new address", || !other.watches.lock().expect("not poisoned").is_empty());
     assert_eq!(node.submit("update", 2, 3, LONG, b"").status(), 202);
     endpoint.call(1);
-    let folder = text(&recording);
+    let folder = path_text(&recording);
     wait_until("both are in the recording", || {
-        let explained = said(&command(&["explain", folder, "--from", "0.000001"]));
+        let explained = output_text(&command(&["explain", folder, "--from", "0.000001"]));
         explained.contains("0000000000000001") && explained.contains("0000000000000002")
     });
-    let played = command(&["replay", folder]);
-    assert!(played.status.success() && said(&played).contains("of 1 processes"), "{}", said(&played));
+    let replayed = command(&["replay", folder]);
+    assert!(
+        replayed.status.success() && output_text(&replayed).contains("of 1 processes"),
+        "{}",
+        output_text(&replayed)
+    );
 }
 
 #[test]
@@ -125,34 +131,38 @@
 
 #[test]
 fn commands_print_their_help_and_describe_errors() {
-    for (args, has) in [
+    for (args, expected) in [
         (vec!["--help"], "BALANCER_CONFIG"),
         (vec!["replay", "--help"], "bit for bit"),
         (vec!["explain", "--help"], "--svg"),
         (vec!["check", "--help"], "operator"),
     ] {
         let output = command(&args);
-        assert!(output.status.success() && said(&output).contains(has), "{args:?}: {}", said(&output));
+        assert!(
+            output.status.success() && output_text(&output).contains(expected),
+            "{args:?}: {}",
+            output_text(&output)
+        );
     }
     let folder = tempfile::tempdir().expect("a folder");
     let (bad, none) = (folder.path().join("bad.toml"), folder.path().join("none"));
     std::fs::write(&bad, "[recorder]\nstore = \"tape\"\n").expect("a file");
     std::fs::write(&none, b"NPTREC").expect("a file");
-    for (args, has) in [
-        (vec!["check", text(&bad)], "line 2"),
-        (vec!["--operator", text(&bad)], "line 2"),
+    for (args, expected) in [
+        (vec!["check", path_text(&bad)], "line 2"),
+        (vec!["--operator", path_text(&bad)], "line 2"),
         (vec!["replay", "/nowhere"], "/nowhere"),
-        (vec!["replay", text(&none)], "byte 0"),
-        (vec!["explain", text(&none), "--message", "12"], "16 hex digits"),
-        (vec!["explain", text(&none), "--svg", "x"], "--dest"),
+        (vec!["replay", path_text(&none)], "byte 0"),
+        (vec!["explain", path_text(&none), "--message", "12"], "16 hex digits"),
+        (vec!["explain", path_text(&none), "--svg", "x"], "--dest"),
     ] {
         let output = command(&args);
-        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", said(&output));
-        assert!(said(&output).contains(has), "{args:?}: {}", said(&output));
+        assert_eq!(output.status.code(), Some(2), "{args:?}: {}", output_text(&output));
+        assert!(output_text(&output).contains(expected), "{args:?}: {}", output_text(&output));
     }
     let good = folder.path().join("good.toml");
     std::fs::write(&good, "[recorder]\nstore = \"memory\"\nfolder = \"/x\"\n").expect("a file");
-    assert!(said(&command(&["check", text(&good)])).contains("recorder in memory, 16 MB"));
+    assert!(output_text(&command(&["check", path_text(&good)])).contains("recorder in memory, 16 MB"));
 }
 
 #[test]
@@ -160,7 +170,11 @@
     let (node, endpoint, recording) = recorded(IN_FOLDER);
     node.submit("update", 1, 3, LONG, b"");
     endpoint.call(0);
-    let output = command(&["explain", text(&recording), "--message", "00000000000000ff"]);
+    let output = command(&["explain", path_text(&recording), "--message", "00000000000000ff"]);
     assert_eq!(output.status.code(), Some(2));
-    assert!(said(&output).contains("00000000000000ff is not in the recording"), "{}", said(&output));
+    assert!(
+        output_text(&output).contains("00000000000000ff is not in the recording"),
+        "{}",
+        output_text(&output)
+    );
 }
--- a/crates/daemon/tests/sockets/handover.rs
+++ b/crates/daemon/tests/sockets/handover.rs
@@ -12,7 +12,7 @@
 const LONG: u64 = 50_000;
 
 /// Returns an endpoint that sends each response only when the test supplies it through the channel.
-fn slow() -> (Endpoint, Vec<String>, Sender<Reply>) {
+fn slow_endpoint() -> (Endpoint, Vec<String>, Sender<Reply>) {
     let (replies, received): (Sender<Reply>, Receiver<Reply>) = channel();
     let endpoint = Endpoint::new(move |_| received.recv().unwrap_or(Reply::Close));
     let members = vec![member("s-1", endpoint.address, "shop", 3, "up")];
@@ -21,7 +21,7 @@
 
 /// Starts a sender with payment 1 in flight at a slow endpoint.
 fn with_a_payment_in_flight() -> (Endpoint, Node, Sender<Reply>) {
-    let (endpoint, members, replies) = slow();
+    let (endpoint, members, replies) = slow_endpoint();
     let node = Node::with_inherited_socket(&members);
     assert_eq!(node.submit("payment", 1, 3, LONG, b"x").status(), 202);
     endpoint.call(0);
@@ -58,24 +58,24 @@
 
 #[test]
 fn request_read_in_part_by_the_predecessor_is_accepted_by_the_successor() {
-    let (endpoint, members, replies) = slow();
+    let (endpoint, members, replies) = slow_endpoint();
     let mut node = Node::with_inherited_socket(&members);
     let (id, ms, dest) = (format!("{:016x}", 7), LONG.to_string(), "dest=3".to_owned());
     let lines: String =
         headers(&id, "update", &ms, &dest).iter().map(|(n, v)| format!("{n}: {v}\r\n")).collect();
     let lines = format!("Idempotency-Key: k-1\r\n{lines}");
     let head = format!("POST /update HTTP/1.1\r\nHost: api\r\nContent-Length: 4\r\n{lines}\r\n");
-    let whole = [head.as_bytes(), b"body"].concat();
+    let request = [head.as_bytes(), b"body"].concat();
     // One is split within its headers on a used connection, one within its body on a new connection.
     let mut clients = [Client::new(node.address), Client::new(node.address)];
     assert_eq!(clients[0].request("GET /up", &[], b"").status(), 200);
-    clients[0].write_raw(&whole[..40]);
-    let second = String::from_utf8_lossy(&whole).replace(&id, &format!("{:016x}", 8));
+    clients[0].write_raw(&request[..40]);
+    let second = String::from_utf8_lossy(&request).replace(&id, &format!("{:016x}", 8));
     clients[1].write_raw(&second.as_bytes()[..second.len() - 2]);
     // The predecessor has time to read both parts.
     std::thread::sleep(Duration::from_millis(50));
     let mut predecessor = node.hand_over();
-    clients[0].write_raw(&whole[40..]);
+    clients[0].write_raw(&request[40..]);
     clients[1].write_raw(&second.as_bytes()[second.len() - 2..]);
     for client in &mut clients {
         assert!(client.read_to_close().starts_with("HTTP/1.1 202"), "it is accepted");
@@ -150,18 +150,18 @@
     let (endpoint, mut node, replies) = with_a_payment_in_flight();
     let mut client = Client::new(node.address);
     assert_eq!(client.request("GET /up", &[], b"").status(), 200);
-    let whole = {
+    let request = {
         let (id, ms) = (format!("{:016x}", 7), LONG.to_string());
         let lines = headers(&id, "update", &ms, "dest=3").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
         format!("POST /update HTTP/1.1\r\nHost: api\r\nContent-Length: 4\r\n{lines}\r\nbody")
     };
-    client.write_raw(&whole.as_bytes()[..40]);
+    client.write_raw(&request.as_bytes()[..40]);
     // Its headers were read in part: another request is answered after them.
     assert_eq!(node.request("GET /up", &[], b"").status(), 200);
     let mut predecessor = node.hand_over();
     predecessor.signal("-TERM");
     predecessor.signal("-TERM");
-    client.write_raw(&whole.as_bytes()[40..]);
+    client.write_raw(&request.as_bytes()[40..]);
     assert!(client.read_to_close().starts_with("HTTP/1.1 202"), "it is recorded by the successor");
     [ok(), ok()].into_iter().for_each(|r| replies.send(r).expect("it waits"));
     assert!(predecessor.exited_cleanly(), "it exits with success");
@@ -195,7 +195,7 @@
 
 #[test]
 fn predecessor_with_another_protocol_version_is_reported_and_the_start_uses_the_folder() {
-    let (_endpoint, members, _replies) = slow();
+    let (_endpoint, members, _replies) = slow_endpoint();
     let mut node = Node::with_inherited_socket(&members);
     node.kill();
     let place = node.folder.path().join("notchpoint.handover");
@@ -216,24 +216,24 @@
 
 #[test]
 fn descriptor_that_is_no_listening_socket_is_reported() {
-    let (_endpoint, members, _replies) = slow();
+    let (_endpoint, members, _replies) = slow_endpoint();
     let node = Node::with_inherited_socket(&members);
     for (number, stdin) in [
         ("0", std::process::Stdio::null()),
         ("77", std::process::Stdio::null()),
         ("four", std::process::Stdio::null()),
     ] {
-        let tried = Command::new(env!("CARGO_BIN_EXE_notchpoint"))
+        let finished = Command::new(env!("CARGO_BIN_EXE_notchpoint"))
             .env("BALANCER_CONFIG", node.folder.path().join("config.json"))
             .env("BALANCER_STATE", node.folder.path().join("other"))
             .env("BALANCER_ACCEPT_FD", number)
             .stdin(stdin)
             .output()
             .expect("the program");
-        let said = [tried.stdout, tried.stderr].concat();
-        let said = String::from_utf8_lossy(&said).into_owned();
-        assert!(tried.status.code() == Some(2), "{number}: {said}");
-        assert!(said.contains(&format!("BALANCER_ACCEPT_FD: {number} is no listening socket")), "{said}");
+        let output = [finished.stdout, finished.stderr].concat();
+        let output = String::from_utf8_lossy(&output).into_owned();
+        assert!(finished.status.code() == Some(2), "{number}: {output}");
+        assert!(output.contains(&format!("BALANCER_ACCEPT_FD: {number} is no listening socket")), "{output}");
     }
 }
 
@@ -258,17 +258,17 @@
 #[test]
 fn process_that_was_short_of_sockets_at_its_start_still_hands_over() {
     for _ in 0..5 {
-        let (_endpoint, members, _replies) = slow();
+        let (_endpoint, members, _replies) = slow_endpoint();
         let span = Duration::from_secs(1);
         let node = Node::with_inherited_socket_and_failing_sockets(&members, 700, span);
         thread::sleep(2 * span);
-        let said = node.successor_log_line(&["hand-over: 0 attempts", "waiting: another process"]);
-        assert!(said.contains("hand-over"), "{said}");
+        let line = node.successor_log_line(&["hand-over: 0 attempts", "waiting: another process"]);
+        assert!(line.contains("hand-over"), "{line}");
     }
 }
 
 /// Returns the bytes of a payment for destination 3.
-fn payment(id: u64) -> Vec<u8> {
+fn payment_request(id: u64) -> Vec<u8> {
     let (id, ms) = (format!("{id:016x}"), LONG.to_string());
     let lines = headers(&id, "payment", &ms, "dest=3").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
     format!("POST /payment HTTP/1.1\r\nHost: api\r\nContent-Length: 1\r\n{lines}\r\nx").into_bytes()
@@ -276,16 +276,16 @@
 
 /// Returns a predecessor that has read the beginning of payment 1, and a successor whose write of the
 /// payment's record takes so long.
-fn forwarding(by: Duration) -> (Endpoint, Node, FaultController, Client, Predecessor) {
+fn start_forwarding(by: Duration) -> (Endpoint, Node, FaultController, Client, Predecessor) {
     let endpoint = Endpoint::new(|_| ok());
     let (mut node, faults) =
         Node::with_inherited_socket_and_faults(&[member("s-1", endpoint.address, "shop", 3, "up")]);
     let mut client = Client::new(node.address);
-    client.write_raw(&payment(1)[..40]);
+    client.write_raw(&payment_request(1)[..40]);
     assert_eq!(node.request("GET /up", &[], b"").status(), 200);
     let predecessor = node.hand_over();
     faults.delay_writes(by).expect("set");
-    client.write_raw(&payment(1)[40..]);
+    client.write_raw(&payment_request(1)[40..]);
     wait_until("its record", || faults.injected_count(Fault::SlowWrite).expect("a count") > 0);
     (endpoint, node, faults, client, predecessor)
 }
@@ -302,15 +302,15 @@
     // sent all the same. The predecessor took the missing response of the killed successor for "not
     // recorded", refused, and then loaded the record from the folder ("this process serves again
     // (ReloadFromStore)").
-    let (endpoint, mut node, faults, mut client, _predecessor) = forwarding(Duration::from_secs(2));
+    let (endpoint, mut node, faults, mut client, _predecessor) = start_forwarding(Duration::from_secs(2));
     node.kill();
     faults.delay_writes(Duration::ZERO).expect("set");
-    let said = client.read_to_close();
+    let response = client.read_to_close();
     wait_until("the predecessor serves", || node.submit("update", 2, 3, LONG, b"x").status() == 202);
     wait_until("its call", || has_run(&endpoint, 2));
     thread::sleep(Duration::from_millis(500));
-    assert!(!(said.starts_with("HTTP/1.1 503") && has_run(&endpoint, 1)), "both refused and sent");
-    if said.starts_with("HTTP/1.1 202") {
+    assert!(!(response.starts_with("HTTP/1.1 503") && has_run(&endpoint, 1)), "both refused and sent");
+    if response.starts_with("HTTP/1.1 202") {
         wait_until("the acknowledged payment is sent", || has_run(&endpoint, 1));
     }
 }
@@ -320,7 +320,7 @@
     // Guards against sending a payment that got no response in 0.4 s and was submitted again. The predecessor
     // dropped the request with its connection without notifying the successor, or had exited already; after
     // its exit the successor treated the record as acknowledged.
-    let (endpoint, node, faults, client, mut predecessor) = forwarding(Duration::from_secs(1));
+    let (endpoint, node, faults, client, mut predecessor) = start_forwarding(Duration::from_secs(1));
     drop(client);
     thread::sleep(Duration::from_millis(200));
     faults.delay_writes(Duration::ZERO).expect("set");
@@ -333,8 +333,8 @@
 
 /// Returns a process that serves again because its successor was killed, with payment 1, which has so much
 /// time, in flight since before the hand-over.
-fn serving_again(time: Duration) -> (Endpoint, Node, Sender<Reply>) {
-    let (endpoint, members, replies) = slow();
+fn start_serving_again(time: Duration) -> (Endpoint, Node, Sender<Reply>) {
+    let (endpoint, members, replies) = slow_endpoint();
     let mut node = Node::with_inherited_socket(&members);
     assert_eq!(node.submit("payment", 1, 3, time.as_millis() as u64, b"x").status(), 202);
     endpoint.call(0);
@@ -351,7 +351,7 @@
     // Guards against ending a payment by a notice although it was answered in time. The call was known only
     // to the process's state from before the aborted hand-over, and the process exited once it had no newer
     // call in flight.
-    let (_endpoint, mut node, replies) = serving_again(Duration::from_millis(LONG));
+    let (_endpoint, mut node, replies) = start_serving_again(Duration::from_millis(LONG));
     let mut predecessor = node.hand_over();
     thread::sleep(Duration::from_millis(300));
     replies.send(ok()).expect("it waits");
@@ -370,7 +370,7 @@
     // 10.2 s, when "the predecessor has ended" was logged.
     const TIME: Duration = Duration::from_millis(2_000);
     let begun = Instant::now();
-    let (endpoint, mut node, _replies) = serving_again(TIME);
+    let (endpoint, mut node, _replies) = start_serving_again(TIME);
     // A newer call in flight keeps the process running.
     assert_eq!(node.submit("payment", 2, 3, LONG, b"x").status(), 202);
     wait_until("its call", || endpoint.calls() == 2 || node.platform.has_notice(1));
--- a/crates/daemon/tests/sockets/main.rs
+++ b/crates/daemon/tests/sockets/main.rs
@@ -31,8 +31,11 @@
 }
 
 /// Starts a sender with one endpoint of destination 3; destination 9 only drains.
-fn one(kind: &str, does: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> (Node, Endpoint) {
-    let endpoint = Endpoint::new(does);
+fn start_with_endpoint(
+    kind: &str,
+    handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static,
+) -> (Node, Endpoint) {
+    let endpoint = Endpoint::new(handler);
     (
         Node::new(&[member("s-1", endpoint.address, kind, 3, "up"), drained(endpoint.address)], unchanged),
         endpoint,
@@ -46,7 +49,7 @@
 
 #[test]
 fn message_is_delivered_unchanged() {
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     // A body may contain any bytes, also ones that look like the end of a header block or a batch's line.
     let body = b"\0\xff\r\n\r\n9b1f03aa5c7e2d41 - 5\r\n".as_slice();
     assert_eq!(node.submit("update", 0x9b1f, 3, LONG, body).status(), 202);
@@ -59,7 +62,7 @@
 #[test]
 fn consecutive_calls_share_one_connection() {
     // Guards against a new connection, with its cost, for each message.
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     for id in 0..3 {
         node.submit("payment", id, 3, LONG, b"");
         let call = endpoint.call(id as usize);
@@ -70,7 +73,7 @@
 #[test]
 fn idle_connections_of_an_endpoint_that_moved_are_not_used_again() {
     // In test builds the process ends if the policy counts connections that do not exist.
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     node.submit("update", 1, 3, LONG, b"");
     endpoint.call(0);
     let moved = Endpoint::new(|_| ok());
@@ -92,7 +95,7 @@
     // closing: announced by `Connection: close`, and unannounced.
     for head in ["Connection: close\r\n", ""] {
         let text = format!("HTTP/1.1 200 OK\r\nContent-Length: 0\r\n{head}\r\n");
-        let (node, endpoint) = one("shop", move |_| Reply::RespondAndClose(text.clone()));
+        let (node, endpoint) = start_with_endpoint("shop", move |_| Reply::RespondAndClose(text.clone()));
         for id in 0..3 {
             node.submit("payment", id, 3, LONG, b"");
             endpoint.call(id as usize);
@@ -106,7 +109,8 @@
 
 #[test]
 fn call_reset_after_its_last_byte_ends_a_payment_as_dead() {
-    let (node, endpoint) = one("shop", |r| if r.body == b"cut" { Reply::Close } else { ok() });
+    let (node, endpoint) =
+        start_with_endpoint("shop", |r| if r.body == b"cut" { Reply::Close } else { ok() });
     node.submit("payment", 1, 3, LONG, b"cut");
     assert!(node.platform.notice(1).contains("\"dead\""));
     assert_eq!(endpoint.calls(), 1);
@@ -115,8 +119,8 @@
 #[test]
 fn idempotent_message_is_resent_after_a_reset() {
     let mut first = true;
-    let cut = move |_: &HttpMessage| if std::mem::take(&mut first) { Reply::Close } else { ok() };
-    let (node, endpoint) = one("shop", cut);
+    let close_first = move |_: &HttpMessage| if std::mem::take(&mut first) { Reply::Close } else { ok() };
+    let (node, endpoint) = start_with_endpoint("shop", close_first);
     node.submit("update", 1, 3, LONG, b"");
     assert_eq!(endpoint.call(1).header("x-request-id"), format!("{:016x}", 1));
     assert!(!node.platform.has_notice(1));
@@ -140,7 +144,7 @@
     // The first process's calls hang: the idempotent message is resent, the at-most-once one may have run and
     // is ended.
     let mut calls = 0;
-    let (mut node, endpoint) = one("chain", move |_| {
+    let (mut node, endpoint) = start_with_endpoint("chain", move |_| {
         calls += 1;
         if calls == 1 { Reply::Hang } else { ok() }
     });
@@ -168,7 +172,7 @@
 
 #[test]
 fn truncated_record_at_the_end_of_the_log_affects_no_other_record() {
-    let (mut node, _endpoint) = one("shop", |_| Reply::Hang);
+    let (mut node, _endpoint) = start_with_endpoint("shop", |_| Reply::Hang);
     node.submit("payment", 1, 9, LONG, b"whole");
     node.kill();
     let mut text = std::fs::read(node.log_path()).expect("a journal");
@@ -182,7 +186,7 @@
 
 #[test]
 fn message_whose_deadline_passed_between_two_processes_is_ended_at_the_start() {
-    let (mut node, _endpoint) = one("shop", |_| ok());
+    let (mut node, _endpoint) = start_with_endpoint("shop", |_| ok());
     node.submit("payment", 1, 9, 2_000, b"");
     node.kill();
     std::thread::sleep(Duration::from_millis(2_000));
@@ -193,7 +197,7 @@
 
 #[test]
 fn notice_is_resent_until_it_is_accepted_also_by_the_next_process() {
-    let (mut node, _endpoint) = one("shop", |_| response("500 Broken", "", ""));
+    let (mut node, _endpoint) = start_with_endpoint("shop", |_| response("500 Broken", "", ""));
     *node.platform.notices_to_reject.lock().expect("not poisoned") = usize::MAX;
     node.submit("payment", 1, 3, LONG, b"");
     wait_until("several attempts to send the notice", || {
@@ -207,10 +211,10 @@
 #[test]
 fn retry_after_applies_to_every_message_of_the_endpoint() {
     let mut first = true;
-    let does = move |_: &HttpMessage| {
+    let handler = move |_: &HttpMessage| {
         if std::mem::take(&mut first) { response("429 Wait", "Retry-After: 1.25\r\n", "") } else { ok() }
     };
-    let (node, endpoint) = one("shop", does);
+    let (node, endpoint) = start_with_endpoint("shop", handler);
     node.submit("payment", 1, 3, LONG, b"");
     let refused_at = endpoint.call(0).received_at;
     node.submit("payment", 2, 3, LONG, b"");
@@ -222,7 +226,7 @@
 
 #[test]
 fn draining_endpoint_receives_no_new_calls() {
-    let (node, draining) = one("shop", |_| ok());
+    let (node, draining) = start_with_endpoint("shop", |_| ok());
     let (other, marker) = (Endpoint::new(|_| ok()), Endpoint::new(|_| ok()));
     let changes = [
         member("s-1", draining.address, "shop", 3, "draining"),
@@ -242,7 +246,7 @@
 
 #[test]
 fn broken_watch_is_reopened() {
-    let (node, _endpoint) = one("shop", |_| ok());
+    let (node, _endpoint) = start_with_endpoint("shop", |_| ok());
     wait_until("a watch", || !node.platform.watches.lock().expect("not poisoned").is_empty());
     // Dropping the channel's sending side ends the watch.
     node.platform.watches.lock().expect("not poisoned").clear();
@@ -258,7 +262,7 @@
     // missing: that message may have run. One is refused as busy: it is resent.
     let (release, released) = std::sync::mpsc::channel::<()>();
     let mut calls = 0;
-    let (node, endpoint) = one("chain", move |r: &HttpMessage| {
+    let (node, endpoint) = start_with_endpoint("chain", move |r: &HttpMessage| {
         calls += 1;
         match calls {
             1 => released.recv().map_or(Reply::Close, |()| ok()),
@@ -290,7 +294,7 @@
 
 #[test]
 fn message_answered_410_is_ended_without_a_notice() {
-    let (node, endpoint) = one("shop", |_| response("410 Gone", "", ""));
+    let (node, endpoint) = start_with_endpoint("shop", |_| response("410 Gone", "", ""));
     node.submit("payment", 1, 3, 1_000, b"");
     endpoint.call(0);
     node.submit("payment", 2, 9, 500, b"");
@@ -302,7 +306,8 @@
 #[test]
 fn sigterm_finishes_open_calls_and_refuses_new_requests() {
     let (release, released) = std::sync::mpsc::channel::<()>();
-    let (mut node, endpoint) = one("shop", move |_| released.recv().map_or(Reply::Close, |()| ok()));
+    let (mut node, endpoint) =
+        start_with_endpoint("shop", move |_| released.recv().map_or(Reply::Close, |()| ok()));
     let mut kept = Client::new(node.address);
     let mut idle = Client::new(node.address);
     assert_eq!(kept.submit("payment", 1, 3, LONG, b"").status(), 202);
@@ -338,7 +343,7 @@
 #[test]
 fn request_id_of_an_open_message_is_refused() {
     // Guards against the outcome of one message being applied to another with the same id.
-    let (node, endpoint) = one("shop", |_| Reply::Hang);
+    let (node, endpoint) = start_with_endpoint("shop", |_| Reply::Hang);
     assert_eq!(node.submit("update", 1, 3, 500, b"").status(), 202);
     endpoint.call(0);
     assert_eq!(node.submit("update", 1, 3, 500, b"").status(), 409);
@@ -361,13 +366,13 @@
 
 #[test]
 fn invalid_requests_are_refused_and_nothing_is_stored() {
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     let id = "00000000000000aa";
-    let good = headers(id, "update", "60000", "dest=3");
+    let valid = headers(id, "update", "60000", "dest=3");
     let with = |name: &str, value: &'static str| {
-        good.iter().map(|h| if h.0 == name { (h.0, value) } else { *h }).collect::<Vec<_>>()
+        valid.iter().map(|h| if h.0 == name { (h.0, value) } else { *h }).collect::<Vec<_>>()
     };
-    let twice = |name: &'static str, value: &'static str| [&good[..], &[(name, value)]].concat();
+    let repeated = |name: &'static str, value: &'static str| [&valid[..], &[(name, value)]].concat();
     let cases = [
         ("POST /update", with("X-Request-ID", "short"), 400),
         ("POST /update", with("X-Request-ID", "00000000000000AA"), 400),
@@ -380,25 +385,25 @@
         ("POST /update", with("X-Timeout-Ms", "60001"), 400),
         ("POST /update", with("X-Envelope", "dest=+3"), 400),
         ("POST /update", with("X-Envelope", "dest=3, dest=9"), 400),
-        ("POST /update", twice("X-Request-ID", "00000000000000ab"), 400),
-        ("POST /update", twice("X-Envelope", "dest=9"), 400),
-        ("POST /update", twice("X-Timeout-Ms", "60000"), 400),
+        ("POST /update", repeated("X-Request-ID", "00000000000000ab"), 400),
+        ("POST /update", repeated("X-Envelope", "dest=9"), 400),
+        ("POST /update", repeated("X-Timeout-Ms", "60000"), 400),
         // The list has no such destination; the list may be out of date, so the status allows a retry.
         ("POST /update", with("X-Envelope", "dest=77"), 503),
         ("POST /update", with("X-Envelope", "cell=3"), 400),
         ("POST /update", with("X-Envelope", "dest=x"), 400),
         ("POST /update", vec![], 400),
-        ("POST /unknown", good.to_vec(), 404),
-        ("POST /", good.to_vec(), 404),
-        ("GET /update", good.to_vec(), 405),
+        ("POST /unknown", valid.to_vec(), 404),
+        ("POST /", valid.to_vec(), 404),
+        ("GET /update", valid.to_vec(), 405),
         ("DELETE /up", vec![], 405),
     ];
     for (line, headers, status) in cases {
         assert_eq!(node.request(line, &headers, b"x").status(), status, "{line} {headers:?}");
     }
-    assert_eq!(node.request("POST /update", &good, &vec![0; (64 << 10) + 1]).status(), 413);
+    assert_eq!(node.request("POST /update", &valid, &vec![0; (64 << 10) + 1]).status(), 413);
     // Nothing of these requests was stored: the id is still free, and the sender still works.
-    assert_eq!(node.request("POST /update", &good, &vec![1; 64 << 10]).status(), 202);
+    assert_eq!(node.request("POST /update", &valid, &vec![1; 64 << 10]).status(), 202);
     assert_eq!(endpoint.call(0).body.len(), 64 << 10);
     assert_eq!(endpoint.calls(), 1);
 }
@@ -408,7 +413,7 @@
     // Guards against ending on the signal, and against a connection to a discovery service that was replaced:
     // the old one accepts the request with the notice and never responds.
     let (node, endpoint) =
-        one("shop", |r| if r.body == b"bad" { response("500 Broken", "", "") } else { ok() });
+        start_with_endpoint("shop", |r| if r.body == b"bad" { response("500 Broken", "", "") } else { ok() });
     *node.platform.notices_to_reject.lock().expect("not poisoned") = usize::MAX;
     assert_eq!(node.submit("payment", 1, 3, LONG, b"bad").status(), 202);
     wait_until("several attempts to send the notice", || {
@@ -459,7 +464,7 @@
 fn conflicting_lengths_are_refused_and_long_bodies_are_refused_early() {
     // hyper hides one of the two lengths. A request hidden in the body must not be executed (request
     // smuggling).
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     let head = |id: u64| {
         let headers =
             headers("ID", "update", "60000", "dest=3").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
@@ -471,8 +476,11 @@
     for lengths in [format!("{chunked}{length}"), format!("{length}{chunked}"), chunked.to_owned()] {
         let mut client = Client::new(node.address);
         client.write_raw(format!("{}{lengths}\r\n{hidden}", head(1)).as_bytes());
-        let said = client.read_to_close();
-        assert!(said.starts_with("HTTP/1.1 411") && said.matches("HTTP/1.1").count() == 1, "{said}");
+        let response = client.read_to_close();
+        assert!(
+            response.starts_with("HTTP/1.1 411") && response.matches("HTTP/1.1").count() == 1,
+            "{response}"
+        );
     }
     // The response arrives although no byte of the body is sent.
     let mut client = Client::new(node.address);
@@ -501,7 +509,7 @@
     ] {
         for before in ["", "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"] {
             let text = format!("{before}HTTP/1.1 200 OK\r\n{rest}");
-            let (node, endpoint) = one("shop", move |_| Reply::Respond(text.clone()));
+            let (node, endpoint) = start_with_endpoint("shop", move |_| Reply::Respond(text.clone()));
             for id in 0..3 {
                 assert_eq!(node.submit("payment", id, 3, LONG, b"").status(), 202);
                 // A connection that carried a malformed response is not used for a further call.
@@ -526,7 +534,7 @@
         "\u{1}\u{2} noise\r\n\r\n",
     ] {
         let mut first = true;
-        let (node, endpoint) = one("shop", move |r| {
+        let (node, endpoint) = start_with_endpoint("shop", move |r| {
             let should_succeed = r.body == b"again" && !std::mem::take(&mut first);
             if should_succeed { ok() } else { Reply::Respond(malformed.to_owned()) }
         });
@@ -549,7 +557,7 @@
     let copy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     for text in [fine, chunked] {
         for late in [false, true] {
-            let (node, endpoint) = one("shop", move |r| match (r.body.is_empty(), late) {
+            let (node, endpoint) = start_with_endpoint("shop", move |r| match (r.body.is_empty(), late) {
                 (true, true) => Reply::RespondTwice(text.to_owned(), copy.to_owned()),
                 (true, false) => Reply::Respond(format!("{text}{copy}")),
                 (false, _) => ok(),
@@ -568,11 +576,11 @@
 
 #[test]
 fn malformed_line_or_list_entry_does_not_end_the_watch() {
-    let (node, endpoint) = one("shop", |_| ok());
+    let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     wait_until("a watch", || !node.platform.watches.lock().expect("not poisoned").is_empty());
-    let good = member("s-2", endpoint.address, "shop", 4, "up");
+    let valid = member("s-2", endpoint.address, "shop", 4, "up");
     // From a complete list with a malformed entry no missing endpoint is removed.
-    let line = format!("{{\"revision\":43,\"complete\":true,\"members\":[{{\"id\":7}},{good}]}}");
+    let line = format!("{{\"revision\":43,\"complete\":true,\"members\":[{{\"id\":7}},{valid}]}}");
     for text in ["{\"revision\":", &line] {
         node.platform.watches.lock().expect("not poisoned").retain(|w| w.send(text.to_owned()).is_ok());
     }
--- a/crates/daemon/tests/sockets/operations.rs
+++ b/crates/daemon/tests/sockets/operations.rs
@@ -47,8 +47,8 @@
     // last request here waits for 5 s.
     let (_endpoint, members) = serving_endpoint();
     let node = Node::new(&members, |c| c);
-    let mut holders: Vec<Client> = (0..100).map(|_| Client::new(node.admin)).collect();
-    holders.iter_mut().for_each(|h| h.write_raw(b"GET /sta"));
+    let mut partial: Vec<Client> = (0..100).map(|_| Client::new(node.admin)).collect();
+    partial.iter_mut().for_each(|c| c.write_raw(b"GET /sta"));
     let asked = Instant::now();
     assert_eq!(node.admin_request("GET /status").status(), 200);
     assert!(asked.elapsed() < MAX_RESPONSE_TIME, "{:?}", asked.elapsed());
@@ -70,8 +70,8 @@
     // The load balancer still assigns connections for a short time: requests are served, and their
     // connections closed.
     for (client, id) in [(&mut kept, 2), (&mut Client::new(node.address), 3)] {
-        let said = client.submit("update", id, 3, 9_000, b"x");
-        assert_eq!((said.status(), said.header("connection")), (202, "close"));
+        let response = client.submit("update", id, 3, 9_000, b"x");
+        assert_eq!((response.status(), response.header("connection")), (202, "close"));
         assert!(client.is_closed());
     }
     wait_until("all three calls", || endpoint.calls() == 3);
@@ -82,8 +82,8 @@
     assert_eq!(node.request("GET /up", &[], b"").status(), 200);
     let mut client = Client::new(node.address);
     for id in 4..6 {
-        let said = client.submit("update", id, 3, 9_000, b"x");
-        assert_eq!((said.status(), said.header("connection")), (202, ""));
+        let response = client.submit("update", id, 3, 9_000, b"x");
+        assert_eq!((response.status(), response.header("connection")), (202, ""));
     }
 }
 
@@ -146,26 +146,26 @@
     });
     let members = vec![member("s-1", endpoint.address, "shop", 3, "up")];
     let mut node = Node::new(&members, |c| c);
-    let sound = node.config();
+    let original = node.config();
     assert_eq!(node.admin_request("POST /maintenance/enter?name=s-1").status(), 200);
     assert_eq!(node.submit("payment", 1, 3, 50_000, b"x").status(), 202);
     assert_eq!(node.submit("express", 2, 3, 9_000, b"x").status(), 404);
     // Payments become idempotent under the same name, and one class is new.
     let express =
         r#"{"name": "express", "effect": "idempotent", "sloS": 1.0, "deadlineS": 60.0, "worth": 1.0},"#;
-    let new = sound
+    let new = original
         .replace("\"at_most_once\"", "\"idempotent\"")
         .replace("\"classes\": [", &format!("\"classes\": [{express}"));
-    let wrong = new.replace("\"maxAttempts\": 8", "\"maxAttempts\": 0");
-    for bad in ["", &new[..new.len() / 2], &wrong] {
-        node.reload(bad);
+    let out_of_bounds = new.replace("\"maxAttempts\": 8", "\"maxAttempts\": 0");
+    for invalid in ["", &new[..new.len() / 2], &out_of_bounds] {
+        node.reload(invalid);
     }
     node.reload(&new);
     wait_until("the new class", || node.submit("express", 2, 3, 50_000, b"x").status() == 202);
     assert_eq!(node.submit("payment", 3, 3, 50_000, b"x").status(), 202);
     // Messages of a removed class are refused, and its open message keeps its class over a restart.
-    let gone = new.replace("\"name\": \"payment\"", "\"name\": \"order\"");
-    node.reload(&gone);
+    let without_payment = new.replace("\"name\": \"payment\"", "\"name\": \"order\"");
+    node.reload(&without_payment);
     wait_until("the class is gone", || node.submit("payment", 4, 3, 50_000, b"x").status() == 404);
     node.restart();
     assert_eq!(node.admin_request("POST /maintenance/exit?name=s-1").status(), 200);
@@ -201,10 +201,10 @@
     wait_until("its call", || endpoint.calls() == 1);
     assert_eq!(node.submit("payment", 2, 77, 50_000, b"x").status(), 503);
     assert_eq!(node.request("GET /nowhere", &[], b"").status(), 404);
-    let shown = || String::from_utf8(node.admin_request("GET /status").body).expect("text");
+    let status_text = || String::from_utf8(node.admin_request("GET /status").body).expect("text");
     wait_until("the outcome and the closed connection are counted", || {
-        shown().contains("\"Served\":1") && shown().contains("\"Finished\":")
+        status_text().contains("\"Served\":1") && status_text().contains("\"Finished\":")
     });
-    let text = shown();
+    let text = status_text();
     assert!(text.contains("\"UnknownDestination\":1") && text.contains("\"Invalid\":1"), "{text}");
 }
--- a/crates/daemon/tests/sockets/store.rs
+++ b/crates/daemon/tests/sockets/store.rs
@@ -1,8 +1,8 @@
 //! The store of a running process, and the commands that inspect one.
 
-use crate::flight::{command, said, text};
+use crate::flight::{command, output_text, path_text};
 use crate::world::*;
-use crate::{LONG, drained, ok, one, unchanged};
+use crate::{LONG, drained, ok, start_with_endpoint, unchanged};
 use std::process::Command;
 
 #[test]
@@ -25,27 +25,31 @@
 
 #[test]
 fn second_process_on_the_same_folder_is_refused() {
-    let (node, _endpoint) = one("shop", |_| ok());
+    let (node, _endpoint) = start_with_endpoint("shop", |_| ok());
     let second = Command::new(env!("CARGO_BIN_EXE_notchpoint"))
         .env("BALANCER_CONFIG", node.folder.path().join("config.json"))
         .env("BALANCER_STATE", node.folder.path().join("state"))
         .output()
         .expect("the program");
     assert_eq!(second.status.code(), Some(2));
-    assert!(said(&second).contains("another process has this folder"), "{}", said(&second));
+    assert!(output_text(&second).contains("another process has this folder"), "{}", output_text(&second));
     assert_eq!(node.submit("update", 1, 3, LONG, b"").status(), 202);
 }
 
 #[test]
 fn damaged_folder_is_refused_and_can_be_checked_dumped_and_salvaged() {
-    let (mut node, _endpoint) = one("shop", |_| ok());
+    let (mut node, _endpoint) = start_with_endpoint("shop", |_| ok());
     for id in 1..=4 {
         node.submit("payment", id, 9, LONG, b"body");
     }
     node.kill();
     let state = node.folder.path().join("state");
-    let sound = command(&["store", "check", text(&state)]);
-    assert!(sound.status.success() && said(&sound).contains("messages: 4 keys"), "{}", said(&sound));
+    let intact = command(&["store", "check", path_text(&state)]);
+    assert!(
+        intact.status.success() && output_text(&intact).contains("messages: 4 keys"),
+        "{}",
+        output_text(&intact)
+    );
     let mut bytes = std::fs::read(node.log_path()).expect("a segment");
     let second = bytes.windows(9).position(|w| w == b"\0\0\0\0\0\0\0\x02T").expect("the second's record");
     bytes[second] ^= 1;
@@ -56,28 +60,32 @@
         .output()
         .expect("the program");
     assert!(
-        refused.status.code() == Some(2) && said(&refused).contains("store salvage"),
+        refused.status.code() == Some(2) && output_text(&refused).contains("store salvage"),
         "{}",
-        said(&refused)
+        output_text(&refused)
     );
-    let checked = command(&["store", "check", text(&state)]);
-    let words = said(&checked);
-    assert!(checked.status.code() == Some(1) && words.contains("0000000001.log, byte"), "{words}");
-    let listed = said(&command(&["store", "dump", text(&state)]));
+    let checked = command(&["store", "check", path_text(&state)]);
+    let report = output_text(&checked);
+    assert!(checked.status.code() == Some(1) && report.contains("0000000001.log, byte"), "{report}");
+    let listed = output_text(&command(&["store", "dump", path_text(&state)]));
     assert!(
         listed.contains("put messages 0000000000000001") && listed.contains("cannot be read"),
         "{listed}"
     );
     let new = node.folder.path().join("saved");
-    let saved = command(&["store", "salvage", text(&state), "--to", text(&new)]);
-    let words = said(&saved);
+    let saved = command(&["store", "salvage", path_text(&state), "--to", path_text(&new)]);
+    let report = output_text(&saved);
     assert!(
-        saved.status.code() == Some(1) && words.contains("6 keys saved") && words.contains("in doubt"),
-        "{words}"
+        saved.status.code() == Some(1) && report.contains("6 keys saved") && report.contains("in doubt"),
+        "{report}"
     );
     assert_eq!(std::fs::read(node.log_path()).expect("still there"), bytes, "the damaged one is only read");
-    let again = command(&["store", "salvage", text(&state), "--to", text(&new)]);
-    assert!(again.status.code() == Some(2) && said(&again).contains("must be empty"), "{}", said(&again));
+    let again = command(&["store", "salvage", path_text(&state), "--to", path_text(&new)]);
+    assert!(
+        again.status.code() == Some(2) && output_text(&again).contains("must be empty"),
+        "{}",
+        output_text(&again)
+    );
     // A sender starts on the salvaged folder. The first message may have been attempted in the lost records:
     // it is ended and not sent.
     std::fs::remove_dir_all(&state).expect("away");
--- a/crates/daemon/tests/sockets/watch.rs
+++ b/crates/daemon/tests/sockets/watch.rs
@@ -24,7 +24,7 @@
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
     let address = listener.local_addr().expect("an address").to_string();
     let watches = Watches::default();
-    let came = watches.clone();
+    let opened = watches.clone();
     thread::spawn(move || {
         let mut parts = parts.into_iter();
         for stream in listener.incoming().flatten() {
@@ -33,7 +33,7 @@
             while reader.read_line(&mut line).is_ok_and(|n| n > 2) {
                 line.clear();
             }
-            came.lock().expect("not poisoned").push(Instant::now());
+            opened.lock().expect("not poisoned").push(Instant::now());
             let part = parts.next().unwrap_or_else(|| with_heartbeats(last.clone()));
             thread::spawn(move || part(stream));
         }
@@ -79,33 +79,33 @@
 
 /// Starts a sender with this discovery service, with destination 3 draining in its initial list, and submits
 /// a message for it. The receiver gets the time of each call.
-fn waiting(address: &str) -> (Node, Endpoint, Receiver<Instant>) {
-    let (tell, told) = channel();
+fn start_with_waiting_message(address: &str) -> (Node, Endpoint, Receiver<Instant>) {
+    let (calls, call_times) = channel();
     let endpoint = Endpoint::new(move |_| {
-        let _ = tell.send(Instant::now());
+        let _ = calls.send(Instant::now());
         response("200 OK", "", "")
     });
     let node = Node::new(&[member("s-1", endpoint.address, "shop", 3, "draining")], with_discovery(address));
     assert_eq!(node.submit("update", 1, 3, 50_000, b"x").status(), 202);
-    (node, endpoint, told)
+    (node, endpoint, call_times)
 }
 
 /// Sends the change on the watch that follows these parts. Returns when each watch was opened, and when the
 /// message was sent because of the change.
 fn run_watches(parts: Vec<Part>, change: impl Fn(&str) -> String) -> (Vec<Instant>, Instant) {
     // The endpoint's address is known only once it listens; the last part receives it through this channel.
-    let (set, get) = channel::<String>();
+    let (change_sender, change_receiver) = channel::<String>();
     let mut parts = parts;
     parts.push(Box::new(move |stream| {
-        let text = get.recv_timeout(LONG).expect("it listens");
+        let text = change_receiver.recv_timeout(LONG).expect("it listens");
         with_heartbeats(text)(stream);
     }));
     let (address, watches) = service(parts, String::new());
-    let (_node, endpoint, told) = waiting(&address);
-    set.send(change(&member("s-1", endpoint.address, "shop", 3, "up"))).expect("it waits");
-    let acted = told.recv_timeout(LONG).expect("the change is applied");
-    let came = watches.lock().expect("not poisoned").clone();
-    (came, acted)
+    let (_node, endpoint, call_times) = start_with_waiting_message(&address);
+    change_sender.send(change(&member("s-1", endpoint.address, "shop", 3, "up"))).expect("it waits");
+    let applied = call_times.recv_timeout(LONG).expect("the change is applied");
+    let opened = watches.lock().expect("not poisoned").clone();
+    (opened, applied)
 }
 
 #[test]
@@ -131,9 +131,13 @@
 #[test]
 fn change_missed_by_a_silent_watch_is_known_in_time() {
     // The watch is silent from its start, and the change is made at that time.
-    for said in [HEAD.to_owned(), format!("{HEAD}1\r\n\n\r\n")] {
-        let (watches, acted) = run_watches(vec![silent(said)], |up| list(42, &[up.to_owned()]));
-        assert!(acted - watches[0] < MAX_CHANGE_DELAY - Duration::from_secs(2), "{:?}", acted - watches[0]);
+    for text in [HEAD.to_owned(), format!("{HEAD}1\r\n\n\r\n")] {
+        let (watches, applied) = run_watches(vec![silent(text)], |up| list(42, &[up.to_owned()]));
+        assert!(
+            applied - watches[0] < MAX_CHANGE_DELAY - Duration::from_secs(2),
+            "{:?}",
+            applied - watches[0]
+        );
     }
 }
 
@@ -147,8 +151,8 @@
             is_open = chunk(&mut stream, "\n");
         }
     });
-    let (watches, acted) = run_watches(vec![trickle], |up| list(42, &[up.to_owned()]));
-    assert!(acted - watches[0] < MAX_CHANGE_DELAY - Duration::from_secs(2), "{:?}", acted - watches[0]);
+    let (watches, applied) = run_watches(vec![trickle], |up| list(42, &[up.to_owned()]));
+    assert!(applied - watches[0] < MAX_CHANGE_DELAY - Duration::from_secs(2), "{:?}", applied - watches[0]);
 }
 
 #[test]
@@ -163,14 +167,14 @@
         closing("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"),
         silent("HTTP/1.1 200 OK\r\nTransf".to_owned()),
     ];
-    let (watches, acted) = run_watches(parts, |up| list(42, &[up.to_owned()]));
-    for (n, came) in watches.iter().enumerate() {
-        let next = watches.get(n + 1).copied().unwrap_or(acted);
+    let (watches, applied) = run_watches(parts, |up| list(42, &[up.to_owned()]));
+    for (n, opened) in watches.iter().enumerate() {
+        let next = watches.get(n + 1).copied().unwrap_or(applied);
         // Each failure leaves time for the watch that succeeds.
         assert!(
-            next - *came < MAX_CHANGE_DELAY - Duration::from_millis(800),
+            next - *opened < MAX_CHANGE_DELAY - Duration::from_millis(800),
             "after watch {n}: {:?}",
-            next - *came
+            next - *opened
         );
     }
 }
@@ -178,7 +182,7 @@
 #[test]
 fn pending_connect_of_a_watch_is_retried_in_time() {
     let service = Unreachable::new();
-    let (node, endpoint, told) = waiting(&service.address.to_string());
+    let (node, endpoint, call_times) = start_with_waiting_message(&service.address.to_string());
     thread::sleep(Duration::from_secs(1));
     // From now on the service is reachable.
     let reached = Instant::now();
@@ -195,8 +199,8 @@
             });
         }
     });
-    let acted = told.recv_timeout(LONG).expect("the change is applied");
-    assert!(acted - reached < MAX_CHANGE_DELAY, "{:?}", acted - reached);
+    let applied = call_times.recv_timeout(LONG).expect("the change is applied");
+    assert!(applied - reached < MAX_CHANGE_DELAY, "{:?}", applied - reached);
     drop(node);
 }
 
@@ -205,16 +209,16 @@
     // The discovery service is down meanwhile. When it returns, the watch, the call, the store and operators
     // need descriptors.
     const DESCRIPTORS: usize = 96;
-    let (set, get) = channel::<String>();
+    let (change_sender, change_receiver) = channel::<String>();
     let mut parts: Vec<Part> = (0..5).map(|_| closing("")).collect();
     parts.push(Box::new(move |stream| {
-        let text = get.recv_timeout(LONG).expect("it listens");
+        let text = change_receiver.recv_timeout(LONG).expect("it listens");
         with_heartbeats(text)(stream);
     }));
     let (address, watches) = service(parts, String::new());
-    let (tell, told) = channel();
+    let (calls, call_times) = channel();
     let endpoint = Endpoint::new(move |_| {
-        let _ = tell.send(Instant::now());
+        let _ = calls.send(Instant::now());
         response("200 OK", "", "")
     });
     let limited = |text: String| {
@@ -233,10 +237,10 @@
     wait_until("five watches", || watches.lock().expect("not poisoned").len() >= 5);
     let limit = 5 * Duration::from_millis(2_600);
     assert!(full.elapsed() < limit, "the watch has no descriptor: {:?}", full.elapsed());
-    set.send(list(42, &[member("s-1", endpoint.address, "shop", 3, "up")])).expect("it waits");
+    change_sender.send(list(42, &[member("s-1", endpoint.address, "shop", 3, "up")])).expect("it waits");
     let back = Instant::now();
-    let acted = told.recv_timeout(LONG).expect("the change is applied");
-    assert!(acted - back < MAX_CHANGE_DELAY, "{:?}", acted - back);
+    let applied = call_times.recv_timeout(LONG).expect("the change is applied");
+    assert!(applied - back < MAX_CHANGE_DELAY, "{:?}", applied - back);
     assert_eq!(node.admin_request("GET /status").status(), 200, "operators are answered");
     assert_eq!(
         node.submit("update", 2, 3, 50_000, b"x").status(),
@@ -249,22 +253,22 @@
 fn consecutive_sighups_leave_the_last_discovery_address_in_force() {
     // In between: an address that accepts the watch and sends nothing, and one that refuses it. The end of a
     // watch that was started there must not delay the current one.
-    let (mute, _) = service(vec![silent(String::new())], String::new());
+    let (silent_address, _) = service(vec![silent(String::new())], String::new());
     let refused = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let nowhere = refused.local_addr().expect("an address").to_string();
+    let refusing_address = refused.local_addr().expect("an address").to_string();
     drop(refused);
-    for between in [[&mute, &nowhere], [&nowhere, &mute]] {
+    for between in [[&silent_address, &refusing_address], [&refusing_address, &silent_address]] {
         let (first, _) = service(vec![], "\n".into());
-        let (node, endpoint, told) = waiting(&first);
+        let (node, endpoint, call_times) = start_with_waiting_message(&first);
         let up = list(42, &[member("s-1", endpoint.address, "shop", 3, "up")]);
         let (last_address, _) = service(vec![], up);
         let begun = Instant::now();
         for address in between.into_iter().chain([&last_address]) {
             node.reload(&with_discovery(address)(node.config()));
         }
-        let acted = told.recv_timeout(LONG).expect("the change is applied");
+        let applied = call_times.recv_timeout(LONG).expect("the change is applied");
         // After SIGHUP a change at the new address must be known within 4 s.
-        assert!(acted - begun < Duration::from_secs(4), "{:?}", acted - begun);
+        assert!(applied - begun < Duration::from_secs(4), "{:?}", applied - begun);
     }
 }
 
@@ -275,13 +279,13 @@
     node.platform.publish_malformed(42, &[member("s-2", endpoint.address, "shop", 5, "up")]);
     // Valid updates after it must not hide that it was missed.
     node.platform.publish(43, &[member("s-3", endpoint.address, "shop", 6, "up")]);
-    let told = std::time::Instant::now();
+    let published = std::time::Instant::now();
     wait_until("the valid update is known", || node.submit("update", 1, 6, 5_000, b"x").status() != 503);
     let mut id = 10;
     wait_until("the change, or six seconds", || {
         id += 1;
         std::thread::sleep(std::time::Duration::from_millis(100));
-        node.submit("update", id, 5, 5_000, b"x").status() == 202 || told.elapsed().as_secs() >= 6
+        node.submit("update", id, 5, 5_000, b"x").status() == 202 || published.elapsed().as_secs() >= 6
     });
-    assert!(told.elapsed().as_secs() < 6, "the change in the malformed update was not requested again");
+    assert!(published.elapsed().as_secs() < 6, "the change in the malformed update was not requested again");
 }
--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -165,7 +165,7 @@
                     while let Some(request) = read_message(&mut reader, number) {
                         log.lock().expect("not poisoned").push(request.clone());
                         let reply = (handler.lock().expect("not poisoned"))(&request);
-                        let said = match &reply {
+                        let written = match &reply {
                             Reply::Respond(text) | Reply::RespondAndClose(text) => {
                                 (&stream).write_all(text.as_bytes())
                             }
@@ -174,16 +174,16 @@
                                 (&stream).write_all(text.as_bytes())
                             }
                             Reply::RespondTwice(first, later) => {
-                                let said = (&stream).write_all(first.as_bytes());
+                                let written = (&stream).write_all(first.as_bytes());
                                 thread::sleep(Duration::from_millis(50));
-                                let said = said.and_then(|()| (&stream).write_all(later.as_bytes()));
+                                let written = written.and_then(|()| (&stream).write_all(later.as_bytes()));
                                 *late.lock().expect("not poisoned") += 1;
-                                said
+                                written
                             }
                             Reply::Hang => continue,
                             Reply::Close => break,
                         };
-                        if said.is_err() || matches!(reply, Reply::RespondAndClose(_)) {
+                        if written.is_err() || matches!(reply, Reply::RespondAndClose(_)) {
                             break;
                         }
                     }
@@ -195,6 +195,7 @@
         Self { address, requests, closed_connections, late_responses }
     }
 
+    /// Returns the number of calls so far.
     pub fn calls(&self) -> usize {
         self.requests.lock().expect("not poisoned").len()
     }
@@ -313,6 +314,7 @@
         found().expect("it has arrived")
     }
 
+    /// Returns whether the platform has received a notice for a message.
     pub fn has_notice(&self, id: u64) -> bool {
         self.notices.lock().expect("not poisoned").iter().any(|n| n.contains(&format!("{id:016x}")))
     }
@@ -447,6 +449,7 @@
         self.start_again();
     }
 
+    /// Starts the process again, after it has ended.
     pub fn start_again(&mut self) {
         (self.child, self.address, self.admin) = start(&self.folder, self.client_listener.as_ref());
     }
@@ -458,6 +461,7 @@
         self.signal_at_log_line(step, signals)
     }
 
+    /// Sends these signals once the process logs this step, and waits for its exit.
     fn signal_at_log_line(&mut self, step: &str, signals: &[&str]) -> bool {
         let mut lines = BufReader::new(self.child.stdout.take().expect("its output")).lines();
         while !lines.next().expect("it started").expect("text").contains(step) {}
@@ -470,19 +474,19 @@
     /// Returns whether it then exits with success.
     pub fn start_successor_and_signal_at(&mut self, step: &str, signals: &[&str]) -> bool {
         let child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
-        let serves = std::mem::replace(&mut self.child, child);
-        let ended = self.signal_at_log_line(step, signals);
-        self.child = serves;
-        ended
+        let predecessor = std::mem::replace(&mut self.child, child);
+        let is_clean_exit = self.signal_at_log_line(step, signals);
+        self.child = predecessor;
+        is_clean_exit
     }
 
     /// Starts a successor beside the running process, kills it at the first log line that contains one of
     /// these texts, and returns the line.
-    pub fn successor_log_line(&self, either: &[&str]) -> String {
+    pub fn successor_log_line(&self, texts: &[&str]) -> String {
         let mut child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
         let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-        let mut said = lines.map(|line| line.expect("text"));
-        let found = said.find(|line| either.iter().any(|part| line.contains(part))).expect("one is logged");
+        let mut log = lines.map(|line| line.expect("text"));
+        let found = log.find(|line| texts.iter().any(|text| line.contains(text))).expect("one is logged");
         child.kill().expect("it runs");
         child.wait().expect("it ended");
         found
@@ -511,8 +515,8 @@
     }
 
     /// Limits the process to so many descriptors.
-    pub fn limit_descriptors(&self, most: usize) {
-        let args = [format!("--pid={}", self.child.id()), format!("--nofile={most}:{most}")];
+    pub fn limit_descriptors(&self, limit: usize) {
+        let args = [format!("--pid={}", self.child.id()), format!("--nofile={limit}:{limit}")];
         assert!(Command::new("prlimit").args(args).status().expect("prlimit").success());
     }
 
@@ -551,6 +555,7 @@
         Client::new(self.admin).request(line, &[], b"")
     }
 
+    /// Sends a request on a new connection to the clients' address and returns the response.
     pub fn request(&self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
         Client::new(self.address).request(line, headers, body)
     }
@@ -560,6 +565,7 @@
         Client::new(self.address).submit(class, id, dest, ms, body)
     }
 
+    /// Returns the path of the store's first log file.
     pub fn log_path(&self) -> std::path::PathBuf {
         self.folder.path().join("state/0000000001.log")
     }
@@ -580,6 +586,7 @@
         self.0.wait().expect("a child").success()
     }
 
+    /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
         self.0.try_wait().expect("a child").is_some()
     }
@@ -622,6 +629,8 @@
     command
 }
 
+/// Starts the program, and returns the process, its clients' address and its operators' address once it
+/// listens.
 fn start(
     folder: &tempfile::TempDir,
     client_listener: Option<&TcpListener>,
@@ -663,7 +672,7 @@
 
     pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
         self.send(line, headers, body);
-        read_message(&mut self.0, 0).expect("an answer")
+        read_message(&mut self.0, 0).expect("a response")
     }
 
     pub fn submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
@@ -678,7 +687,7 @@
         self.0.get_ref().set_read_timeout(Some(CLIENT_TIMEOUT)).expect("an option");
         let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
         self.send(&format!("POST /{class}"), &headers(&id, class, &ms, &dest), body);
-        read_message(&mut self.0, 0).map(|heard| heard.status())
+        read_message(&mut self.0, 0).map(|response| response.status())
     }
 
     pub fn write_raw(&mut self, bytes: &[u8]) {
@@ -687,11 +696,11 @@
 
     /// Reads until the other side closes the connection.
     pub fn read_to_close(&mut self) -> String {
-        let mut said = Vec::new();
-        if let Err(e) = self.0.read_to_end(&mut said) {
+        let mut received = Vec::new();
+        if let Err(e) = self.0.read_to_end(&mut received) {
             assert_ne!(e.kind(), std::io::ErrorKind::WouldBlock, "the connection was not closed");
         }
-        String::from_utf8_lossy(&said).into_owned()
+        String::from_utf8_lossy(&received).into_owned()
     }
 
     /// Waits for a byte or the end of the connection, and returns whether the other side has closed it.
