--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -59,7 +59,7 @@
     pub timeout: Duration,
     /// Time from the start of the call in which its first byte may be written.
     pub start_within: Duration,
-    /// The attempt may only use a connection that has carried a response.
+    /// The attempt may only use a proven connection: one that has carried a response.
     pub proven_only: bool,
     pub idempotency_key: String,
     pub body: Bytes,
@@ -107,8 +107,8 @@
     predecessor: RefCell<Option<UnboundedSender<Frame>>>,
     /// No call starts after this time: the process is shutting down.
     start_deadline: Cell<Option<Instant>>,
-    /// The successor makes the decisions: open calls end here, and connections are not kept.
-    handed_over: Cell<bool>,
+    /// The successor makes the decisions: calls in progress end here, and connections are not kept.
+    is_handed_over: Cell<bool>,
     active_calls: Cell<usize>,
     journal: Rc<RefCell<Journal>>,
     durability: Rc<DurabilityTracker>,
@@ -150,7 +150,7 @@
             adopted_attempts: RefCell::default(),
             predecessor: RefCell::default(),
             start_deadline: Cell::new(None),
-            handed_over: Cell::new(false),
+            is_handed_over: Cell::new(false),
             active_calls: Cell::new(0),
             journal,
             durability,
@@ -384,7 +384,7 @@
                 _ => Outcome::ConnectFailed.into(),
             };
             let is_uncertain = end.outcome == Outcome::Served && call.expires_within(UNCERTAINTY_MARGIN);
-            if is_uncertain && self.handed_over.get() {
+            if is_uncertain && self.is_handed_over.get() {
                 // No frame can report the uncertainty to the message's owner, so a time-out is reported,
                 // which claims no more than is known.
                 self.report_end(endpoint, &item, Outcome::TimedOut.into());
@@ -403,14 +403,14 @@
     /// delivered, whatever happens to the rest, and its record is ended, also for the next process.
     fn is_settled(&self, call: &Call) -> bool {
         let has_ok_status = || call.progress.borrow().as_ref().is_some_and(|p| p.has_ok_status());
-        if !call.settled.get() && !call.batch.get() && has_ok_status() && !call.is_expired() {
-            call.settled.set(true);
+        if !call.is_settled.get() && !call.is_batch.get() && has_ok_status() && !call.is_expired() {
+            call.is_settled.set(true);
             // If the response may not count, the record stays for the notice.
             if !call.expires_within(UNCERTAINTY_MARGIN) {
                 call.waiting.borrow().iter().for_each(|i| _ = self.journal.borrow_mut().record_end(i.id));
             }
         }
-        call.settled.get()
+        call.is_settled.get()
     }
 
     /// Moves the message with the latest deadline to the front, since a call ends with its first message.
--- a/crates/daemon/src/calls/call.rs
+++ b/crates/daemon/src/calls/call.rs
@@ -9,12 +9,13 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
+/// One call: its messages, its connection, and how far it has got.
 pub(super) struct Call {
     pub(super) started: Instant,
     /// Messages whose outcome is still open; once the request is written, in the request's order.
     pub(super) waiting: RefCell<Vec<CallItem>>,
     /// The request carries several messages.
-    pub(super) batch: Cell<bool>,
+    pub(super) is_batch: Cell<bool>,
     pub(super) connection: RefCell<Option<Connection>>,
     /// Set once the call has its connection, so that nothing of an earlier request on it counts.
     pub(super) progress: RefCell<Option<Rc<Progress>>>,
@@ -24,15 +25,15 @@
     /// Notified when `deadline` is set.
     pub(super) deadline_changed: Notify,
     /// The only message was delivered before the call's deadline.
-    pub(super) settled: Cell<bool>,
+    pub(super) is_settled: Cell<bool>,
 }
 
 impl Call {
     pub(super) fn new(items: Vec<CallItem>) -> Self {
         let (connection, progress, deadline, deadline_changed) = Default::default();
-        let (batch, settled) = (Cell::new(items.len() > 1), Cell::new(false));
+        let (is_batch, is_settled) = (Cell::new(items.len() > 1), Cell::new(false));
         let (started, waiting) = (Instant::now(), RefCell::new(items));
-        Self { started, waiting, batch, connection, progress, deadline, deadline_changed, settled }
+        Self { started, waiting, is_batch, connection, progress, deadline, deadline_changed, is_settled }
     }
 
     /// Returns when the next message, or the whole call, is given up; `None` if no message is waiting.
@@ -44,7 +45,7 @@
     /// Marks the start of writing the request, which is valid until the deadline.
     pub(super) fn begin(&self, deadline: Option<Instant>) {
         self.deadline.set(deadline);
-        self.batch.set(self.waiting.borrow().len() > 1);
+        self.is_batch.set(self.waiting.borrow().len() > 1);
         self.deadline_changed.notify_one();
     }
 
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -50,7 +50,7 @@
         }
         let (mut recorded, mut has_asked_consent) = (None, self.copies.is_none());
         loop {
-            let reused = used.is_some();
+            let is_reused = used.is_some();
             let mut conn = match used.take() {
                 Some(c) => c,
                 None => self.connect(target.address).await?,
@@ -94,8 +94,8 @@
             }
             // Nothing awaits from here to the first byte: messages that are too late for it are not started.
             let now = Instant::now();
-            let is_ending = self.start_deadline.get().is_some_and(|last| now >= last);
-            let is_unproven = |i: &CallItem| i.proven_only && !conn.answered;
+            let is_ending = self.start_deadline.get().is_some_and(|deadline| now >= deadline);
+            let is_unproven = |i: &CallItem| i.proven_only && !conn.is_proven;
             let late =
                 remove_matching(waiting, |i| is_ending || now >= *started + i.start_within || is_unproven(i));
             late.iter().for_each(|i| self.report_end(endpoint, i, Outcome::Moot.into()));
@@ -127,14 +127,14 @@
                 Ok((result, is_reusable)) => {
                     let conn = connection.borrow_mut().take();
                     if let Some(mut conn) = conn.filter(|_| is_reusable) {
-                        conn.answered = true;
+                        conn.is_proven = true;
                         self.release(endpoint, conn).await;
                     }
                     return Ok(result);
                 }
                 // An idle connection that was closed just as it was used says nothing about a new connection,
                 // so the call is repeated on one.
-                Err(_) if reused && !observed.is_request_complete() => {
+                Err(_) if is_reused && !observed.is_request_complete() => {
                     let old = connection.borrow_mut().take();
                     if let Some(old) = old {
                         old.close().await;
--- a/crates/daemon/src/calls/pool.rs
+++ b/crates/daemon/src/calls/pool.rs
@@ -22,6 +22,7 @@
 /// A connection that takes longer than this to be ready for the next call is closed.
 const READY_TIMEOUT: Duration = Duration::from_millis(20);
 
+/// A connection to an endpoint.
 pub(super) struct Connection {
     pub(super) sender: SendRequest<Body<Bytes>>,
     driver: Driver,
@@ -29,7 +30,7 @@
     pub(super) stream: Rc<dyn Stream>,
     address: SocketAddr,
     /// The connection has carried a response.
-    pub(super) answered: bool,
+    pub(super) is_proven: bool,
 }
 
 impl Connection {
@@ -55,6 +56,7 @@
     }
 }
 
+/// A connection in the pool, and since when it is idle.
 pub(super) struct IdleConnection {
     pub(super) connection: Connection,
     since: Instant,
@@ -91,6 +93,7 @@
         self.known_destinations.borrow_mut().retain(|_, until| until.is_none_or(|t| t > now));
     }
 
+    /// Whether the connection is open and not idle for too long.
     fn is_usable(&self, idle: &IdleConnection) -> bool {
         !idle.connection.sender.is_closed() && idle.since.elapsed() < self.idle_timeout
     }
@@ -102,26 +105,26 @@
         let before = idle.len();
         idle.retain(|i| self.is_usable(i) && i.connection.is_reusable());
         let closed = before - idle.len();
-        let used = idle.pop().map(|i| i.connection);
+        let taken = idle.pop().map(|i| i.connection);
         if idle.is_empty() {
             pool.remove(&id);
         }
         // The policy counts one of them as used, whether it was reusable or not.
-        self.report_closed(id, if used.is_some() { closed } else { closed.saturating_sub(1) });
-        used
+        self.report_closed(id, if taken.is_some() { closed } else { closed.saturating_sub(1) });
+        taken
     }
 
     /// Returns a connection to the pool, or closes it.
     pub(super) async fn release(&self, id: EndpointId, mut connection: Connection) {
         let ready = timeout(READY_TIMEOUT, connection.sender.ready()).await;
-        let idle: usize = self.pool.borrow().values().map(Vec::len).sum();
-        let room = idle < self.max_idle;
-        let wanted =
+        let idle_count: usize = self.pool.borrow().values().map(Vec::len).sum();
+        let has_room = idle_count < self.max_idle;
+        let is_wanted =
             self.targets.borrow().get(&id).is_some_and(|t| t.live && t.address == connection.address)
                 && !self.out_of_service.borrow().contains(&id);
-        if self.handed_over.get()
-            || !room
-            || !wanted
+        if self.is_handed_over.get()
+            || !has_room
+            || !is_wanted
             || !matches!(ready, Ok(Ok(())))
             || !connection.is_reusable()
         {
@@ -135,6 +138,7 @@
         let _ = self.inputs.send(Input::Event(Event::Unused(id)));
     }
 
+    /// Opens a connection.
     pub(super) async fn connect(&self, address: SocketAddr) -> Result<Connection, CallError> {
         let connecting = timeout(self.connect_timeout, self.net.connect(address)).await;
         let stream = connecting.map_err(|_| CallError::Unreachable)?.map_err(CallError::of_connect)?;
@@ -144,10 +148,10 @@
         }
         let progress = Rc::new(Progress::default());
         let observed = ObservedStream::new(stream.clone(), progress.clone());
-        let made = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
-        let (sender, driver) = made.map_err(|_| CallError::Broken)?;
+        let handshake = http1::Builder::new().max_buf_size(MAX_HEAD_BYTES).handshake(observed).await;
+        let (sender, driver) = handshake.map_err(|_| CallError::Broken)?;
         // The request sender reports the end of the connection.
         let driver = Driver(tokio::task::spawn_local(async move { drop(driver.await) }));
-        Ok(Connection { sender, driver, progress, stream, address, answered: false })
+        Ok(Connection { sender, driver, progress, stream, address, is_proven: false })
     }
 }
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -179,7 +179,7 @@
             }
         };
         assert_eq!(end, Outcome::Full { wait: None });
-        assert!(harness.journal.borrow().get(MessageId(2)).is_some(), "it is still owed");
+        assert!(harness.journal.borrow().get(MessageId(2)).is_some(), "it is still open");
     });
 }
 
@@ -268,10 +268,10 @@
 async fn respond_at_deadline(left_ms: &[u64], response: &str) -> Vec<(u64, Outcome)> {
     let mut harness = Harness::new(3).await;
     let now = harness.journal.borrow().unix_now();
-    let take = |(n, ms): (usize, &u64)| {
+    let accept_message = |(n, ms): (usize, &u64)| {
         harness.accept_message(n as u64 + 1, now + ms * 1_000, LONG_TIME, Bytes::new())
     };
-    let items: Vec<CallItem> = left_ms.iter().enumerate().map(take).collect();
+    let items: Vec<CallItem> = left_ms.iter().enumerate().map(accept_message).collect();
     let count = items.len();
     harness.calls.start(ENDPOINT, items);
     let (mut stream, _) = harness.listener.accept().await.expect("a call");
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,5 +1,5 @@
 //! The sender as a library. The program `notchpoint` is a thin wrapper around it, and a rehearsal runs many
-//! senders in one process. All access to the operating system goes through `notchpoint_seam`.
+//! senders in one process. Its clock, disk, network and signals come through `notchpoint_seam`.
 
 mod calls;
 pub mod cli;
--- a/crates/daemon/src/reasons.rs
+++ b/crates/daemon/src/reasons.rs
@@ -42,7 +42,7 @@
 
 type Counts<K> = RefCell<BTreeMap<K, u64>>;
 
-/// Counts by reason since the process started.
+/// Counts by reason since the session started.
 #[derive(Debug, Default)]
 pub struct ReasonCounts {
     refusals: Counts<Refusal>,
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -67,6 +67,7 @@
 /// Limit of the mistakes in a configuration that are logged.
 const MAX_LOGGED_MISTAKES: usize = 20;
 
+/// Any error that ends a command or the start of the sender.
 pub type Failure = Box<dyn std::error::Error>;
 
 /// Builds the environment of a sender from the environment variables that the platform sets.
