--- a/crates/emulator/src/ledger.rs
+++ b/crates/emulator/src/ledger.rs
@@ -1,56 +1,57 @@
-//! What a partner saw and what took effect: the evidence that rules are checked on.
+//! Record of the calls that a partner received and of the messages that took effect. A checker verifies its
+//! rules with it.
 
 use crate::Micros;
 
-/// A call, numbered by the partner in the order in which they came.
+/// Number of a call. The partner numbers calls in the order in which it receives them.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallId(pub u64);
 
-/// A message took effect, or was recognised as one that had.
+/// A message that took effect, or that was recognised as a duplicate of one that had.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Effect {
-    /// When.
+    /// Time of the effect.
     pub at: Micros,
-    /// The message.
+    /// Id of the message.
     pub message: u64,
-    /// At which of the partner's endpoints.
+    /// Endpoint of the partner that carried the message out.
     pub endpoint: usize,
-    /// Its caller had gone by then.
+    /// Whether the caller had closed its connection before that time.
     pub abandoned: bool,
-    /// It was dropped as a repeat: no second effect.
+    /// Whether the message was dropped as a duplicate and had no second effect.
     pub is_duplicate: bool,
 }
 
-/// A call that came.
+/// A call that the partner received.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CallRecord {
-    /// Its number.
+    /// Number of the call.
     pub call: CallId,
-    /// When its first byte came.
+    /// Time at which its first byte was received.
     pub first_byte_at: Micros,
-    /// When its last byte came.
+    /// Time at which its last byte was received.
     pub received_at: Micros,
-    /// At which endpoint.
+    /// Endpoint that received it.
     pub endpoint: usize,
-    /// Which sender made it.
+    /// Number of the sender that made it.
     pub sender: usize,
-    /// The messages in it.
+    /// Ids of the messages in it.
     pub messages: Vec<u64>,
-    /// When it was answered, with which status; 0 for what is no answer.
+    /// Time and status of the answer. The status is 0 where what was returned is not a valid answer.
     pub answer: Option<(Micros, u16)>,
-    /// How long the answer told to wait.
+    /// Wait that the answer asked for.
     pub retry_after: Option<Micros>,
-    /// When its caller was gone.
+    /// Time at which the caller closed its connection without waiting for the answer.
     pub caller_gone_at: Option<Micros>,
 }
 
-/// All of it. It grows with the run; a run has an end.
+/// All calls and effects of a run. It is never pruned, so its size is bounded only by the length of the run.
 #[derive(Clone, Debug, Default)]
 pub struct Ledger {
-    /// In the order of time.
+    /// Effects in order of time.
     pub effects: Vec<Effect>,
-    /// In the order of their numbers, which is that of time.
+    /// Calls in order of their numbers, which is also the order of time.
     pub calls: Vec<CallRecord>,
-    /// When an endpoint that was still cold got too much and fell over.
+    /// Times at which a cold endpoint failed because it received too many calls, with its number.
     pub overload_failures: Vec<(Micros, usize)>,
 }
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -1,8 +1,9 @@
-//! Partners that behave like partners. [`Partner`] is a destination with its endpoints: a model that is told
-//! of calls and of time and says what is answered when. It does no I/O and has no clock; [`Ledger`] holds
-//! what it saw and what took effect, for a checker that knows nothing of senders.
+//! Emulated partners. [`Partner`] models a destination with its endpoints: it is given calls and the current
+//! time, and returns replies when they are due. It does no I/O and has no clock. [`Ledger`] records the calls
+//! that a partner received and the messages that took effect, for a checker that is independent of the
+//! senders.
 //!
-//! Times are microseconds from the start of a run. All chance comes from the seed.
+//! Times are microseconds since the start of a run. All random numbers are drawn from the seed.
 #![warn(missing_docs)]
 
 pub mod ledger;
@@ -14,5 +15,5 @@
 pub use partner::{Change, Completion, MessageResult, Partner, Reply};
 pub use spec::{ColdStart, Faults, PartnerSpec, Service, Thrash};
 
-/// A moment or a span, in microseconds.
+/// A point in time or a duration, in microseconds.
 pub type Micros = u64;
--- a/crates/emulator/src/partner.rs
+++ b/crates/emulator/src/partner.rs
@@ -1,4 +1,4 @@
-//! The model of a partner.
+//! Model of a partner: service slots, a queue, rate limits, outages and faulty answers.
 
 use crate::Micros;
 use crate::ledger::{CallId, CallRecord, Effect, Ledger};
@@ -9,95 +9,102 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// How one message of a call with several ended.
+/// Result of one message of a call with several messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MessageResult {
-    /// Delivered.
+    /// The message was delivered.
     Done,
-    /// It may have run.
+    /// The message failed. It may have taken effect nevertheless.
     Failed,
 }
 
-/// What comes back for a call.
+/// Reply to a call.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reply {
-    /// A status, and how long to wait.
+    /// A status, and the wait that it asks for.
     Status(u16, Option<Micros>),
-    /// The end of each message.
+    /// The result of each message.
     Each(Vec<(u64, MessageResult)>),
-    /// Nothing.
+    /// No answer.
     Silent,
     /// The connection is reset.
     Reset,
-    /// Noise.
+    /// Bytes that are not HTTP.
     Spoilt,
-    /// Half of an answer with status 200.
+    /// The first half of an answer with status 200.
     Half,
-    /// An answer with status 200, byte by byte.
+    /// An answer with status 200 that is sent byte by byte.
     Trickle,
 }
 
-/// A call's answer is due.
+/// A call whose reply is due.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Completion {
-    /// Which call.
+    /// The call.
     pub call: CallId,
-    /// What is answered.
+    /// Its reply.
     pub reply: Reply,
 }
 
-/// What a scenario does to an endpoint.
+/// Change that a scenario makes to an endpoint.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Change {
-    /// All work stops for so long, and then goes on.
+    /// All work stops for this time and then continues.
     Pause(Micros),
-    /// It dies: what it was working on is lost, connections are reset and refused.
+    /// The endpoint crashes: calls in service and in the queue are lost, connections are reset and new ones
+    /// are refused.
     Die,
-    /// It is back, cold.
+    /// The endpoint is up again. It is cold and has only a share of its capacity at first.
     Return,
-    /// Answers are spoilt from now on.
+    /// Answers have these faults from now on.
     Faults(Faults),
-    /// From now on each call takes so many times as long.
+    /// From now on the service time of each call is multiplied by this factor.
     Slow(f64),
 }
 
-/// One message of a call, as its endpoint sees it.
+/// One message of a call, as its endpoint receives it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct IncomingMessage {
-    /// Its id.
+    /// Id of the message.
     pub id: u64,
-    /// Its class.
+    /// Name of its class.
     pub class: String,
-    /// Repeats of it are dropped for so long after it ran.
+    /// Time after its effect in which duplicates of it are dropped. `None` if they are never dropped.
     pub dedup_window: Option<Micros>,
-    /// What is the same for all of its hand-ins, by which repeats are known.
+    /// Key that is the same each time a client sends this message, by which duplicates are recognised.
     pub dedup_key: u64,
 }
 
+/// State of a call that is in service or in the queue.
 struct Call {
-    seen: usize,
+    /// Index of its record in the ledger.
+    record: usize,
     endpoint: usize,
     messages: Vec<IncomingMessage>,
-    /// Work that is left when it begins.
+    /// Service time without slowdown.
     work: Micros,
-    ends: Option<Micros>,
-    gone: bool,
+    /// Time at which its service ends. `None` while it is in the queue.
+    ends_at: Option<Micros>,
+    /// Whether its caller has closed the connection.
+    is_abandoned: bool,
 }
 
 #[derive(Default)]
 struct Endpoint {
-    up: bool,
-    /// It came back at this moment, and is cold for a while.
-    since: Option<Micros>,
-    /// Down until then after it fell over.
-    fallen: Option<Micros>,
-    paused: Option<Micros>,
+    is_up: bool,
+    /// Time at which it recovered from an outage. It warms up from then on.
+    recovered_at: Option<Micros>,
+    /// Time until which it is down after an overload failure.
+    down_until: Option<Micros>,
+    paused_until: Option<Micros>,
+    /// Calls in service.
     serving: u32,
     queue: VecDeque<CallId>,
-    slow: f64,
+    /// Factor on the service time of each call.
+    slowdown: f64,
     faults: Faults,
-    /// Calls that came while it was cold, by moment.
-    offered: VecDeque<Micros>,
+    /// Times of the calls that it received while it was cold, within the window for overload.
+    recent_calls: VecDeque<Micros>,
 }
 
 /// A destination with its endpoints.
@@ -105,31 +112,33 @@
     spec: PartnerSpec,
     endpoints: Vec<Endpoint>,
     calls: BTreeMap<CallId, Call>,
-    due: BinaryHeap<Reverse<(Micros, CallId)>>,
+    completions_due: BinaryHeap<Reverse<(Micros, CallId)>>,
+    /// Tokens of the rate limit.
     tokens: f64,
-    filled: Micros,
-    /// What ran lately, by key: until when repeats are dropped.
-    known: BTreeMap<u64, Micros>,
+    /// Time at which tokens were last added.
+    refilled_at: Micros,
+    /// Time until which duplicates are dropped, by deduplication key.
+    dedup_until: BTreeMap<u64, Micros>,
     ledger: Ledger,
     random: Pcg64Mcg,
 }
 
-/// Calls that came are counted in at most so many moments; more in one window are over any limit anyway.
-const OFFERED: usize = 100_000;
-/// Keys that are remembered at once; the rest of a run's keys make room by age.
-const KNOWN: usize = 1_000_000;
+/// Maximum of call times that are stored for an endpoint. More calls in one window exceed any limit.
+const MAX_RECENT_CALLS: usize = 100_000;
+/// Number of stored deduplication keys from which on expired ones are removed.
+const MAX_DEDUP_KEYS: usize = 1_000_000;
 
 impl Partner {
-    /// A partner with so many endpoints, all warm.
+    /// Creates a partner with this number of endpoints, all up and warm.
     pub fn new(spec: PartnerSpec, endpoints: usize, seed: u64) -> Self {
         let mut partner = Self {
             tokens: spec.burst,
             spec,
             endpoints: Vec::new(),
             calls: BTreeMap::new(),
-            due: BinaryHeap::new(),
-            filled: 0,
-            known: BTreeMap::new(),
+            completions_due: BinaryHeap::new(),
+            refilled_at: 0,
+            dedup_until: BTreeMap::new(),
             ledger: Ledger::default(),
             random: Pcg64Mcg::seed_from_u64(seed),
         };
@@ -139,46 +148,46 @@
         partner
     }
 
-    /// One more endpoint, warm; gives its number.
+    /// Adds an endpoint that is up and warm, and returns its number.
     pub fn add_endpoint(&mut self) -> usize {
-        self.endpoints.push(Endpoint { up: true, slow: 1.0, ..Endpoint::default() });
+        self.endpoints.push(Endpoint { is_up: true, slowdown: 1.0, ..Endpoint::default() });
         self.endpoints.len() - 1
     }
 
-    /// What it is like.
+    /// Returns the parameters of the partner.
     pub fn spec(&self) -> &PartnerSpec {
         &self.spec
     }
 
-    /// What it saw and what took effect.
+    /// Returns the record of its calls and effects.
     pub fn ledger(&self) -> &Ledger {
         &self.ledger
     }
 
-    /// It takes connections.
+    /// Returns whether an endpoint accepts connections.
     pub fn is_up(&self, endpoint: usize) -> bool {
-        self.endpoints.get(endpoint).is_some_and(|e| e.up)
+        self.endpoints.get(endpoint).is_some_and(|state| state.is_up)
     }
 
-    /// Calls in service and waiting, of all endpoints.
+    /// Returns the number of calls in service and the number in the queues, over all endpoints.
     pub fn load(&self) -> (u32, usize) {
-        let serving = self.endpoints.iter().map(|e| e.serving).sum();
-        (serving, self.endpoints.iter().map(|e| e.queue.len()).sum())
+        let serving = self.endpoints.iter().map(|state| state.serving).sum();
+        (serving, self.endpoints.iter().map(|state| state.queue.len()).sum())
     }
 
-    /// The share of its capacity that an endpoint has: less than 1 while it is cold.
+    /// Returns the share of its capacity that an endpoint has now. It is below 1 while the endpoint warms up.
     pub fn capacity_share(&self, endpoint: usize, now: Micros) -> f64 {
-        let (Some(cold), Some(e)) = (self.spec.cold, self.endpoints.get(endpoint)) else { return 1.0 };
-        e.since.map_or(1.0, |since| share(&cold, now.saturating_sub(since)))
+        let (Some(cold), Some(state)) = (self.spec.cold, self.endpoints.get(endpoint)) else { return 1.0 };
+        state.recovered_at.map_or(1.0, |since| warm_up_share(&cold, now.saturating_sub(since)))
     }
 
-    /// What an endpoint can do now, in calls a second of this class.
+    /// Returns the current capacity of an endpoint for messages of this class, in calls a second.
     pub fn capacity(&self, endpoint: usize, class: &str, now: Micros) -> f64 {
         let mean = (self.spec.service(class).mean_ms / 1e3).max(1e-6);
         f64::from(self.spec.slots) / mean * self.capacity_share(endpoint, now)
     }
 
-    /// A call came whole at `now`, its first byte at `first`.
+    /// Takes a call whose first byte was received at `first` and whose last byte was received at `now`.
     pub fn receive_call(
         &mut self,
         now: Micros,
@@ -195,26 +204,27 @@
             received_at: now,
             endpoint,
             sender,
-            messages: messages.iter().map(|m| m.id).collect(),
+            messages: messages.iter().map(|message| message.id).collect(),
             answer: None,
             retry_after: None,
             caller_gone_at: None,
         });
-        self.offer(now, endpoint, messages.first().map_or("", |m| &m.class), out);
+        self.check_overload(now, endpoint, messages.first().map_or("", |message| &message.class), out);
         if !self.is_up(endpoint) {
-            self.answer(now, call, Reply::Reset, out);
+            self.record_answer(now, call, Reply::Reset, out);
         } else if messages.len() > self.spec.bundle as usize {
-            self.answer(now, call, Reply::Status(413, None), out);
-        } else if let Some(wait) = self.over_rate(now) {
+            self.record_answer(now, call, Reply::Status(413, None), out);
+        } else if let Some(wait) = self.check_rate_limit(now) {
             let reply =
                 if self.spec.hint { Reply::Status(429, Some(wait)) } else { Reply::Status(503, None) };
-            self.answer(now, call, reply, out);
+            self.record_answer(now, call, reply, out);
         } else {
             self.admit(now, call, endpoint, messages, out);
         }
         call
     }
 
+    /// Starts a call, adds it to the queue, or refuses it where the queue is full.
     fn admit(
         &mut self,
         now: Micros,
@@ -223,60 +233,64 @@
         messages: Vec<IncomingMessage>,
         out: &mut Vec<Completion>,
     ) {
-        let e = &self.endpoints[endpoint];
-        let busy = e.serving >= self.spec.slots;
-        if busy && e.queue.len() >= self.spec.queue as usize {
+        let state = &self.endpoints[endpoint];
+        let is_busy = state.serving >= self.spec.slots;
+        if is_busy && state.queue.len() >= self.spec.queue as usize {
             let reply = match self.spec.full_hint_ms {
                 Some(ms) => Reply::Status(429, Some(ms * 1_000)),
                 None => Reply::Status(503, None),
             };
-            return self.answer(now, call, reply, out);
+            return self.record_answer(now, call, reply, out);
         }
-        let work = self.work(&messages);
-        let seen = call.0 as usize;
-        self.calls.insert(call, Call { seen, endpoint, messages, work, ends: None, gone: false });
-        if busy {
+        let work = self.draw_service_time(&messages);
+        let record = call.0 as usize;
+        let waiting = Call { record, endpoint, messages, work, ends_at: None, is_abandoned: false };
+        self.calls.insert(call, waiting);
+        if is_busy {
             self.endpoints[endpoint].queue.push_back(call);
         } else {
-            self.begin(now, call);
+            self.start_service(now, call);
         }
     }
 
-    fn work(&mut self, messages: &[IncomingMessage]) -> Micros {
-        let service = messages.first().map_or_else(Default::default, |m| self.spec.service(&m.class));
-        let more = 1.0 + self.spec.each_more * messages.len().saturating_sub(1) as f64;
-        let one = if service.cv > 0.0 && service.mean_ms > 0.0 {
-            // A log-normal time with this mean and this coefficient of variation.
-            let sigma2 = (1.0 + service.cv * service.cv).ln();
-            let normal = LogNormal::new(service.mean_ms.ln() - sigma2 / 2.0, sigma2.sqrt());
-            normal.map_or(service.mean_ms, |d| d.sample(&mut self.random))
+    /// Draws the service time of a call from its class and its number of messages.
+    fn draw_service_time(&mut self, messages: &[IncomingMessage]) -> Micros {
+        let service =
+            messages.first().map_or_else(Default::default, |message| self.spec.service(&message.class));
+        let bundle_factor = 1.0 + self.spec.each_more * messages.len().saturating_sub(1) as f64;
+        let single_ms = if service.cv > 0.0 && service.mean_ms > 0.0 {
+            // Parameters of the log-normal distribution with this mean and coefficient of variation.
+            let variance = (1.0 + service.cv * service.cv).ln();
+            let normal = LogNormal::new(service.mean_ms.ln() - variance / 2.0, variance.sqrt());
+            normal.map_or(service.mean_ms, |distribution| distribution.sample(&mut self.random))
         } else {
             service.mean_ms
         };
-        (one * more * 1e3) as Micros
+        (single_ms * bundle_factor * 1e3) as Micros
     }
 
-    fn begin(&mut self, now: Micros, call: CallId) {
-        let Some(c) = self.calls.get_mut(&call) else { return };
-        let endpoint = c.endpoint;
+    /// Starts to serve a call and schedules its completion.
+    fn start_service(&mut self, now: Micros, call: CallId) {
+        let Some(call_state) = self.calls.get_mut(&call) else { return };
+        let endpoint = call_state.endpoint;
         let share = self.capacity_share(endpoint, now);
-        let e = &mut self.endpoints[endpoint];
-        e.serving += 1;
-        let load = (f64::from(e.serving) + e.queue.len() as f64) / f64::from(self.spec.slots);
-        let over = self.spec.thrash.map_or(0.0, |t| (load - t.from_load).max(0.0) * t.slowdown);
-        // A paused endpoint begins nothing before it goes on.
-        let begins = e.paused.map_or(now, |until| until.max(now));
-        let Some(c) = self.calls.get_mut(&call) else { return };
-        let ends = begins + (c.work as f64 * e.slow * (1.0 + over) / share) as Micros;
-        c.ends = Some(ends);
-        self.due.push(Reverse((ends, call)));
+        let state = &mut self.endpoints[endpoint];
+        state.serving += 1;
+        let load = (f64::from(state.serving) + state.queue.len() as f64) / f64::from(self.spec.slots);
+        let thrash = self.spec.thrash.map_or(0.0, |t| (load - t.from_load).max(0.0) * t.slowdown);
+        // A paused endpoint starts no call before its pause ends.
+        let begins = state.paused_until.map_or(now, |until| until.max(now));
+        let Some(call_state) = self.calls.get_mut(&call) else { return };
+        let ends = begins + (call_state.work as f64 * state.slowdown * (1.0 + thrash) / share) as Micros;
+        call_state.ends_at = Some(ends);
+        self.completions_due.push(Reverse((ends, call)));
     }
 
-    /// The plain limit on calls; gives how long to wait where it is reached.
-    fn over_rate(&mut self, now: Micros) -> Option<Micros> {
+    /// Applies the rate limit (a token bucket). Returns the wait for the next token if it is exceeded.
+    fn check_rate_limit(&mut self, now: Micros) -> Option<Micros> {
         let rate = self.spec.rate_per_s?;
-        let more = now.saturating_sub(self.filled) as f64 / 1e6 * rate;
-        (self.tokens, self.filled) = ((self.tokens + more).min(self.spec.burst), now);
+        let refill = now.saturating_sub(self.refilled_at) as f64 / 1e6 * rate;
+        (self.tokens, self.refilled_at) = ((self.tokens + refill).min(self.spec.burst), now);
         if self.tokens >= 1.0 {
             self.tokens -= 1.0;
             return None;
@@ -284,139 +298,156 @@
         Some(((1.0 - self.tokens) / rate * 1e6).ceil() as Micros)
     }
 
-    /// A cold endpoint that gets too much for too long falls over, and what it was working on is lost.
-    fn offer(&mut self, now: Micros, endpoint: usize, class: &str, out: &mut Vec<Completion>) {
-        let (Some(cold), Some(since)) = (self.spec.cold, self.endpoints[endpoint].since) else { return };
-        let span = (cold.fall_after_s * 1e6) as Micros;
+    /// Counts a call to a cold endpoint. The endpoint crashes and loses its calls if the calls of the last
+    /// window exceed `fall_multiple` times its capacity in that window.
+    fn check_overload(&mut self, now: Micros, endpoint: usize, class: &str, out: &mut Vec<Completion>) {
+        let (Some(cold), Some(since)) = (self.spec.cold, self.endpoints[endpoint].recovered_at) else {
+            return;
+        };
+        let window = (cold.fall_after_s * 1e6) as Micros;
         let full = self.capacity(endpoint, class, Micros::MAX);
-        let e = &mut self.endpoints[endpoint];
+        let state = &mut self.endpoints[endpoint];
         if now.saturating_sub(since) >= (cold.warm_s * 1e6) as Micros {
-            e.offered.clear();
+            state.recent_calls.clear();
             return;
         }
-        e.offered.push_back(now);
-        while e.offered.front().is_some_and(|&t| t + span < now) || e.offered.len() > OFFERED {
-            e.offered.pop_front();
+        state.recent_calls.push_back(now);
+        while state.recent_calls.front().is_some_and(|&t| t + window < now)
+            || state.recent_calls.len() > MAX_RECENT_CALLS
+        {
+            state.recent_calls.pop_front();
         }
-        // Before a whole window has passed there is no judging it.
-        if now < since + span || !e.up {
+        // The window must have passed in full before its calls are compared with the limit.
+        if now < since + window || !state.is_up {
             return;
         }
-        let middle = share(&cold, now - span / 2 - since);
-        if e.offered.len() as f64 > (full * middle * cold.fall_multiple * cold.fall_after_s).max(1.0) {
+        let middle_share = warm_up_share(&cold, now - window / 2 - since);
+        if state.recent_calls.len() as f64
+            > (full * middle_share * cold.fall_multiple * cold.fall_after_s).max(1.0)
+        {
             self.ledger.overload_failures.push((now, endpoint));
             self.apply_change(now, endpoint, Change::Die, out);
-            self.endpoints[endpoint].fallen = Some(now + (cold.down_s * 1e6) as Micros);
+            self.endpoints[endpoint].down_until = Some(now + (cold.down_s * 1e6) as Micros);
         }
     }
 
-    /// The caller of a call has gone. What is in service runs on; what waits may.
+    /// Records that the caller of a call has closed the connection. A call in service still runs to its end.
+    /// One in the queue does so only with `runs_abandoned`, and is removed otherwise.
     pub fn abandon_call(&mut self, now: Micros, call: CallId) {
-        let Some(c) = self.calls.get_mut(&call) else { return };
-        c.gone = true;
-        let (seen, endpoint, waits) = (c.seen, c.endpoint, c.ends.is_none());
-        self.ledger.calls[seen].caller_gone_at.get_or_insert(now);
-        if waits && !self.spec.runs_abandoned {
-            self.endpoints[endpoint].queue.retain(|w| *w != call);
+        let Some(call_state) = self.calls.get_mut(&call) else { return };
+        call_state.is_abandoned = true;
+        let (record, endpoint, is_queued) =
+            (call_state.record, call_state.endpoint, call_state.ends_at.is_none());
+        self.ledger.calls[record].caller_gone_at.get_or_insert(now);
+        if is_queued && !self.spec.runs_abandoned {
+            self.endpoints[endpoint].queue.retain(|queued| *queued != call);
             self.calls.remove(&call);
         }
     }
 
-    /// Does to an endpoint what the scenario says.
+    /// Applies a change of the scenario to an endpoint.
     pub fn apply_change(&mut self, now: Micros, endpoint: usize, change: Change, out: &mut Vec<Completion>) {
-        let Some(e) = self.endpoints.get_mut(endpoint) else { return };
+        let Some(state) = self.endpoints.get_mut(endpoint) else { return };
         match change {
             Change::Pause(span) => {
-                e.paused = Some(now + span);
-                let moved = self.calls.iter_mut().filter(|(_, c)| c.endpoint == endpoint);
-                for (id, c) in moved {
-                    if let Some(ends) = c.ends.as_mut() {
+                state.paused_until = Some(now + span);
+                let delayed = self.calls.iter_mut().filter(|(_, call_state)| call_state.endpoint == endpoint);
+                for (id, call_state) in delayed {
+                    if let Some(ends) = call_state.ends_at.as_mut() {
                         *ends += span;
-                        self.due.push(Reverse((*ends, *id)));
+                        self.completions_due.push(Reverse((*ends, *id)));
                     }
                 }
             }
             Change::Die => {
-                (e.up, e.serving, e.paused, e.since) = (false, 0, None, None);
-                e.queue.clear();
-                e.offered.clear();
-                let lost: Vec<CallId> =
-                    self.calls.iter().filter(|(_, c)| c.endpoint == endpoint).map(|(id, _)| *id).collect();
+                (state.is_up, state.serving, state.paused_until, state.recovered_at) = (false, 0, None, None);
+                state.queue.clear();
+                state.recent_calls.clear();
+                let lost: Vec<CallId> = self
+                    .calls
+                    .iter()
+                    .filter(|(_, call_state)| call_state.endpoint == endpoint)
+                    .map(|(id, _)| *id)
+                    .collect();
                 for call in lost {
                     self.calls.remove(&call);
-                    self.answer(now, call, Reply::Reset, out);
+                    self.record_answer(now, call, Reply::Reset, out);
                 }
             }
             Change::Return => {
-                if !e.up {
-                    (e.up, e.since, e.fallen) = (true, Some(now), None);
+                if !state.is_up {
+                    (state.is_up, state.recovered_at, state.down_until) = (true, Some(now), None);
                 }
             }
-            Change::Faults(faults) => e.faults = faults,
-            Change::Slow(times) => e.slow = times.max(0.0),
+            Change::Faults(faults) => state.faults = faults,
+            Change::Slow(times) => state.slowdown = times.max(0.0),
         }
     }
 
-    /// When [`Self::poll`] is to be called next.
+    /// Returns the time at which [`Self::poll`] must be called next.
     pub fn next_wake(&self) -> Option<Micros> {
-        let back = self.endpoints.iter().filter_map(|e| e.fallen).min();
-        let due = self.due.peek().map(|d| d.0.0);
-        back.into_iter().chain(due).min()
+        let recovery = self.endpoints.iter().filter_map(|state| state.down_until).min();
+        let due = self.completions_due.peek().map(|entry| entry.0.0);
+        recovery.into_iter().chain(due).min()
     }
 
-    /// Does all that is due.
+    /// Completes all calls and recoveries that are due at `now`.
     pub fn poll(&mut self, now: Micros, out: &mut Vec<Completion>) {
         for endpoint in 0..self.endpoints.len() {
-            if self.endpoints[endpoint].fallen.is_some_and(|t| t <= now) {
+            if self.endpoints[endpoint].down_until.is_some_and(|t| t <= now) {
                 self.apply_change(now, endpoint, Change::Return, out);
             }
         }
-        while let Some(&Reverse((at, call))) = self.due.peek()
+        while let Some(&Reverse((at, call))) = self.completions_due.peek()
             && at <= now
         {
-            self.due.pop();
-            // One that a pause has moved stands there again with its new end.
-            if self.calls.get(&call).is_some_and(|c| c.ends == Some(at)) {
+            self.completions_due.pop();
+            // A call that a pause has delayed has another entry with its new end, and this one is ignored.
+            if self.calls.get(&call).is_some_and(|call_state| call_state.ends_at == Some(at)) {
                 self.finish(at, call, out);
             }
         }
     }
 
+    /// Completes a call: records its effects, starts the next call of the queue, and replies.
     fn finish(&mut self, at: Micros, call: CallId, out: &mut Vec<Completion>) {
-        let Some(c) = self.calls.remove(&call) else { return };
-        let mut words = Vec::with_capacity(c.messages.len());
-        for m in &c.messages {
+        let Some(finished) = self.calls.remove(&call) else { return };
+        let mut results = Vec::with_capacity(finished.messages.len());
+        for message in &finished.messages {
             let failed = self.spec.error_share > 0.0 && self.random.random_bool(self.spec.error_share);
-            let ran = !failed || self.random.random_bool(self.spec.error_ran_share);
-            words.push((m.id, if failed { MessageResult::Failed } else { MessageResult::Done }));
-            if ran {
-                let is_duplicate =
-                    self.known.get(&m.dedup_key).is_some_and(|&until| m.dedup_window.is_some() && at < until);
-                if let Some(window) = m.dedup_window.filter(|_| !is_duplicate) {
-                    if self.known.len() >= KNOWN {
-                        self.known.retain(|_, until| *until > at);
+            let took_effect = !failed || self.random.random_bool(self.spec.error_ran_share);
+            results.push((message.id, if failed { MessageResult::Failed } else { MessageResult::Done }));
+            if took_effect {
+                let is_duplicate = self
+                    .dedup_until
+                    .get(&message.dedup_key)
+                    .is_some_and(|&until| message.dedup_window.is_some() && at < until);
+                if let Some(window) = message.dedup_window.filter(|_| !is_duplicate) {
+                    if self.dedup_until.len() >= MAX_DEDUP_KEYS {
+                        self.dedup_until.retain(|_, until| *until > at);
                     }
-                    self.known.insert(m.dedup_key, at + window);
+                    self.dedup_until.insert(message.dedup_key, at + window);
                 }
-                let (message, endpoint, abandoned) = (m.id, c.endpoint, c.gone);
+                let (message, endpoint, abandoned) = (message.id, finished.endpoint, finished.is_abandoned);
                 self.ledger.effects.push(Effect { at, message, endpoint, abandoned, is_duplicate });
             }
         }
-        let e = &mut self.endpoints[c.endpoint];
-        e.serving = e.serving.saturating_sub(1);
-        let faults = e.faults;
-        if let Some(next) = e.queue.pop_front() {
-            self.begin(at, next);
+        let state = &mut self.endpoints[finished.endpoint];
+        state.serving = state.serving.saturating_sub(1);
+        let faults = state.faults;
+        if let Some(next) = state.queue.pop_front() {
+            self.start_service(at, next);
         }
-        if !c.gone {
-            let reply = self.reply(words, &faults);
-            self.answer(at, call, reply, out);
+        if !finished.is_abandoned {
+            let reply = self.choose_reply(results, &faults);
+            self.record_answer(at, call, reply, out);
         }
     }
 
-    fn reply(&mut self, words: Vec<(u64, MessageResult)>, faults: &Faults) -> Reply {
+    /// Returns the reply to a completed call, or one of the faults that are drawn by their shares.
+    fn choose_reply(&mut self, results: Vec<(u64, MessageResult)>, faults: &Faults) -> Reply {
         if *faults != Faults::default() {
-            let mut x: f64 = self.random.random();
+            let mut draw: f64 = self.random.random();
             for (share, reply) in [
                 (faults.silent, Reply::Silent),
                 (faults.reset, Reply::Reset),
@@ -424,32 +455,34 @@
                 (faults.half, Reply::Half),
                 (faults.trickle, Reply::Trickle),
             ] {
-                if x < share {
+                if draw < share {
                     return reply;
                 }
-                x -= share;
+                draw -= share;
             }
         }
-        match &words[..] {
+        match &results[..] {
             [(_, MessageResult::Done)] => Reply::Status(200, None),
             [(_, MessageResult::Failed)] => Reply::Status(500, None),
-            _ => Reply::Each(words),
+            _ => Reply::Each(results),
         }
     }
 
-    fn answer(&mut self, now: Micros, call: CallId, reply: Reply, out: &mut Vec<Completion>) {
-        let seen = &mut self.ledger.calls[call.0 as usize];
-        let (status, wait) = match reply {
-            Reply::Status(status, wait) => (status, wait),
+    /// Records the answer to a call in the ledger and returns it to the caller of the model.
+    fn record_answer(&mut self, now: Micros, call: CallId, reply: Reply, out: &mut Vec<Completion>) {
+        let record = &mut self.ledger.calls[call.0 as usize];
+        let (status, retry_after) = match reply {
+            Reply::Status(status, retry_after) => (status, retry_after),
             Reply::Each(_) => (200, None),
             _ => (0, None),
         };
-        (seen.answer, seen.retry_after) = (Some((now, status)), wait);
+        (record.answer, record.retry_after) = (Some((now, status)), retry_after);
         out.push(Completion { call, reply });
     }
 }
 
-fn share(cold: &ColdStart, up_for: Micros) -> f64 {
-    let warm = (cold.warm_s * 1e6).max(1.0);
-    (cold.start_share + (1.0 - cold.start_share) * up_for as f64 / warm).min(1.0)
+/// Returns the share of its capacity that an endpoint has when it has been up for this time after an outage.
+fn warm_up_share(cold: &ColdStart, up_for: Micros) -> f64 {
+    let warm_up = (cold.warm_s * 1e6).max(1.0);
+    (cold.start_share + (1.0 - cold.start_share) * up_for as f64 / warm_up).min(1.0)
 }
--- a/crates/emulator/src/probe.rs
+++ b/crates/emulator/src/probe.rs
@@ -1,71 +1,72 @@
-//! Offers calls to a partner evenly and says what came of them: for tests and plots that hold a model to its
-//! parameters.
+//! Offers calls to a partner at a constant rate and collects the replies, for tests and plots that compare
+//! the model with its parameters.
 
 use crate::partner::IncomingMessage;
 use crate::{CallId, Completion, Micros, Partner, Reply};
 use std::collections::BTreeMap;
 
-/// What came of a call.
+/// A call and the reply to it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answered {
-    /// When it was made.
-    pub at: Micros,
-    /// When it was answered.
-    pub answered: Micros,
-    /// What came back.
+pub struct AnsweredCall {
+    /// Time at which the call was made.
+    pub sent_at: Micros,
+    /// Time at which it was answered.
+    pub answered_at: Micros,
+    /// The reply.
     pub reply: Reply,
 }
 
-impl Answered {
-    /// It was delivered.
-    pub fn served(&self) -> bool {
+impl AnsweredCall {
+    /// Returns whether the message was delivered.
+    pub fn is_served(&self) -> bool {
         self.reply == Reply::Status(200, None)
     }
 
-    /// It was turned away.
-    pub fn refused(&self) -> bool {
+    /// Returns whether the call was refused.
+    pub fn is_refused(&self) -> bool {
         matches!(self.reply, Reply::Status(429 | 503, _))
     }
 }
 
-/// A call with one message of the class `update`.
+/// Returns a call with one message of the class `update`.
 pub fn message(id: u64) -> Vec<IncomingMessage> {
     vec![IncomingMessage { id, class: "update".into(), dedup_window: None, dedup_key: id }]
 }
 
-/// Offers `rate` calls a second, evenly, from `from` on for so many seconds, in turn to all endpoints that
-/// are named, and waits until all that can be answered is.
+/// Offers `rate` calls a second at equal intervals, for `seconds` from the time `from` on, to the given
+/// endpoints in turn. Returns when every call that can be answered has been answered.
 pub fn offer(
     partner: &mut Partner,
     endpoints: &[usize],
     from: Micros,
     seconds: f64,
     rate: f64,
-) -> BTreeMap<CallId, Answered> {
+) -> BTreeMap<CallId, AnsweredCall> {
     let mut answers = BTreeMap::new();
-    let mut began = BTreeMap::new();
+    let mut sent = BTreeMap::new();
     let mut out: Vec<Completion> = Vec::new();
-    let mut settle = |out: &mut Vec<Completion>, began: &BTreeMap<CallId, Micros>, answered: Micros| {
-        for d in out.drain(..) {
-            if let Some(&at) = began.get(&d.call) {
-                answers.insert(d.call, Answered { at, answered, reply: d.reply });
+    let mut collect = |out: &mut Vec<Completion>, sent: &BTreeMap<CallId, Micros>, answered_at: Micros| {
+        for completion in out.drain(..) {
+            if let Some(&sent_at) = sent.get(&completion.call) {
+                answers
+                    .insert(completion.call, AnsweredCall { sent_at, answered_at, reply: completion.reply });
             }
         }
     };
     for n in 0..(seconds * rate) as u64 {
         let at = from + (n as f64 / rate * 1e6) as Micros;
-        while let Some(wake) = partner.next_wake().filter(|w| *w <= at) {
+        while let Some(wake) = partner.next_wake().filter(|wake| *wake <= at) {
             partner.poll(wake, &mut out);
-            settle(&mut out, &began, wake);
+            collect(&mut out, &sent, wake);
         }
         let endpoint = endpoints[n as usize % endpoints.len()];
         let call = partner.receive_call(at, at, endpoint, 0, message(from + n), &mut out);
-        began.insert(call, at);
-        settle(&mut out, &began, at);
+        sent.insert(call, at);
+        collect(&mut out, &sent, at);
     }
     while let Some(wake) = partner.next_wake() {
         partner.poll(wake, &mut out);
-        settle(&mut out, &began, wake);
+        collect(&mut out, &sent, wake);
     }
     answers
 }
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -1,96 +1,97 @@
-//! What a partner is like, as a scenario states it.
+//! Parameters of a partner, as a scenario file states them.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// A partner. Limits hold for each of its endpoints unless said otherwise.
+/// Parameters of a partner. Limits apply to each of its endpoints unless stated otherwise.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct PartnerSpec {
-    /// Calls served at once.
+    /// Calls in service at the same time.
     pub slots: u32,
-    /// Calls that wait for a slot; more are refused.
+    /// Calls that wait for a slot. Further calls are refused.
     pub queue: u32,
-    /// Service time by class of message; `default` stands for the classes that are not named.
+    /// Service time by class of message. The entry `default` applies to classes that have no entry.
     pub service: BTreeMap<String, Service>,
-    /// What each further message of one call adds, as a share of a call's service time.
+    /// Service time that each further message of a call adds, as a share of the service time of a call.
     pub each_more: f64,
-    /// Calls a second that all endpoints together take from all senders. Above it calls are refused with 429.
+    /// Maximum of calls a second over all endpoints and senders. Calls above it are refused with 429.
     pub rate_per_s: Option<f64>,
-    /// Calls that may come at once under `rate_per_s`.
+    /// Calls that `rate_per_s` allows at once.
     pub burst: f64,
-    /// Whether a refusal by rate tells how long to wait. Without it the answer is a bare 503.
+    /// Whether a refusal by the rate limit states how long to wait. If not, it is a 503 without a hint.
     pub hint: bool,
-    /// How long a refusal for a full queue tells to wait, in milliseconds; absent: no hint.
+    /// Wait that a refusal for a full queue asks for, in milliseconds. Without it the refusal has no hint.
     pub full_hint_ms: Option<u64>,
-    /// What it is like after an outage.
+    /// Behaviour after an outage.
     pub cold: Option<ColdStart>,
-    /// How it slows down under load.
+    /// Slowdown under load.
     pub thrash: Option<Thrash>,
     /// Share of calls that end with an error.
     pub error_share: f64,
-    /// Share of those errors that took effect nevertheless.
+    /// Share of those errors whose messages took effect nevertheless.
     pub error_ran_share: f64,
-    /// Connections at once; more are closed as soon as they come.
+    /// Maximum of open connections. Further ones are closed as soon as they are accepted.
     pub connections: u32,
-    /// It closes a connection that stood idle for so long, in seconds.
+    /// Seconds after which an idle connection is closed.
     pub idle_s: f64,
-    /// Messages in one call at most.
+    /// Maximum of messages in one call.
     pub bundle: u32,
-    /// A call that waits in its queue runs even if its caller has gone. One in service always does.
+    /// Whether a call in the queue runs even if its caller has closed the connection. One in service always
+    /// does.
     pub runs_abandoned: bool,
 }
 
-/// A service time: log-normal, by its mean and its coefficient of variation.
+/// A log-normal service time, given by its mean and its coefficient of variation.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
-    /// Milliseconds.
+    /// Mean in milliseconds.
     pub mean_ms: f64,
-    /// Standard deviation over mean; 0 for always the same.
+    /// Standard deviation divided by the mean. With 0 the service time is constant.
     #[serde(default)]
     pub cv: f64,
 }
 
-/// After an outage: what share of its capacity it has at first, and when it falls over.
+/// Behaviour of an endpoint after an outage: its warm-up, and the load under which it fails again.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct ColdStart {
-    /// Share of its capacity in the first moment, growing evenly to all of it.
+    /// Share of its capacity directly after the outage. It grows linearly to 1.
     pub start_share: f64,
-    /// Seconds until it has all of it.
+    /// Seconds until it has its full capacity.
     pub warm_s: f64,
-    /// It falls over when it gets more than this multiple of what it can then do ...
+    /// The endpoint fails when it receives more than this multiple of its current capacity ...
     pub fall_multiple: f64,
-    /// ... over so many seconds.
+    /// ... over this number of seconds.
     pub fall_after_s: f64,
-    /// It is down again for so many seconds.
+    /// Seconds for which it is down after such a failure.
     pub down_s: f64,
 }
 
-/// Each call takes longer once more than `from_load` calls for each slot are there.
+/// Slowdown of an endpoint while it has more than `from_load` calls for each slot.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct Thrash {
-    /// Calls in service and waiting, for each slot.
+    /// Calls in service and in the queue, for each slot, from which on calls take longer.
     pub from_load: f64,
-    /// What one more call for each slot adds to a service time, as a share of it.
+    /// Share of the service time that is added for each further call for each slot.
     pub slowdown: f64,
 }
 
-/// What is done to answers, each by its share of calls. The call has run.
+/// Faults of answers, each with the share of calls that it affects. The calls themselves take effect.
 #[derive(Clone, Copy, Debug, Default, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields, default)]
 pub struct Faults {
-    /// No answer; the connection stays open.
+    /// No answer is sent, and the connection stays open.
     pub silent: f64,
-    /// The connection is reset in place of an answer.
+    /// The connection is reset instead of an answer.
     pub reset: f64,
-    /// Noise in place of an answer.
+    /// Bytes that are not HTTP are sent instead of an answer.
     pub spoilt: f64,
-    /// The first half of an answer, then nothing.
+    /// Only the first half of an answer is sent.
     pub half: f64,
-    /// An answer byte by byte.
+    /// The answer is sent byte by byte.
     pub trickle: f64,
 }
 
@@ -123,16 +124,16 @@
     }
 }
 
-fn within(name: &str, x: f64, least: f64, most: f64) -> Result<(), String> {
-    let fits = (least..=most).contains(&x);
-    fits.then_some(()).ok_or_else(|| format!("{name}: {x} is not within {least} to {most}"))
+fn check_range(name: &str, value: f64, min: f64, max: f64) -> Result<(), String> {
+    let is_in_range = (min..=max).contains(&value);
+    is_in_range.then_some(()).ok_or_else(|| format!("{name}: {value} is not within {min} to {max}"))
 }
 
 impl Faults {
-    /// Says the first key that makes no sense.
+    /// Checks that every value is within its range.
     ///
     /// # Errors
-    /// The key, its value and what it may be.
+    /// Returns the first key whose value is out of range, with the value and the range.
     pub fn check(&self) -> Result<(), String> {
         let all = [
             ("silent", self.silent),
@@ -141,48 +142,48 @@
             ("half", self.half),
             ("trickle", self.trickle),
         ];
-        all.iter().try_for_each(|(name, x)| within(name, *x, 0.0, 1.0))?;
-        within("the sum of all shares", all.iter().map(|f| f.1).sum(), 0.0, 1.0)
+        all.iter().try_for_each(|(name, share)| check_range(name, *share, 0.0, 1.0))?;
+        check_range("the sum of all shares", all.iter().map(|fault| fault.1).sum(), 0.0, 1.0)
     }
 }
 
 impl PartnerSpec {
-    /// Says the first key that makes no sense.
+    /// Checks that every value is within its range.
     ///
     /// # Errors
-    /// The key, its value and what it may be.
+    /// Returns the first key whose value is out of range, with the value and the range.
     pub fn check(&self) -> Result<(), String> {
-        within("slots", self.slots.into(), 1.0, 100_000.0)?;
-        within("queue", self.queue.into(), 0.0, 1e6)?;
-        within("bundle", self.bundle.into(), 1.0, 1_000.0)?;
-        within("connections", self.connections.into(), 1.0, 1e6)?;
-        within("each_more", self.each_more, 0.0, 10.0)?;
-        within("burst", self.burst, 1.0, 1e6)?;
-        within("error_share", self.error_share, 0.0, 1.0)?;
-        within("error_ran_share", self.error_ran_share, 0.0, 1.0)?;
-        within("idle_s", self.idle_s, 0.1, 86_400.0)?;
+        check_range("slots", self.slots.into(), 1.0, 100_000.0)?;
+        check_range("queue", self.queue.into(), 0.0, 1e6)?;
+        check_range("bundle", self.bundle.into(), 1.0, 1_000.0)?;
+        check_range("connections", self.connections.into(), 1.0, 1e6)?;
+        check_range("each_more", self.each_more, 0.0, 10.0)?;
+        check_range("burst", self.burst, 1.0, 1e6)?;
+        check_range("error_share", self.error_share, 0.0, 1.0)?;
+        check_range("error_ran_share", self.error_ran_share, 0.0, 1.0)?;
+        check_range("idle_s", self.idle_s, 0.1, 86_400.0)?;
         if let Some(rate) = self.rate_per_s {
-            within("rate_per_s", rate, 0.01, 1e6)?;
+            check_range("rate_per_s", rate, 0.01, 1e6)?;
         }
-        for (class, s) in &self.service {
-            within(&format!("service.{class}.mean_ms"), s.mean_ms, 0.0, 3.6e6)?;
-            within(&format!("service.{class}.cv"), s.cv, 0.0, 10.0)?;
+        for (class, service) in &self.service {
+            check_range(&format!("service.{class}.mean_ms"), service.mean_ms, 0.0, 3.6e6)?;
+            check_range(&format!("service.{class}.cv"), service.cv, 0.0, 10.0)?;
         }
-        if let Some(c) = &self.cold {
-            within("cold.start_share", c.start_share, 0.01, 1.0)?;
-            within("cold.warm_s", c.warm_s, 0.0, 3_600.0)?;
-            within("cold.fall_multiple", c.fall_multiple, 1.0, 1_000.0)?;
-            within("cold.fall_after_s", c.fall_after_s, 0.01, 3_600.0)?;
-            within("cold.down_s", c.down_s, 0.0, 3_600.0)?;
+        if let Some(cold) = &self.cold {
+            check_range("cold.start_share", cold.start_share, 0.01, 1.0)?;
+            check_range("cold.warm_s", cold.warm_s, 0.0, 3_600.0)?;
+            check_range("cold.fall_multiple", cold.fall_multiple, 1.0, 1_000.0)?;
+            check_range("cold.fall_after_s", cold.fall_after_s, 0.01, 3_600.0)?;
+            check_range("cold.down_s", cold.down_s, 0.0, 3_600.0)?;
         }
-        if let Some(t) = &self.thrash {
-            within("thrash.from_load", t.from_load, 0.0, 1_000.0)?;
-            within("thrash.slowdown", t.slowdown, 0.0, 1_000.0)?;
+        if let Some(thrash) = &self.thrash {
+            check_range("thrash.from_load", thrash.from_load, 0.0, 1_000.0)?;
+            check_range("thrash.slowdown", thrash.slowdown, 0.0, 1_000.0)?;
         }
         Ok(())
     }
 
-    /// The service time of a class.
+    /// Returns the service time of a class.
     pub fn service(&self, class: &str) -> Service {
         let found = self.service.get(class).or_else(|| self.service.get("default"));
         found.copied().unwrap_or_default()
