--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,7 +1,7 @@
-//! Clients of one sender: they keep some connections, and open others when those have ended.
+//! Clients of one sender. Each keeps some connections open and replaces those that have ended.
 
-use crate::book::{Book, Effect};
 use crate::http::Message;
+use crate::observations::{Effect, Observations};
 use crate::sender::Sender;
 use fastrand::Rng;
 use std::io::{self, BufReader, Write};
@@ -10,129 +10,131 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A client waits so long for an answer, and the machine may be late by the rest.
-const PATIENCE: Duration = Duration::from_millis(400 + 200);
-/// How much time messages have.
-pub const TIME: Duration = Duration::from_secs(6);
-/// Connections that a client keeps.
-const CONNECTIONS: usize = 3;
+/// Time that a client waits for an answer (400 ms), and the rest for delays of the machine.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400 + 200);
+/// Time from the submission of a message to its deadline.
+pub const MESSAGE_TIME: Duration = Duration::from_secs(6);
+/// Maximum of connections that a client keeps open.
+const MAX_KEPT_CONNECTIONS: usize = 3;
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
 
 type Connection = BufReader<TcpStream>;
 
-/// What became of a request.
-enum Came {
+/// Outcome of a request.
+enum RequestOutcome {
     Answer(Message),
-    /// The connection ended or failed before an answer.
-    Ended,
-    /// Nothing came in time.
-    Silence,
+    /// The connection ended or failed before the answer.
+    ConnectionEnded,
+    /// No answer was received in time.
+    TimedOut,
 }
 
 /// One client.
 pub struct Client<'a> {
-    /// Whose client it is.
+    /// The sender that it submits messages to.
     pub sender: &'a Sender,
-    /// Destinations that there are.
-    pub dests: usize,
-    /// Where it enters what it sees.
-    pub book: &'a Book,
-    /// What it draws from.
+    /// Number of destinations.
+    pub destinations: usize,
+    /// Records what it observes.
+    pub observations: &'a Observations,
+    /// Source of its random numbers.
     pub random: Rng,
 }
 
 impl Client<'_> {
-    /// Hands in messages at random moments until the time is over.
-    pub fn run(mut self, every: Duration, until: Instant) {
-        let mut kept: Vec<Connection> = Vec::new();
+    /// Submits messages at random intervals until the given time.
+    pub fn run(mut self, mean_interval: Duration, until: Instant) {
+        let mut connections: Vec<Connection> = Vec::new();
         while Instant::now() < until {
-            thread::sleep(every.mul_f64(2.0 * self.random.f64()));
-            let (id, request) = self.message();
-            if !kept.is_empty() && (kept.len() == CONNECTIONS || self.random.bool()) {
-                let mut connection = kept.swap_remove(self.random.usize(..kept.len()));
-                match ask(&mut connection, &request) {
-                    Came::Answer(answer) => {
-                        kept.extend(self.heard(id, &answer).then_some(connection));
+            thread::sleep(mean_interval.mul_f64(2.0 * self.random.f64()));
+            let (id, request) = self.draw_message();
+            if !connections.is_empty() && (connections.len() == MAX_KEPT_CONNECTIONS || self.random.bool()) {
+                let mut connection = connections.swap_remove(self.random.usize(..connections.len()));
+                match send_request(&mut connection, &request) {
+                    RequestOutcome::Answer(answer) => {
+                        connections.extend(self.record_answer(id, &answer).then_some(connection));
                         continue;
                     }
-                    Came::Silence => continue,
-                    // It may have ended between two requests: this one goes once more, on a new connection.
-                    Came::Ended => self.book.handed_in_again(id),
+                    RequestOutcome::TimedOut => continue,
+                    // The sender may have closed the connection between two requests, so this one is sent
+                    // again on a new connection.
+                    RequestOutcome::ConnectionEnded => self.observations.record_resend(id),
                 }
             }
-            kept.extend(self.on_a_new_connection(id, &request));
+            connections.extend(self.send_on_new_connection(id, &request));
         }
     }
 
-    /// A message of any class and destination: its id and request.
-    fn message(&mut self) -> (u64, String) {
-        let dest = self.random.usize(..self.dests);
+    /// Draws the class and destination of a message. Returns its id and its request.
+    fn draw_message(&mut self) -> (u64, String) {
+        let destination = self.random.usize(..self.destinations);
         let (class, effect) = match self.random.u8(..4) {
-            0..=1 => ("payment", Effect::Once),
-            2 => ("keyed", Effect::Keyed),
-            _ => ("update", Effect::Repeatable),
+            0..=1 => ("payment", Effect::AtMostOnce),
+            2 => ("keyed", Effect::Deduplicated),
+            _ => ("update", Effect::Idempotent),
         };
         let id = NEXT_ID.fetch_add(1, Ordering::Relaxed);
-        self.book.handed_in(id, self.sender.number, effect, TIME);
+        self.observations.record_submission(id, self.sender.number, effect, MESSAGE_TIME);
         let request = format!(
             "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: {id:016x}\r\n\
              X-Priority-Class: {class}\r\nX-Tenant-Id: acme\r\nX-Timeout-Ms: {}\r\n\
-             Content-Length: 5\r\nX-Envelope: dest={dest}\r\n\r\nhello",
-            TIME.as_millis()
+             Content-Length: 5\r\nX-Envelope: dest={destination}\r\n\r\nhello",
+            MESSAGE_TIME.as_millis()
         );
         (id, request)
     }
 
-    /// Gives the connection if it goes on.
-    fn on_a_new_connection(&self, id: u64, request: &str) -> Option<Connection> {
-        if !self.sender.accepts() {
+    /// Sends a request on a new connection. Returns the connection if it can be used again.
+    fn send_on_new_connection(&self, id: u64, request: &str) -> Option<Connection> {
+        if !self.sender.accepts_connections() {
             return None;
         }
         let stream = match TcpStream::connect(self.sender.address()) {
             Ok(stream) => stream,
-            Err(why) => {
-                if why.kind() == io::ErrorKind::ConnectionRefused {
-                    self.book.turned_away(self.sender.number);
+            Err(error) => {
+                if error.kind() == io::ErrorKind::ConnectionRefused {
+                    self.observations.record_refused_connection(self.sender.number);
                 }
                 return None;
             }
         };
         let _ = stream.set_nodelay(true);
-        let _ = stream.set_read_timeout(Some(PATIENCE));
+        let _ = stream.set_read_timeout(Some(ANSWER_TIMEOUT));
         let mut connection = BufReader::new(stream);
-        self.book.sent(id, TIME);
-        match ask(&mut connection, request) {
-            Came::Answer(answer) => self.heard(id, &answer).then_some(connection),
-            Came::Ended => {
-                self.book.unanswered(id);
+        self.observations.record_send(id, MESSAGE_TIME);
+        match send_request(&mut connection, request) {
+            RequestOutcome::Answer(answer) => self.record_answer(id, &answer).then_some(connection),
+            RequestOutcome::ConnectionEnded => {
+                self.observations.record_unanswered(id);
                 None
             }
-            Came::Silence => None,
+            RequestOutcome::TimedOut => None,
         }
     }
 
-    /// Enters an answer. Whether its connection goes on.
-    fn heard(&self, id: u64, answer: &Message) -> bool {
+    /// Records an answer. Returns whether its connection can be used again.
+    fn record_answer(&self, id: u64, answer: &Message) -> bool {
         match answer.status() {
             Some(200 | 202) => {
-                self.book.promised(id);
-                self.sender.has_promised();
+                self.observations.record_acknowledgement(id);
+                self.sender.on_acknowledgement();
             }
-            status => self.book.answered(id, status.unwrap_or(0)),
+            status => self.observations.record_other_status(id, status.unwrap_or(0)),
         }
         !answer.closes()
     }
 }
 
-fn ask(connection: &mut Connection, request: &str) -> Came {
-    let begun = Instant::now();
+/// Writes a request and reads the answer.
+fn send_request(connection: &mut Connection, request: &str) -> RequestOutcome {
+    let sent_at = Instant::now();
     if connection.get_mut().write_all(request.as_bytes()).is_err() {
-        return Came::Ended;
+        return RequestOutcome::ConnectionEnded;
     }
     match Message::read(connection) {
-        Some(answer) => Came::Answer(answer),
-        None if begun.elapsed() >= PATIENCE => Came::Silence,
-        None => Came::Ended,
+        Some(answer) => RequestOutcome::Answer(answer),
+        None if sent_at.elapsed() >= ANSWER_TIMEOUT => RequestOutcome::TimedOut,
+        None => RequestOutcome::ConnectionEnded,
     }
 }
--- a/crates/soak/src/http.rs
+++ b/crates/soak/src/http.rs
@@ -1,21 +1,21 @@
-//! As much of HTTP/1.1 as clients, endpoints and the list service need.
+//! The part of HTTP/1.1 that clients, endpoints and the list service need.
 
 use std::collections::BTreeMap;
 use std::io::BufRead;
 
-/// A request, or an answer.
+/// A request or an answer.
 #[derive(Debug)]
 pub struct Message {
     /// The first line.
     pub line: String,
-    /// Header values by name in small letters.
+    /// Header values, by name in lower case.
     pub headers: BTreeMap<String, String>,
-    /// The body, as long as its length said.
+    /// The body, of the length that `Content-Length` states.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Reads one; nothing where the connection ends or fails before its last byte.
+    /// Reads a message. Returns `None` if the connection ends or fails before its last byte.
     pub fn read(from: &mut impl BufRead) -> Option<Self> {
         let mut line = String::new();
         from.read_line(&mut line).ok().filter(|read| *read > 0)?;
@@ -32,22 +32,22 @@
         Some(Self { line: line.trim_end().to_owned(), headers, body })
     }
 
-    /// The status of an answer.
+    /// Returns the status of an answer.
     pub fn status(&self) -> Option<u16> {
         self.line.split_whitespace().nth(1)?.parse().ok()
     }
 
-    /// The id that a request names.
+    /// Returns the message id of a request with one message.
     pub fn id(&self) -> Option<u64> {
         u64::from_str_radix(self.headers.get("x-request-id")?, 16).ok()
     }
 
-    /// Whether it is a call of several messages.
+    /// Returns whether the request is a call with several messages.
     pub fn is_batch(&self) -> bool {
         self.line.contains(":batch")
     }
 
-    /// The ids that a call names, of several messages by the lines of its body.
+    /// Returns the message ids of a call. Those of several messages are in the lines of its body.
     pub fn ids(&self) -> Vec<u64> {
         if !self.is_batch() {
             return self.id().into_iter().collect();
@@ -60,19 +60,19 @@
             let length: Option<usize> = words.nth(1).and_then(|length| length.parse().ok());
             let (Some(id), Some(length)) = (id, length) else { break };
             ids.push(id);
-            // The message's bytes, and the end of their line.
+            // Skips the bytes of the message and the end of their line.
             rest = rest.get(end + 1 + length + 2..).unwrap_or_default();
         }
         ids
     }
 
-    /// Whether an answer ends its connection.
+    /// Returns whether an answer closes its connection.
     pub fn closes(&self) -> bool {
         self.headers.get("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"))
     }
 }
 
-/// An answer.
+/// Returns the text of an answer.
 pub fn answer(status: &str, headers: &str, body: &str) -> String {
     format!("HTTP/1.1 {status}\r\nContent-Length: {}\r\n{headers}\r\n{body}", body.len())
 }
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,19 +1,20 @@
-//! Runs many real processes of the sender on loopback, with overlapping faults drawn from a seed, and judges
-//! them from outside: by what clients, endpoints and the list service saw.
+//! Runs many real processes of the sender on loopback with overlapping faults that are drawn from a seed. It
+//! checks rules on what clients, endpoints and the list service observe, without access to the processes
+//! themselves.
 #![warn(missing_docs)]
 
-pub mod book;
 mod client;
 mod configuration;
-mod crowd;
 mod http;
-mod lag;
-mod notes;
+mod idle_clients;
+mod note_network;
+pub mod observations;
 mod partners;
 pub mod plan;
 mod process;
 mod run;
 mod sender;
 mod topology;
+mod wake_delay;
 
-pub use run::{Counts, RunReport, run};
+pub use run::{Counts, RunResult, run};
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -1,47 +1,48 @@
-//! `notchpoint-soak`: plays seeds one after another, and shrinks the plan of the first that breaks a rule.
+//! `notchpoint-soak`: runs seeds one after the other, and reduces the plan of the first seed that violates a
+//! rule.
 
 use clap::Parser;
 use notchpoint_soak::plan::{RunSize, ScheduledFault, generate};
-use notchpoint_soak::{Counts, RunReport, run};
+use notchpoint_soak::{Counts, RunResult, run};
 use std::io::{self, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, ExitCode};
 use std::time::Duration;
 
-/// Real senders under overlapping faults, judged from outside.
+/// Runs real senders under overlapping faults and checks rules from outside.
 #[derive(Parser)]
 struct Arguments {
-    /// The first seed.
+    /// First seed.
     #[arg(long, default_value_t = 1)]
     from: u64,
-    /// How many seeds.
+    /// Number of seeds.
     #[arg(long, default_value_t = 1)]
     seeds: u64,
-    /// Sender processes.
+    /// Number of senders.
     #[arg(long, default_value_t = 24)]
     senders: usize,
-    /// Destinations of two endpoints each.
+    /// Number of destinations, each with two endpoints.
     #[arg(long, default_value_t = 6)]
     dests: usize,
-    /// Seconds for which messages are handed in.
+    /// Seconds for which messages are submitted.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
-    /// Troubles in that time.
+    /// Number of faults in that time.
     #[arg(long, default_value_t = 18)]
     troubles: usize,
-    /// Hand-overs in place of half of the troubles.
+    /// Replace half of the faults by hand-overs.
     #[arg(long)]
     hand_overs: bool,
-    /// Busy processes beside the play.
+    /// Number of processes that keep a core busy during the run.
     #[arg(long, default_value_t = 0)]
     busy: usize,
-    /// Go on with the next seed where a rule is broken, and tell at the end which seeds broke one.
+    /// Continue with the next seed after a violation, and list all failed seeds at the end.
     #[arg(long)]
     go_on: bool,
-    /// Do not look for a smaller plan that breaks a rule.
+    /// Do not search for a smaller plan that violates a rule.
     #[arg(long)]
     no_shrink: bool,
-    /// The program; else the one beside this.
+    /// Path of the sender program. Default: `notchpoint` in the folder of this program.
     #[arg(long)]
     program: Option<PathBuf>,
 }
@@ -58,85 +59,88 @@
         fault_count: arguments.troubles,
         prefer_handovers: arguments.hand_overs,
     };
-    let _busy: Vec<Busy> = (0..arguments.busy).map(|_| Busy::start()).collect::<io::Result<_>>()?;
+    let _busy: Vec<BusyProcess> =
+        (0..arguments.busy).map(|_| BusyProcess::start()).collect::<io::Result<_>>()?;
     let mut out = io::stdout();
-    let mut broken = Vec::new();
+    let mut failed_seeds = Vec::new();
     for seed in arguments.from..arguments.from + arguments.seeds {
         let plan = generate(seed, &size);
-        let outcome = run(&program, seed, &size, &plan)?;
-        let Counts { acknowledged, delivered, ended, handovers, max_wake_delay } = outcome.counts;
+        let result = run(&program, seed, &size, &plan)?;
+        let Counts { acknowledged, delivered, ended, handovers, max_wake_delay } = result.counts;
         writeln!(
             out,
             "seed {seed}: {acknowledged} acknowledged, {delivered} delivered, {ended} ended by notices, \
-             {handovers} hand-overs, threads woken {} ms late at most",
+             {handovers} hand-overs, longest wake-up delay of a thread {} ms",
             max_wake_delay.as_millis()
         )?;
-        if outcome.violations.is_empty() {
+        if result.violations.is_empty() {
             continue;
         }
-        tell(&mut out, &plan, &outcome)?;
-        broken.push(seed);
+        print_result(&mut out, &plan, &result)?;
+        failed_seeds.push(seed);
         if arguments.go_on {
             continue;
         }
         if !arguments.no_shrink {
-            let (smaller, outcome) = shrink(&program, seed, &size, plan, outcome)?;
-            writeln!(out, "the smallest plan found:")?;
-            tell(&mut out, &smaller, &outcome)?;
+            let (smaller, result) = shrink(&program, seed, &size, plan, result)?;
+            writeln!(out, "smallest plan found that violates a rule:")?;
+            print_result(&mut out, &smaller, &result)?;
         }
         break;
     }
-    if broken.is_empty() {
+    if failed_seeds.is_empty() {
         return Ok(ExitCode::SUCCESS);
     }
-    writeln!(out, "rules were broken on seeds {broken:?}")?;
+    writeln!(out, "seeds with violations: {failed_seeds:?}")?;
     Ok(ExitCode::FAILURE)
 }
 
-/// A process that does nothing and takes a core for it.
-struct Busy(Child);
+/// A process that keeps a core busy.
+struct BusyProcess(Child);
 
-impl Busy {
+impl BusyProcess {
     fn start() -> io::Result<Self> {
         Command::new("sh").args(["-c", "while :; do :; done"]).spawn().map(Self)
     }
 }
 
-impl Drop for Busy {
+impl Drop for BusyProcess {
     fn drop(&mut self) {
         let _ = self.0.kill();
         let _ = self.0.wait();
     }
 }
 
-fn tell(out: &mut impl Write, plan: &[ScheduledFault], outcome: &RunReport) -> io::Result<()> {
-    plan.iter().try_for_each(|trouble| writeln!(out, "  {trouble}"))?;
-    outcome.violations.iter().try_for_each(|violation| writeln!(out, "  broken: {violation}"))?;
-    write!(out, "{}", outcome.timeline)
+/// Prints a plan, its violations and the timeline of a message.
+fn print_result(out: &mut impl Write, plan: &[ScheduledFault], result: &RunResult) -> io::Result<()> {
+    plan.iter().try_for_each(|fault| writeln!(out, "  {fault}"))?;
+    result.violations.iter().try_for_each(|violation| writeln!(out, "  violation: {violation}"))?;
+    write!(out, "{}", result.timeline)
 }
 
-/// Takes troubles away for as long as a rule is broken without them.
+/// Removes faults from a plan as long as the smaller plan also violates a rule. Returns the smallest plan
+/// found, and its result.
 fn shrink(
     program: &Path,
     seed: u64,
     size: &RunSize,
     mut plan: Vec<ScheduledFault>,
-    mut outcome: RunReport,
-) -> io::Result<(Vec<ScheduledFault>, RunReport)> {
-    let mut part = plan.len().div_ceil(2);
-    while part > 0 {
-        let mut at = 0;
-        while at < plan.len() && plan.len() > 1 {
+    mut result: RunResult,
+) -> io::Result<(Vec<ScheduledFault>, RunResult)> {
+    let mut chunk = plan.len().div_ceil(2);
+    while chunk > 0 {
+        let mut index = 0;
+        while index < plan.len() && plan.len() > 1 {
             let mut fewer = plan.clone();
-            fewer.drain(at..(at + part).min(plan.len()));
-            let played = run(program, seed, size, &fewer)?;
-            if played.violations.is_empty() {
-                at += part;
+            fewer.drain(index..(index + chunk).min(plan.len()));
+            let smaller_result = run(program, seed, size, &fewer)?;
+            if smaller_result.violations.is_empty() {
+                index += chunk;
             } else {
-                (plan, outcome) = (fewer, played);
+                (plan, result) = (fewer, smaller_result);
             }
         }
-        part /= 2;
+        chunk /= 2;
     }
-    Ok((plan, outcome))
+    Ok((plan, result))
 }
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,14 +1,14 @@
-//! One play: senders, their partners and clients, and the troubles of a plan.
+//! One run: senders, their partners and clients, and the faults of a plan.
 
-use crate::book::{Book, Violation};
 use crate::client::{self, Client};
-use crate::configuration::{self, DESCRIPTORS, MEMORY_MB, Place};
-use crate::crowd;
-use crate::notes::Notes;
-use crate::partners::{Endpoint, List, Manner, Member, list_service, shown};
-use crate::plan::{FaultKind, RunSize, ScheduledFault, Series};
-use crate::sender::{Configure, Sender, Setting};
-use crate::topology::{is_held, route};
+use crate::configuration::{self, Addresses, DESCRIPTORS, MEMORY_MB};
+use crate::idle_clients;
+use crate::note_network::NoteNetwork;
+use crate::observations::{Observations, Violation};
+use crate::partners::{Behaviour, Endpoint, EndpointList, Member, member_json, start_list_service};
+use crate::plan::{FaultKind, RunSize, ScheduledFault, SignalSeries};
+use crate::sender::{Configure, Sender, SenderSetup};
+use crate::topology::{inherits_listener, route};
 use fastrand::Rng;
 use notchpoint_faults::Fault;
 use rustix::process::Signal;
@@ -20,302 +20,349 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Between two messages of one client.
-const EVERY: Duration = Duration::from_millis(250);
-const CLIENTS_EACH: u64 = 2;
-/// After the last message's time: notices, and restarts that are still under way.
-const AFTERWARDS: Duration = Duration::from_secs(3);
-/// Idle connections end within this.
-const SETTLED: Duration = Duration::from_secs(12);
-/// Connections to the list service, for notices and for operators that may stand then and did not before.
-const STANDING: usize = 6;
-/// A sender that is drained tells the front so within this; the platform's page allows four seconds.
-const DRAINED: Duration = Duration::from_secs(1);
-/// Operators try a word again for so long where it was not heeded.
-const OPERATORS: Duration = Duration::from_secs(6);
-const OPERATORS_AGAIN: Duration = Duration::from_millis(200);
-const HALF: u32 = 500;
-const MOST: u32 = 950;
-const RELOADS: usize = 4;
-/// Below those that the system gives out: for clients, and for notes.
-const PORT: u16 = 20_000;
+/// Mean time between two messages of a client.
+const MEAN_SEND_INTERVAL: Duration = Duration::from_millis(250);
+/// Clients of each sender.
+const CLIENTS_PER_SENDER: u64 = 2;
+/// Time after the last deadline, for late notices and for restarts that have not finished.
+const SETTLE_TIME: Duration = Duration::from_secs(3);
+/// Time within which idle connections must be closed.
+const LEAK_CHECK_TIMEOUT: Duration = Duration::from_secs(12);
+/// Descriptors that a sender may have open after a run in addition to those before it: connections to the
+/// list service, for notices and from operators.
+const ADDITIONAL_DESCRIPTORS: usize = 6;
+/// Time within which a draining sender reports that to the front. The specification of the platform allows
+/// four seconds.
+const DRAIN_REPORT_TIME: Duration = Duration::from_secs(1);
+/// Time for which a failed operator request is repeated.
+const OPERATOR_TIMEOUT: Duration = Duration::from_secs(6);
+/// Time between two operator requests.
+const OPERATOR_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// Share of failing calls, in thousandths, for faults that affect half of the calls.
+const HALF_PER_MILLE: u32 = 500;
+/// Share of failing calls, in thousandths, for faults that affect almost all calls.
+const MOST_PER_MILLE: u32 = 950;
+/// Reloads of the fault [`FaultKind::Reload`].
+const RELOAD_COUNT: usize = 4;
+/// Ports for clients and for notes. They are below the range that the system assigns.
+const CLIENT_PORT: u16 = 20_000;
 const NOTES_PORT: u16 = 20_001;
-/// Endpoints have addresses behind those of senders.
+/// Number of the address of the first endpoint. Those of senders come before it.
 const FIRST_ENDPOINT: usize = 100;
-/// How often it is looked what senders hold.
-const LIMITS_LOOK: Duration = Duration::from_millis(200);
-/// An outage that leaves a destination cold lasts so long beyond the trouble's span.
-const OUTAGE: Duration = Duration::from_secs(3);
+/// Time between two checks of the descriptors and the memory of senders.
+const LIMIT_CHECK_INTERVAL: Duration = Duration::from_millis(200);
+/// Time that an outage lasts beyond the duration of its fault, so that the route is cold afterwards.
+const ADDITIONAL_OUTAGE_TIME: Duration = Duration::from_secs(3);
 
-/// Plays of this process so far.
+/// Number of runs of this process so far.
 static RUNS: AtomicU32 = AtomicU32::new(0);
 
-/// What a play saw.
+/// Counts of one run.
 #[derive(Clone, Copy, Debug)]
 pub struct Counts {
-    /// Messages that clients were promised.
+    /// Messages that were acknowledged to clients.
     pub acknowledged: usize,
     /// Messages that were delivered.
     pub delivered: usize,
     /// Messages that were ended by a notice.
     pub ended: usize,
-    /// Hand-overs that were begun.
+    /// Hand-overs that were started.
     pub handovers: usize,
-    /// How late this machine woke its threads at the worst.
+    /// Longest wake-up delay of a thread on this machine.
     pub max_wake_delay: Duration,
 }
 
-/// What a play came to.
+/// Result of a run.
 #[derive(Debug)]
-pub struct RunReport {
-    /// What it saw.
+pub struct RunResult {
+    /// Its counts.
     pub counts: Counts,
-    /// Broken rules.
+    /// Violations of rules.
     pub violations: Vec<Violation>,
-    /// What was seen of the first message that is concerned, and the end of its sender's log.
+    /// Events of the first message that has a violation, and the end of the log of its sender.
     pub timeline: String,
 }
 
-/// Where a sender or an endpoint is reached. Its address is nobody else's on the loopback network, so that
-/// while it is down no other socket can get its port: another play's messages would come in there.
+/// Returns the address of a sender or an endpoint. It is unique on the loopback network. Otherwise another
+/// socket could get its port while it is down, and messages of another run would be received there.
 fn address(run_number: u32, number: usize, port: u16) -> SocketAddr {
     let run = std::process::id().wrapping_mul(7).wrapping_add(run_number);
     let [_, _, high, low] = run.to_be_bytes();
     SocketAddr::from(([127, 64 + high % 64, low, number as u8 + 1], port))
 }
 
-struct World {
+/// Senders and partners of a run.
+struct Environment {
     senders: Vec<Arc<Sender>>,
     endpoints: Vec<Arc<Endpoint>>,
-    list: Arc<List>,
-    notes: Arc<Notes>,
-    /// By route: its endpoints are in one trouble at a time.
-    turns: Vec<Mutex<()>>,
+    list: Arc<EndpointList>,
+    notes: Arc<NoteNetwork>,
+    /// A lock for each route. It is held during a fault, so that only one fault affects its endpoints at a
+    /// time.
+    route_locks: Vec<Mutex<()>>,
 }
 
-/// Plays a plan with real processes of this program.
+/// Executes a plan with real processes of this program.
 ///
 /// # Errors
-/// The machine does not give what a play takes.
-pub fn run(program: &Path, seed: u64, size: &RunSize, plan: &[ScheduledFault]) -> io::Result<RunReport> {
+/// The machine lacks resources for the run.
+pub fn run(program: &Path, seed: u64, size: &RunSize, plan: &[ScheduledFault]) -> io::Result<RunResult> {
     let folder = tempfile::tempdir()?;
     let run_number = RUNS.fetch_add(1, Ordering::Relaxed);
-    let (book, list) = (Arc::new(Book::default()), Arc::new(List::default()));
+    let (observations, list) = (Arc::new(Observations::default()), Arc::new(EndpointList::default()));
     let endpoints: Vec<_> = (0..2 * size.destinations)
-        .map(|number| Endpoint::new(number, address(run_number, FIRST_ENDPOINT + number, PORT), &book))
+        .map(|number| {
+            Endpoint::new(number, address(run_number, FIRST_ENDPOINT + number, CLIENT_PORT), &observations)
+        })
         .collect::<io::Result<_>>()?;
     let readers: Vec<_> = (0..size.senders).map(|n| address(run_number, n, NOTES_PORT)).collect();
-    let notes = Arc::new(Notes::new(&readers, seed)?);
+    let notes = Arc::new(NoteNetwork::new(&readers, seed)?);
     for (number, endpoint) in endpoints.iter().enumerate() {
         list.add(number, number / 2, endpoint.address);
     }
     let senders: Vec<_> = (0..size.senders)
         .map(|number| {
-            let discovery = [list_service(number, &list, &book)?, list_service(number, &list, &book)?];
-            let address = address(run_number, number, PORT);
-            let place = Place { listen: address, notes: readers[number], discovery };
-            let (list, told, notes) = (list.clone(), book.clone(), notes.clone());
+            let discovery = [
+                start_list_service(number, &list, &observations)?,
+                start_list_service(number, &list, &observations)?,
+            ];
+            let address = address(run_number, number, CLIENT_PORT);
+            let addresses = Addresses { listen: address, notes: readers[number], discovery };
+            let (list, observed, notes) = (list.clone(), observations.clone(), notes.clone());
             let configure: Configure = Box::new(move |reloads| {
-                let known = |mut member: Member| {
-                    member.drains = told.knows_drain(number, member.endpoint);
-                    shown(&member)
+                let with_drain_state = |mut member: Member| {
+                    member.is_draining = observed.is_drain_known(number, member.endpoint);
+                    member_json(&member)
                 };
-                let members: Vec<String> = list.since(0).0.into_iter().map(known).collect();
+                let members: Vec<String> = list.since(0).0.into_iter().map(with_drain_state).collect();
                 let seed = seed ^ number as u64;
-                configuration::text(number, seed, &place, &notes, &members.join(","), reloads)
+                configuration::text(number, seed, &addresses, &notes, &members.join(","), reloads)
             });
-            let (program, held) = (program.to_owned(), is_held(number));
-            let setting = Setting { program, address, held, configure };
-            Sender::new(number, folder.path(), setting, &book)
+            let (program, inherits_listener) = (program.to_owned(), inherits_listener(number));
+            let setup = SenderSetup { program, address, inherits_listener, configure };
+            Sender::new(number, folder.path(), setup, &observations)
         })
         .collect::<io::Result<_>>()?;
     thread::scope(|scope| {
         for sender in &senders {
-            scope.spawn(|| started(&book, sender.start()));
+            scope.spawn(|| record_start_error(&observations, sender.start()));
         }
     });
     let before: Vec<usize> = senders.iter().map(|sender| sender.descriptors()).collect();
-    let turns = endpoints.iter().map(|_| Mutex::default()).collect();
-    let world = Arc::new(World { senders, endpoints, list, notes, turns });
-    let begun = Instant::now();
-    let until = begun + size.duration;
+    let route_locks = endpoints.iter().map(|_| Mutex::default()).collect();
+    let environment = Arc::new(Environment { senders, endpoints, list, notes, route_locks });
+    let started_at = Instant::now();
+    let until = started_at + size.duration;
     thread::scope(|scope| {
-        for sender in &world.senders {
-            for n in 0..CLIENTS_EACH {
-                let own = seed.wrapping_mul(31).wrapping_add(sender.number as u64 * CLIENTS_EACH + n);
-                let random = Rng::with_seed(own);
-                let client = Client { sender, dests: size.destinations, book: &book, random };
-                scope.spawn(move || client.run(EVERY, until));
+        for sender in &environment.senders {
+            for n in 0..CLIENTS_PER_SENDER {
+                let client_seed =
+                    seed.wrapping_mul(31).wrapping_add(sender.number as u64 * CLIENTS_PER_SENDER + n);
+                let random = Rng::with_seed(client_seed);
+                let client =
+                    Client { sender, destinations: size.destinations, observations: &observations, random };
+                scope.spawn(move || client.run(MEAN_SEND_INTERVAL, until));
             }
         }
         scope.spawn(|| {
             while Instant::now() < until {
-                world.senders.iter().for_each(|sender| check_limits(sender, &book));
-                thread::sleep(LIMITS_LOOK);
+                environment.senders.iter().for_each(|sender| check_limits(sender, &observations));
+                thread::sleep(LIMIT_CHECK_INTERVAL);
             }
         });
-        // Signals of one sender one after another: a process that is being restarted cannot be killed. What
-        // else goes wrong goes on beside them.
-        for which in 0..world.senders.len().max(world.endpoints.len()) {
-            for signals in [true, false] {
-                let its =
-                    |fault: &&ScheduledFault| fault.target == which && fault.kind.is_signal() == signals;
-                let mut its: Vec<&ScheduledFault> = plan.iter().filter(its).collect();
-                its.sort_by_key(|fault| fault.start);
-                let (world, book) = (&*world, &*book);
+        // Signals to one sender are sent one after the other, since a process that is being restarted cannot
+        // be killed. Other faults take place at the same time.
+        for target in 0..environment.senders.len().max(environment.endpoints.len()) {
+            for is_signal in [true, false] {
+                let is_selected =
+                    |fault: &&ScheduledFault| fault.target == target && fault.kind.is_signal() == is_signal;
+                let mut faults: Vec<&ScheduledFault> = plan.iter().filter(is_selected).collect();
+                faults.sort_by_key(|fault| fault.start);
+                let (environment, observations) = (&*environment, &*observations);
                 scope.spawn(move || {
-                    for fault in its {
-                        thread::sleep((begun + fault.start).saturating_duration_since(Instant::now()));
-                        world.inject(fault, book);
+                    for fault in faults {
+                        thread::sleep((started_at + fault.start).saturating_duration_since(Instant::now()));
+                        environment.inject(fault, observations);
                     }
                 });
             }
         }
     });
-    thread::sleep((until + client::TIME + AFTERWARDS).saturating_duration_since(Instant::now()));
-    check_leaks(&world.senders, &before, &book);
-    let comes = size.senders as f64 * CLIENTS_EACH as f64 / EVERY.as_secs_f64() / size.destinations as f64;
-    let violations = book.violations(|route| configuration::slow_start(comes, route));
+    thread::sleep((until + client::MESSAGE_TIME + SETTLE_TIME).saturating_duration_since(Instant::now()));
+    check_leaks(&environment.senders, &before, &observations);
+    let arrivals_per_s = size.senders as f64 * CLIENTS_PER_SENDER as f64
+        / MEAN_SEND_INTERVAL.as_secs_f64()
+        / size.destinations as f64;
+    let violations = observations.violations(|route| configuration::slow_start(arrivals_per_s, route));
     let first = violations.iter().find_map(|violation| violation.message);
-    let timeline = first.map(|id| book.timeline(id)).unwrap_or_default();
-    world.senders.iter().for_each(|sender| sender.end());
+    let timeline = first.map(|id| observations.timeline(id)).unwrap_or_default();
+    environment.senders.iter().for_each(|sender| sender.stop());
     thread::sleep(Duration::from_millis(100));
     let logs: String = if violations.is_empty() {
         String::new()
     } else {
-        let log = |sender: &Arc<Sender>| format!("  log of sender {}:\n{}\n", sender.number, sender.log(12));
-        let named = |sender: &&Arc<Sender>| timeline.contains(&format!("to sender {}\n", sender.number));
-        world.senders.iter().filter(named).map(log).collect()
+        let log =
+            |sender: &Arc<Sender>| format!("  log of sender {}:\n{}\n", sender.number, sender.log_tail(12));
+        let is_in_timeline =
+            |sender: &&Arc<Sender>| timeline.contains(&format!("to sender {}\n", sender.number));
+        environment.senders.iter().filter(is_in_timeline).map(log).collect()
     };
-    let (acknowledged, delivered, ended) = book.counts();
-    let handovers = world.senders.iter().map(|sender| sender.handovers()).sum();
-    let counts = Counts { acknowledged, delivered, ended, handovers, max_wake_delay: book.worst_lag() };
-    Ok(RunReport { counts, violations, timeline: timeline + &logs })
+    let (acknowledged, delivered, ended) = observations.counts();
+    let handovers = environment.senders.iter().map(|sender| sender.handovers()).sum();
+    let counts =
+        Counts { acknowledged, delivered, ended, handovers, max_wake_delay: observations.max_wake_delay() };
+    Ok(RunResult { counts, violations, timeline: timeline + &logs })
 }
 
-/// What a sender's processes hold is within what it may hold.
-fn check_limits(sender: &Sender, book: &Book) {
-    let (number, open, kilobytes) = (sender.number, sender.descriptors(), sender.kilobytes());
+/// Checks that the processes of a sender are within their limits of descriptors and memory.
+fn check_limits(sender: &Sender, observations: &Observations) {
+    let (number, open, kilobytes) = (sender.number, sender.descriptors(), sender.memory_kilobytes());
     if open > DESCRIPTORS {
-        book.broken("descriptors", format!("sender {number} holds {open} descriptors"));
+        observations.record_violation(
+            "descriptors",
+            format!("sender {number} has {open} open descriptors (limit {DESCRIPTORS})"),
+        );
     }
     if kilobytes > MEMORY_MB * 1_024 {
-        book.broken("memory", format!("sender {number} takes {kilobytes} kB"));
+        observations.record_violation(
+            "memory",
+            format!("sender {number} uses {kilobytes} kB of memory (limit {MEMORY_MB} MB)"),
+        );
     }
 }
 
-/// After a play, with no client and nothing to send, senders hold no more than before it.
-fn check_leaks(senders: &[Arc<Sender>], before: &[usize], book: &Book) {
-    let begun = Instant::now();
+/// Checks that after a run, without clients and open messages, senders have no more open descriptors than
+/// before it.
+fn check_leaks(senders: &[Arc<Sender>], before: &[usize], observations: &Observations) {
+    let started_at = Instant::now();
     let leaks = || {
-        let held = senders.iter().zip(before).map(|(sender, before)| (sender, *before, sender.descriptors()));
-        held.filter(|(_, before, now)| *now > before + STANDING).collect::<Vec<_>>()
+        let counts =
+            senders.iter().zip(before).map(|(sender, before)| (sender, *before, sender.descriptors()));
+        counts.filter(|(_, before, now)| *now > before + ADDITIONAL_DESCRIPTORS).collect::<Vec<_>>()
     };
-    while begun.elapsed() < SETTLED && !leaks().is_empty() {
-        thread::sleep(LIMITS_LOOK);
+    while started_at.elapsed() < LEAK_CHECK_TIMEOUT && !leaks().is_empty() {
+        thread::sleep(LIMIT_CHECK_INTERVAL);
     }
     for (sender, before, now) in leaks() {
-        let what = format!("sender {} holds {now} descriptors at rest for {before} before", sender.number);
-        book.broken("leak", what);
+        let description = format!(
+            "sender {} has {now} open descriptors after the run and had {before} before it",
+            sender.number
+        );
+        observations.record_violation("leak", description);
     }
 }
 
-fn started(book: &Book, result: io::Result<()>) {
-    if let Err(why) = result {
-        book.broken("start", why.to_string());
+/// Records a failed start of a sender.
+fn record_start_error(observations: &Observations, result: io::Result<()>) {
+    if let Err(error) = result {
+        observations.record_violation("start", error.to_string());
     }
 }
 
-impl World {
-    fn turn(&self, endpoint: usize) -> MutexGuard<'_, ()> {
-        self.turns[route(endpoint)].lock().unwrap_or_else(PoisonError::into_inner)
+impl Environment {
+    /// Locks the route of an endpoint.
+    fn lock_route(&self, endpoint: usize) -> MutexGuard<'_, ()> {
+        self.route_locks[route(endpoint)].lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Takes all endpoints of a route out of service for a while.
-    fn outage(&self, number: usize, span: Duration, book: &Book) {
-        let _turn = self.turn(number);
+    /// Makes all endpoints of a route refuse connections for this time.
+    fn outage(&self, number: usize, span: Duration, observations: &Observations) {
+        let _guard = self.lock_route(number);
         let all = || self.endpoints.iter().enumerate().filter(|(n, _)| route(*n) == route(number));
-        book.outage(number);
-        all().for_each(|(_, endpoint)| endpoint.set(Manner::Down));
+        observations.start_outage(number);
+        all().for_each(|(_, endpoint)| endpoint.set(Behaviour::Down));
         thread::sleep(span);
-        book.back(number);
-        all().for_each(|(_, endpoint)| endpoint.set(Manner::Sound));
+        observations.end_outage(number);
+        all().for_each(|(_, endpoint)| endpoint.set(Behaviour::Normal));
     }
 
-    fn inject(&self, fault: &ScheduledFault, book: &Book) {
+    /// Injects a fault for its duration.
+    fn inject(&self, fault: &ScheduledFault, observations: &Observations) {
         let sender = &self.senders[fault.target % self.senders.len()];
         let number = fault.target % self.endpoints.len();
         let endpoint = &self.endpoints[number];
-        let fails = |calls: &[(Fault, i32, u32)]| {
-            for (what, errno, per_mille) in calls {
-                let _ = sender.faults.fail(*what, *errno, *per_mille);
+        let inject_errors = |calls: &[(Fault, i32, u32)]| {
+            for (call, errno, per_mille) in calls {
+                let _ = sender.faults.fail(*call, *errno, *per_mille);
             }
             thread::sleep(fault.duration);
-            calls.iter().for_each(|(what, ..)| drop(sender.faults.fail(*what, 0, 0)));
+            calls.iter().for_each(|(call, ..)| drop(sender.faults.fail(*call, 0, 0)));
         };
-        let misbehaves = |manner: Manner| {
-            let _turn = self.turn(number);
-            endpoint.set(manner);
+        let set_behaviour = |behaviour: Behaviour| {
+            let _guard = self.lock_route(number);
+            endpoint.set(behaviour);
             thread::sleep(fault.duration);
-            endpoint.set(Manner::Sound);
+            endpoint.set(Behaviour::Normal);
         };
         match fault.kind {
-            FaultKind::Kill => started(book, sender.kill_and_start()),
-            FaultKind::Restart => started(book, sender.restart(&[Signal::TERM])),
-            FaultKind::Signals(series) => started(book, sender.restart(signals(series))),
+            FaultKind::Kill => record_start_error(observations, sender.kill_and_restart()),
+            FaultKind::Restart => record_start_error(observations, sender.restart(&[Signal::TERM])),
+            FaultKind::Signals(series) => record_start_error(observations, sender.restart(signals(series))),
             FaultKind::SignalsAtStart(millis) => {
                 let signals = [Signal::TERM, Signal::HUP];
-                started(book, sender.signals_at_start(&signals, Duration::from_millis(millis)));
+                record_start_error(
+                    observations,
+                    sender.signal_during_start(&signals, Duration::from_millis(millis)),
+                );
             }
-            FaultKind::KillBehindPromise => started(book, sender.kill_behind_a_promise()),
-            FaultKind::Handover => started(book, sender.hand_over(None)),
-            FaultKind::HandoverKill(side, millis) => {
-                started(book, sender.hand_over(Some((side, Duration::from_millis(millis)))));
+            FaultKind::KillAfterAcknowledgement => {
+                record_start_error(observations, sender.kill_after_acknowledgement())
             }
-            FaultKind::Standby => stand_by(sender, fault.duration),
-            FaultKind::OutOfService => take_out(sender, number, fault.duration, book),
-            FaultKind::Crowd => crowd::come(sender.address(), fault.duration),
-            FaultKind::HeldUp => {
-                let begun = Instant::now();
-                while begun.elapsed() < fault.duration {
-                    sender.hold_up();
+            FaultKind::Handover => record_start_error(observations, sender.hand_over(None)),
+            FaultKind::HandoverKill(target, millis) => {
+                record_start_error(
+                    observations,
+                    sender.hand_over(Some((target, Duration::from_millis(millis)))),
+                );
+            }
+            FaultKind::Standby => put_on_standby(sender, fault.duration),
+            FaultKind::OutOfService => take_out_of_service(sender, number, fault.duration, observations),
+            FaultKind::IdleConnections => idle_clients::run(sender.address(), fault.duration),
+            FaultKind::Stopped => {
+                let started_at = Instant::now();
+                while started_at.elapsed() < fault.duration {
+                    sender.pause();
                     thread::sleep(Duration::from_millis(300));
                 }
             }
-            FaultKind::Reload => (0..RELOADS).for_each(|_| sender.reload()),
+            FaultKind::Reload => (0..RELOAD_COUNT).for_each(|_| sender.reload()),
             FaultKind::Clock(step) => drop(sender.faults.set_wall_clock_offset(step)),
-            FaultKind::Connect(errno) => fails(&[(Fault::Connect, errno, HALF)]),
+            FaultKind::Connect(errno) => inject_errors(&[(Fault::Connect, errno, HALF_PER_MILLE)]),
             FaultKind::FileWrite(errno) => {
-                fails(&[(Fault::PartialWrite, errno, HALF), (Fault::FileWrite, errno, MOST)]);
-            }
-            FaultKind::SocketIo => {
-                fails(&[(Fault::SocketIo, libc::EINTR, HALF / 2), (Fault::ShortIo, 0, HALF)])
+                inject_errors(&[
+                    (Fault::PartialWrite, errno, HALF_PER_MILLE),
+                    (Fault::FileWrite, errno, MOST_PER_MILLE),
+                ]);
             }
-            FaultKind::Accept(errno) => fails(&[(Fault::Accept, errno, HALF)]),
+            FaultKind::SocketIo => inject_errors(&[
+                (Fault::SocketIo, libc::EINTR, HALF_PER_MILLE / 2),
+                (Fault::ShortIo, 0, HALF_PER_MILLE),
+            ]),
+            FaultKind::Accept(errno) => inject_errors(&[(Fault::Accept, errno, HALF_PER_MILLE)]),
             FaultKind::SlowDisk(millis) => {
                 let _ = sender.faults.delay_writes(Duration::from_millis(millis));
                 thread::sleep(fault.duration);
                 let _ = sender.faults.delay_writes(Duration::ZERO);
             }
-            FaultKind::FileRead(errno) => fails(&[(Fault::FileRead, errno, MOST)]),
-            FaultKind::Memory(errno) => fails(&[(Fault::SocketIo, errno, HALF / 2)]),
-            FaultKind::Socket(errno) => fails(&[(Fault::Socket, errno, HALF)]),
+            FaultKind::FileRead(errno) => inject_errors(&[(Fault::FileRead, errno, MOST_PER_MILLE)]),
+            FaultKind::Memory(errno) => inject_errors(&[(Fault::SocketIo, errno, HALF_PER_MILLE / 2)]),
+            FaultKind::Socket(errno) => inject_errors(&[(Fault::Socket, errno, HALF_PER_MILLE)]),
             FaultKind::NotesLost(per_mille) => {
-                self.notes.lose(per_mille);
+                self.notes.set_loss(per_mille);
                 thread::sleep(fault.duration);
-                self.notes.lose(0);
+                self.notes.set_loss(0);
             }
-            FaultKind::Outage => self.outage(number, fault.duration + OUTAGE, book),
-            FaultKind::Hangs => misbehaves(Manner::Hangs),
-            FaultKind::Cut => misbehaves(Manner::Cut),
-            FaultKind::CutAnswers => misbehaves(Manner::CutAnswers),
-            FaultKind::Resets => misbehaves(Manner::Resets),
-            FaultKind::Full => misbehaves(Manner::Full),
-            FaultKind::Slow => misbehaves(Manner::Slow),
+            FaultKind::Outage => self.outage(number, fault.duration + ADDITIONAL_OUTAGE_TIME, observations),
+            FaultKind::NoAnswer => set_behaviour(Behaviour::NoAnswer),
+            FaultKind::Disconnected => set_behaviour(Behaviour::Disconnected),
+            FaultKind::TruncatedAnswers => set_behaviour(Behaviour::TruncatedAnswer),
+            FaultKind::Resets => set_behaviour(Behaviour::Reset),
+            FaultKind::Full => set_behaviour(Behaviour::Full),
+            FaultKind::Slow => set_behaviour(Behaviour::Slow),
             FaultKind::Drain => {
-                self.list.drain(number, true);
+                self.list.set_draining(number, true);
                 thread::sleep(fault.duration);
-                self.list.drain(number, false);
+                self.list.set_draining(number, false);
             }
             FaultKind::ListDown => {
                 self.list.set_down(true);
@@ -331,39 +378,42 @@
     }
 }
 
-const fn signals(series: Series) -> &'static [Signal] {
+/// Returns the signals of a series.
+const fn signals(series: SignalSeries) -> &'static [Signal] {
     match series {
-        Series::ReloadsAndEnd => &[Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP],
-        Series::EndTwice => &[Signal::TERM, Signal::TERM],
-        Series::EndAndReload => &[Signal::TERM, Signal::HUP],
+        SignalSeries::ReloadsAndTerminate => &[Signal::HUP, Signal::HUP, Signal::TERM, Signal::HUP],
+        SignalSeries::TerminateTwice => &[Signal::TERM, Signal::TERM],
+        SignalSeries::TerminateAndReload => &[Signal::TERM, Signal::HUP],
     }
 }
 
-/// An operator's word, again until it is heeded. Whether it was in time.
-fn heeded(sender: &Sender, line: &str) -> bool {
-    let begun = Instant::now();
-    while begun.elapsed() < OPERATORS {
-        if sender.ask(line) == Some(200) {
+/// Repeats an operator request until it is answered with 200. Returns whether it was in time.
+fn send_until_accepted(sender: &Sender, line: &str) -> bool {
+    let started_at = Instant::now();
+    while started_at.elapsed() < OPERATOR_TIMEOUT {
+        if sender.send_operator_request(line) == Some(200) {
             return true;
         }
-        thread::sleep(OPERATORS_AGAIN);
+        thread::sleep(OPERATOR_RETRY_INTERVAL);
     }
     false
 }
 
-fn stand_by(sender: &Sender, span: Duration) {
-    if heeded(sender, "POST /standby") {
-        thread::sleep(DRAINED + span);
-        heeded(sender, "POST /active");
+/// Puts a sender on standby for this time.
+fn put_on_standby(sender: &Sender, span: Duration) {
+    if send_until_accepted(sender, "POST /standby") {
+        thread::sleep(DRAIN_REPORT_TIME + span);
+        send_until_accepted(sender, "POST /active");
     }
 }
 
-/// From the yes on nothing may be sent there, until it is put back.
-fn take_out(sender: &Sender, endpoint: usize, span: Duration, book: &Book) {
-    if heeded(sender, &format!("POST /maintenance/enter?name=e-{endpoint}")) {
-        book.out_of_service(sender.number, endpoint, true);
+/// Takes an endpoint out of service at a sender for this time. The sender must not call it from the answer
+/// 200 until it is returned to service.
+fn take_out_of_service(sender: &Sender, endpoint: usize, span: Duration, observations: &Observations) {
+    if send_until_accepted(sender, &format!("POST /maintenance/enter?name=e-{endpoint}")) {
+        observations.set_out_of_service(sender.number, endpoint, true);
         thread::sleep(span);
-        book.out_of_service(sender.number, endpoint, false);
-        heeded(sender, &format!("POST /maintenance/exit?name=e-{endpoint}"));
+        observations.set_out_of_service(sender.number, endpoint, false);
+        send_until_accepted(sender, &format!("POST /maintenance/exit?name=e-{endpoint}"));
     }
 }
--- a/crates/soak/src/sender.rs
+++ b/crates/soak/src/sender.rs
@@ -1,6 +1,7 @@
-//! One sender: its folder, its processes one after another, and what is done to them from outside.
+//! One sender: its folder, its successive processes, and the signals and hand-overs that the run applies to
+//! them.
 
-use crate::book::Book;
+use crate::observations::Observations;
 use crate::process::Process;
 use notchpoint_faults::FaultController;
 use rustix::process::Signal;
@@ -15,126 +16,135 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// A process is ready within this.
-const READY: Duration = Duration::from_secs(10);
-/// After SIGTERM new connections go on coming for so long.
-const COMING: Duration = Duration::from_millis(300);
-/// SIGKILL comes so long after SIGTERM.
-const KILL_AFTER: Duration = Duration::from_millis(3_700);
-/// And the next start so long after that.
-const REST: Duration = Duration::from_millis(600);
-/// It is held up for this between two of its steps.
-const HELD_UP: Duration = Duration::from_millis(150);
-/// Between two signals of a series.
-const BETWEEN_SIGNALS: Duration = Duration::from_millis(2);
-/// A kill that is to come behind a promise comes after this at the latest.
-const PROMISE: Duration = Duration::from_secs(1);
-const LOOK: Duration = Duration::from_millis(5);
-
-/// Gives a sender's configuration as it is at a start or reload: with the list as this sender last had it.
-/// Every second one differs from the ones between.
+/// Time within which a process must be ready.
+const READY_TIMEOUT: Duration = Duration::from_secs(10);
+/// Time after SIGTERM in which the front still opens new connections.
+const FRONT_DRAIN_TIME: Duration = Duration::from_millis(300);
+/// Time between SIGTERM and SIGKILL.
+const KILL_DELAY: Duration = Duration::from_millis(3_700);
+/// Time between the end of a process and the next start.
+const RESTART_PAUSE: Duration = Duration::from_millis(600);
+/// Time for which a process is stopped by SIGSTOP.
+const STOP_TIME: Duration = Duration::from_millis(150);
+/// Time between two signals of a series.
+const SIGNAL_INTERVAL: Duration = Duration::from_millis(2);
+/// Time after which a kill that waits for an acknowledgement takes place without one.
+const ACKNOWLEDGEMENT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two checks of a condition.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
+
+/// Returns the configuration of a sender for its next start or reload. The argument is the number of reloads
+/// so far; the configuration differs between even and odd numbers. It has the endpoint list that the sender
+/// last received.
 pub type Configure = Box<dyn Fn(usize) -> String + Send + Sync>;
 
 /// One of the two processes of a hand-over.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// The one that serves.
-    Old,
-    /// The one that takes over.
-    New,
+pub enum HandoverProcess {
+    /// The process that serves.
+    Predecessor,
+    /// The process that takes over.
+    Successor,
 }
 
-/// What is the same for all processes of a sender.
-pub struct Setting {
-    /// The program.
+/// What all processes of a sender have in common.
+pub struct SenderSetup {
+    /// Path of the sender program.
     pub program: PathBuf,
-    /// Where clients connect, which stays over restarts.
+    /// Address that clients connect to. It is the same after restarts.
     pub address: SocketAddr,
-    /// The platform holds the clients' socket, and processes may take over from one another.
-    pub held: bool,
-    /// Makes its configuration.
+    /// Whether its processes inherit the listening socket for clients, as from the platform. Only then can
+    /// one process take over from another.
+    pub inherits_listener: bool,
+    /// Returns its configuration.
     pub configure: Configure,
 }
 
 /// One sender.
 pub struct Sender {
-    /// Its number in the book.
+    /// Number of the sender in the observations.
     pub number: usize,
-    /// What makes its system calls fail.
+    /// Injects faults into its system calls.
     pub faults: FaultController,
-    setting: Setting,
+    setup: SenderSetup,
     folder: PathBuf,
-    held: Option<TcpListener>,
+    /// The listening socket that its processes inherit.
+    listener: Option<TcpListener>,
     process: Mutex<Option<Process>>,
-    /// The one before it, while both are there.
-    before: Mutex<Option<Process>>,
-    accepts: AtomicBool,
-    /// It is to be killed as soon as a client hears a promise.
-    dies_at_promise: AtomicBool,
+    /// The predecessor of its process, while both run.
+    predecessor: Mutex<Option<Process>>,
+    accepts_connections: AtomicBool,
+    /// Whether it is to be killed as soon as a client receives an acknowledgement.
+    kill_on_acknowledgement: AtomicBool,
     reloads: AtomicUsize,
     handovers: AtomicUsize,
-    book: Arc<Book>,
+    observations: Arc<Observations>,
 }
 
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Waits until something holds. Whether it did in time.
-fn within(time: Duration, mut holds: impl FnMut() -> bool) -> bool {
-    let begun = Instant::now();
+/// Waits until a condition holds or the time is over. Returns whether the condition holds.
+fn wait_for(timeout: Duration, mut holds: impl FnMut() -> bool) -> bool {
+    let started_at = Instant::now();
     while !holds() {
-        if begun.elapsed() > time {
+        if started_at.elapsed() > timeout {
             return false;
         }
-        thread::sleep(LOOK);
+        thread::sleep(POLL_INTERVAL);
     }
     true
 }
 
 impl Sender {
-    /// Prepares a sender, with a configuration made anew for each start.
+    /// Prepares a sender. Its configuration is written anew for each start.
     ///
     /// # Errors
-    /// Its folder cannot be made, or its address cannot be had.
-    pub fn new(number: usize, within: &Path, setting: Setting, book: &Arc<Book>) -> io::Result<Arc<Self>> {
-        let folder = within.join(format!("n{number}"));
+    /// Its folder cannot be created, or its address cannot be bound.
+    pub fn new(
+        number: usize,
+        parent: &Path,
+        setup: SenderSetup,
+        observations: &Arc<Observations>,
+    ) -> io::Result<Arc<Self>> {
+        let folder = parent.join(format!("n{number}"));
         fs::create_dir_all(folder.join("state"))?;
-        let held = setting.held.then(|| TcpListener::bind(setting.address)).transpose()?;
+        let listener = setup.inherits_listener.then(|| TcpListener::bind(setup.address)).transpose()?;
         Ok(Arc::new(Self {
             number,
             faults: FaultController::create(&folder.join("faults"))?,
-            setting,
+            setup,
             folder,
-            held,
+            listener,
             process: Mutex::default(),
-            before: Mutex::default(),
-            accepts: AtomicBool::new(false),
-            dies_at_promise: AtomicBool::new(false),
+            predecessor: Mutex::default(),
+            accepts_connections: AtomicBool::new(false),
+            kill_on_acknowledgement: AtomicBool::new(false),
             reloads: AtomicUsize::new(0),
             handovers: AtomicUsize::new(0),
-            book: book.clone(),
+            observations: observations.clone(),
         }))
     }
 
-    /// Where clients connect.
+    /// Returns the address that clients connect to.
     pub fn address(&self) -> SocketAddr {
-        self.setting.address
+        self.setup.address
     }
 
-    /// Whether clients may open connections to it.
-    pub fn accepts(&self) -> bool {
-        self.accepts.load(Ordering::Relaxed)
+    /// Returns whether clients may open connections to it.
+    pub fn accepts_connections(&self) -> bool {
+        self.accepts_connections.load(Ordering::Relaxed)
     }
 
-    /// Hand-overs that were begun.
+    /// Returns the number of hand-overs that were started.
     pub fn handovers(&self) -> usize {
         self.handovers.load(Ordering::Relaxed)
     }
 
     fn write_configuration(&self) -> io::Result<()> {
-        let text = (self.setting.configure)(self.reloads.load(Ordering::Relaxed));
-        // Whole or not at all: it is read at any moment.
+        let text = (self.setup.configure)(self.reloads.load(Ordering::Relaxed));
+        // The file is replaced by a rename, because a process may read it at any time.
         let next = self.folder.join("config.next");
         fs::write(&next, text)?;
         fs::rename(next, self.folder.join("config.json"))
@@ -142,134 +152,143 @@
 
     fn spawn(&self) -> io::Result<Process> {
         self.write_configuration()?;
-        let mut command = Command::new(&self.setting.program);
+        let mut command = Command::new(&self.setup.program);
         notchpoint_faults::preload(&self.folder.join("faults"), &mut command)?;
-        if let Some(held) = &self.held {
-            let socket: OwnedFd = held.try_clone()?.into();
+        if let Some(listener) = &self.listener {
+            let socket: OwnedFd = listener.try_clone()?.into();
             command.stdin(Stdio::from(socket)).env("BALANCER_ACCEPT_FD", "0");
         }
         command
             .env("TMPDIR", &self.folder)
             .env("BALANCER_CONFIG", self.folder.join("config.json"))
             .env("BALANCER_STATE", self.folder.join("state"));
-        Process::start(command, self.folder.join("log"), self.number, &self.book)
+        Process::start(command, self.folder.join("log"), self.number, &self.observations)
     }
 
-    /// Starts its process, and waits until that is ready.
+    /// Starts its process and waits until it is ready.
     ///
     /// # Errors
-    /// It cannot be started.
+    /// The process cannot be started.
     pub fn start(&self) -> io::Result<()> {
         let process = self.spawn()?;
-        self.serve(process);
+        self.wait_until_ready(process);
         Ok(())
     }
 
-    /// Waits until a process is ready; from then on it is the one that serves.
-    fn serve(&self, mut process: Process) {
+    /// Waits until a process is ready. It is the one that serves from then on.
+    fn wait_until_ready(&self, mut process: Process) {
         let mut ended = None;
-        let ready = within(READY, || {
-            ended = process.ended();
+        let is_ready = wait_for(READY_TIMEOUT, || {
+            ended = process.exit_status();
             ended.is_some() || process.is_ready()
         });
         if let Some(status) = ended {
-            self.book.broken("start", format!("sender {} ended at its start: {status}", self.number));
+            self.observations.record_violation(
+                "start",
+                format!("sender {} ended during its start: {status}", self.number),
+            );
             return;
         }
-        if !ready {
-            self.book.broken("start", format!("sender {} was not ready in {READY:?}", self.number));
+        if !is_ready {
+            self.observations.record_violation(
+                "start",
+                format!("sender {} was not ready within {READY_TIMEOUT:?}", self.number),
+            );
         }
         *lock(&self.process) = Some(process);
-        self.book.up(self.number);
-        self.accepts.store(true, Ordering::Relaxed);
+        self.observations.record_up(self.number);
+        self.accepts_connections.store(true, Ordering::Relaxed);
     }
 
-    /// Ends it as SIGKILL does, and starts it again after a moment.
+    /// Kills its process with SIGKILL and starts it again after [`RESTART_PAUSE`].
     ///
     /// # Errors
-    /// It cannot be started again.
-    pub fn kill_and_start(&self) -> io::Result<()> {
+    /// The process cannot be started again.
+    pub fn kill_and_restart(&self) -> io::Result<()> {
         self.kill();
-        self.accepts.store(false, Ordering::Relaxed);
-        thread::sleep(REST);
+        self.accepts_connections.store(false, Ordering::Relaxed);
+        thread::sleep(RESTART_PAUSE);
         self.start()
     }
 
     fn kill(&self) {
-        self.book.down(self.number);
-        self.end();
+        self.observations.record_down(self.number);
+        self.stop();
     }
 
-    /// The same, right behind the next 202 that a client hears.
+    /// Kills its process directly after the next acknowledgement that a client receives, and starts it again.
     ///
     /// # Errors
-    /// It cannot be started again.
-    pub fn kill_behind_a_promise(&self) -> io::Result<()> {
-        self.dies_at_promise.store(true, Ordering::Relaxed);
-        within(PROMISE, || !self.dies_at_promise.load(Ordering::Relaxed));
-        self.dies_at_promise.store(false, Ordering::Relaxed);
-        self.kill_and_start()
+    /// The process cannot be started again.
+    pub fn kill_after_acknowledgement(&self) -> io::Result<()> {
+        self.kill_on_acknowledgement.store(true, Ordering::Relaxed);
+        wait_for(ACKNOWLEDGEMENT_TIMEOUT, || !self.kill_on_acknowledgement.load(Ordering::Relaxed));
+        self.kill_on_acknowledgement.store(false, Ordering::Relaxed);
+        self.kill_and_restart()
     }
 
-    /// A client has heard a promise.
-    pub fn has_promised(&self) {
-        if self.dies_at_promise.swap(false, Ordering::Relaxed) {
-            self.book.down(self.number);
+    /// Reacts to an acknowledgement that a client has received.
+    pub fn on_acknowledgement(&self) {
+        if self.kill_on_acknowledgement.swap(false, Ordering::Relaxed) {
+            self.observations.record_down(self.number);
             if let Some(process) = &*lock(&self.process) {
                 process.signal(Signal::KILL);
             }
         }
     }
 
-    /// Ends it as a planned restart does, by these signals in a row, and starts it again.
+    /// Restarts it as planned: sends these signals in sequence, waits for its end, and starts it again.
     ///
     /// # Errors
-    /// It cannot be started again.
+    /// The process cannot be started again.
     pub fn restart(&self, signals: &[Signal]) -> io::Result<()> {
-        let told = Instant::now();
-        self.book.told_to_end(self.number);
+        let signalled_at = Instant::now();
+        self.observations.begin_restart(self.number);
         for signal in signals {
             self.signal(*signal);
-            thread::sleep(BETWEEN_SIGNALS);
+            thread::sleep(SIGNAL_INTERVAL);
         }
-        thread::sleep(COMING);
-        self.accepts.store(false, Ordering::Relaxed);
-        within(KILL_AFTER.saturating_sub(told.elapsed()), || self.has_ended());
-        self.book.down(self.number);
-        self.end();
-        thread::sleep(REST);
+        thread::sleep(FRONT_DRAIN_TIME);
+        self.accepts_connections.store(false, Ordering::Relaxed);
+        wait_for(KILL_DELAY.saturating_sub(signalled_at.elapsed()), || self.has_ended());
+        self.observations.record_down(self.number);
+        self.stop();
+        thread::sleep(RESTART_PAUSE);
         self.start()
     }
 
-    /// Sends signals while it starts, so long after it was begun. It may end by them; then it is started
-    /// anew.
+    /// Kills its process and sends signals to the next one this long after its start. They may end it. It is
+    /// started again in any case.
     ///
     /// # Errors
-    /// It cannot be started again.
-    pub fn signals_at_start(&self, signals: &[Signal], after: Duration) -> io::Result<()> {
+    /// The process cannot be started again.
+    pub fn signal_during_start(&self, signals: &[Signal], after: Duration) -> io::Result<()> {
         self.kill();
-        self.accepts.store(false, Ordering::Relaxed);
-        thread::sleep(REST);
+        self.accepts_connections.store(false, Ordering::Relaxed);
+        thread::sleep(RESTART_PAUSE);
         let mut process = self.spawn()?;
         thread::sleep(after);
         signals.iter().for_each(|signal| process.signal(*signal));
-        if within(KILL_AFTER, || process.ended().is_some()) {
-            // Before it heeds signals they end it as the system does, with no code.
-            let code = process.ended().and_then(|status| status.code());
+        if wait_for(KILL_DELAY, || process.exit_status().is_some()) {
+            // Before it has installed its signal handlers a signal ends it without an exit code.
+            let code = process.exit_status().and_then(|status| status.code());
             if code.is_some_and(|code| code != 0) {
-                self.book.broken("crash", format!("sender {} ended at its start: {code:?}", self.number));
+                self.observations.record_violation(
+                    "crash",
+                    format!("sender {} ended during its start: {code:?}", self.number),
+                );
             }
         }
         drop(process);
-        thread::sleep(REST);
+        thread::sleep(RESTART_PAUSE);
         self.start()
     }
 
     fn has_ended(&self) -> bool {
         let mut process = lock(&self.process);
-        let Some(status) = process.as_mut().and_then(Process::ended) else { return false };
+        let Some(status) = process.as_mut().and_then(Process::exit_status) else { return false };
         if !status.success() {
-            self.book.broken("crash", format!("sender {} ended: {status}", self.number));
+            self.observations.record_violation("crash", format!("sender {} ended: {status}", self.number));
         }
         true
     }
@@ -280,81 +299,87 @@
         }
     }
 
-    /// A new process takes over from the one that serves. One of the two may be killed so long after the new
-    /// one was begun.
+    /// Starts a new process that takes over from the one that serves. One of the two may be killed this long
+    /// after the new one was started.
     ///
     /// # Errors
-    /// It cannot be started.
-    pub fn hand_over(&self, killed: Option<(Side, Duration)>) -> io::Result<()> {
-        if self.held.is_none() || lock(&self.process).is_none() {
+    /// The process cannot be started.
+    pub fn hand_over(&self, killed: Option<(HandoverProcess, Duration)>) -> io::Result<()> {
+        if self.listener.is_none() || lock(&self.process).is_none() {
             return Ok(());
         }
         self.handovers.fetch_add(1, Ordering::Relaxed);
-        let begun = Instant::now();
-        let mut new = self.spawn()?;
-        if let Some((side, after)) = killed {
-            thread::sleep(after.saturating_sub(begun.elapsed()));
-            if side == Side::New {
-                self.book.down(self.number);
-                new.kill();
-                return self.goes_on();
+        let started_at = Instant::now();
+        let mut successor = self.spawn()?;
+        if let Some((target, after)) = killed {
+            thread::sleep(after.saturating_sub(started_at.elapsed()));
+            if target == HandoverProcess::Successor {
+                self.observations.record_down(self.number);
+                successor.kill();
+                return self.resume_predecessor();
             }
             self.kill();
         }
         let mut ended = None;
-        let ready = within(READY, || {
-            ended = new.ended();
-            ended.is_some() || new.is_ready() && new.says_yes()
+        let is_ready = wait_for(READY_TIMEOUT, || {
+            ended = successor.exit_status();
+            ended.is_some() || successor.is_ready() && successor.accepts_clients()
         });
-        if !ready || ended.is_some() {
-            let what = format!("sender {}: no hand-over in {READY:?}, ended: {ended:?}", self.number);
-            self.book.broken("hand-over", what);
+        if !is_ready || ended.is_some() {
+            let description =
+                format!("sender {}: no hand-over within {READY_TIMEOUT:?}, ended: {ended:?}", self.number);
+            self.observations.record_violation("hand-over", description);
         }
-        let old = lock(&self.process).replace(new);
-        *lock(&self.before) = old;
+        let predecessor = lock(&self.process).replace(successor);
+        *lock(&self.predecessor) = predecessor;
         if killed.is_some() {
-            self.book.up(self.number);
+            self.observations.record_up(self.number);
         }
-        self.retire();
+        self.stop_predecessor();
         Ok(())
     }
 
-    /// The process before the one that serves is told to end, and killed where it does not in time.
-    fn retire(&self) {
-        if let Some(before) = &*lock(&self.before) {
-            before.signal(Signal::TERM);
+    /// Sends SIGTERM to the predecessor, and kills it if it does not end in time.
+    fn stop_predecessor(&self) {
+        if let Some(predecessor) = &*lock(&self.predecessor) {
+            predecessor.signal(Signal::TERM);
         }
-        within(KILL_AFTER, || {
-            let mut before = lock(&self.before);
-            let Some(status) = before.as_mut().map(Process::ended) else { return true };
+        wait_for(KILL_DELAY, || {
+            let mut predecessor = lock(&self.predecessor);
+            let Some(status) = predecessor.as_mut().map(Process::exit_status) else { return true };
             if let Some(status) = status.filter(|status| !status.success()) {
-                self.book.broken("crash", format!("sender {}: handed over, ended: {status}", self.number));
+                self.observations.record_violation(
+                    "crash",
+                    format!("sender {}: predecessor ended after the hand-over: {status}", self.number),
+                );
             }
             status.is_some()
         });
-        lock(&self.before).take();
+        lock(&self.predecessor).take();
     }
 
-    /// The new process of a hand-over is gone: the old one serves, or has left already and is started.
-    fn goes_on(&self) -> io::Result<()> {
-        let mut left = false;
-        let serves = within(READY, || {
+    /// Waits until the predecessor serves again after its successor has been killed. Starts a new process if
+    /// the predecessor has ended already.
+    fn resume_predecessor(&self) -> io::Result<()> {
+        let mut has_ended = false;
+        let is_serving = wait_for(READY_TIMEOUT, || {
             let mut process = lock(&self.process);
-            left = process.as_mut().is_none_or(|process| process.ended().is_some());
-            left || process.as_ref().is_some_and(Process::says_yes)
+            has_ended = process.as_mut().is_none_or(|process| process.exit_status().is_some());
+            has_ended || process.as_ref().is_some_and(Process::accepts_clients)
         });
-        if left {
+        if has_ended {
             return self.start();
         }
-        if !serves {
-            let what = format!("sender {}: the old process does not serve in {READY:?}", self.number);
-            self.book.broken("hand-over", what);
+        if !is_serving {
+            let description =
+                format!("sender {}: the predecessor does not serve within {READY_TIMEOUT:?}", self.number);
+            self.observations.record_violation("hand-over", description);
         }
-        self.book.up(self.number);
+        self.observations.record_up(self.number);
         Ok(())
     }
 
-    /// Has its configuration read anew, changed.
+    /// Changes its configuration and makes its process read it.
     pub fn reload(&self) {
         self.reloads.fetch_add(1, Ordering::Relaxed);
         if self.write_configuration().is_ok() {
@@ -362,40 +387,41 @@
         }
     }
 
-    /// An operator's call, by its first line: the status of the answer, if there is one in time.
-    pub fn ask(&self, line: &str) -> Option<u16> {
-        lock(&self.process).as_ref()?.ask(line)
+    /// Sends an operator request with this request line. Returns the status of the answer, if one is received
+    /// in time.
+    pub fn send_operator_request(&self, line: &str) -> Option<u16> {
+        lock(&self.process).as_ref()?.send_operator_request(line)
     }
 
-    /// Descriptors that its processes hold.
+    /// Returns the number of descriptors that its processes have open.
     pub fn descriptors(&self) -> usize {
         self.sum(Process::descriptors)
     }
 
-    /// Memory that its processes hold, in kilobytes.
-    pub fn kilobytes(&self) -> u64 {
-        self.sum(Process::kilobytes)
+    /// Returns the resident memory of its processes in kilobytes.
+    pub fn memory_kilobytes(&self) -> u64 {
+        self.sum(Process::memory_kilobytes)
     }
 
     fn sum<T: std::iter::Sum>(&self, of: impl Fn(&Process) -> T) -> T {
-        let (process, before) = (lock(&self.process), lock(&self.before));
-        process.iter().chain(before.iter()).map(of).sum()
+        let (process, predecessor) = (lock(&self.process), lock(&self.predecessor));
+        process.iter().chain(predecessor.iter()).map(of).sum()
     }
 
-    /// Holds it up for a moment.
-    pub fn hold_up(&self) {
+    /// Stops its process for [`STOP_TIME`].
+    pub fn pause(&self) {
         self.signal(Signal::STOP);
-        thread::sleep(HELD_UP);
+        thread::sleep(STOP_TIME);
         self.signal(Signal::CONT);
     }
 
-    /// Ends it for good.
-    pub fn end(&self) {
+    /// Kills its process and does not start it again.
+    pub fn stop(&self) {
         lock(&self.process).take();
     }
 
-    /// The end of its log.
-    pub fn log(&self, lines: usize) -> String {
+    /// Returns the last lines of its log.
+    pub fn log_tail(&self, lines: usize) -> String {
         let text = fs::read_to_string(self.folder.join("log")).unwrap_or_default();
         let all: Vec<&str> = text.lines().collect();
         all[all.len().saturating_sub(lines)..].join("\n")
--- a/crates/soak/src/topology.rs
+++ b/crates/soak/src/topology.rs
@@ -1,22 +1,24 @@
-//! Which endpoints belong together, and for which senders the platform holds the clients' socket.
+//! Which endpoints share a limit, and which senders inherit their listening socket from the platform.
 
-/// Whether the endpoints of a destination are routes of their own, and take several messages in a call.
-pub const fn is_apart(dest: usize) -> bool {
-    dest % 2 == 1
+/// Returns whether each endpoint of a destination is a route of its own. Such endpoints also take several
+/// messages in a call.
+pub const fn is_limited_per_endpoint(destination: usize) -> bool {
+    destination % 2 == 1
 }
 
-/// What shares a limit: a destination, by its first endpoint, or one endpoint of it.
+/// Returns the route of an endpoint, which shares one limit: the first endpoint of its destination, or the
+/// endpoint itself.
 pub const fn route(endpoint: usize) -> usize {
-    if is_apart(endpoint / 2) { endpoint } else { endpoint / 2 * 2 }
+    if is_limited_per_endpoint(endpoint / 2) { endpoint } else { endpoint / 2 * 2 }
 }
 
-/// Whether the platform holds the clients' socket of a sender, so that processes may take over from one
-/// another.
-pub const fn is_held(sender: usize) -> bool {
+/// Returns whether the processes of a sender inherit the listening socket for clients, so that one can take
+/// over from another.
+pub const fn inherits_listener(sender: usize) -> bool {
     sender.is_multiple_of(2)
 }
 
-/// The sender next to this one of which that is so.
-pub const fn platform_held(sender: usize) -> usize {
-    if is_held(sender) { sender } else { sender - 1 }
+/// Returns this sender, or the one before it, whichever inherits its listening socket.
+pub const fn nearest_with_inherited_listener(sender: usize) -> usize {
+    if inherits_listener(sender) { sender } else { sender - 1 }
 }
