--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -251,8 +251,8 @@
     let s = store.stats();
     println!(
         "next start: {} keys, {:.0} MB of log in {took:.2?}, {:.0} MB resident at most",
-        s.keys,
-        s.log as f64 / 1e6,
+        s.key_count,
+        s.log_bytes as f64 / 1e6,
         resident_mb()
     );
     Ok(())
--- a/crates/store/src/compact.rs
+++ b/crates/store/src/compact.rs
@@ -1,8 +1,7 @@
-//! Compaction: the oldest segment's records that are in force are written again at the log's end, and the
-//! segment is dropped.
+//! Compaction: copies the live records of the oldest segment to the end of the log and drops the segment.
 //!
-//! Only ever the oldest: an end is always younger than what it ends, so no end is dropped before what it
-//! ends, and nothing can come to life again.
+//! Only the oldest segment is ever dropped. A delete is always written after the put that it removes, so no
+//! delete is dropped before its put, and no removed key can reappear.
 
 use crate::error::Error;
 use crate::format::{
@@ -11,106 +10,116 @@
 };
 use crate::index::Place;
 use crate::plan::{WriteKind, blocks};
-use crate::store::{Cleaner, Condemned, Store, unsound};
+use crate::store::{CompactionCursor, ObsoleteSegment, Store, invalid_frame};
 
 impl Store {
-    /// Looks through so many bytes of the oldest segment. Says whether there was anything to do.
-    pub(crate) fn clean(&mut self, budget: usize) -> Result<bool, Error> {
+    /// Processes about this number of bytes of the oldest segment. Returns whether there was anything to do.
+    pub(crate) fn compact(&mut self, budget: usize) -> Result<bool, Error> {
         let Some((segment, usage)) = self.index.segments().next() else { return Ok(false) };
-        if segment == self.active.header.number || self.damaged.is_some() {
+        if segment == self.active.header.number || self.compaction_error.is_some() {
             return Ok(false);
         }
-        let at = match &self.cleaner {
-            Some(c) if c.segment == segment => c.at,
+        let offset = match &self.compaction {
+            Some(c) if c.segment == segment => c.offset,
             _ => HEADER_LEN as u32,
         };
-        let (batch, read) = if at < usage.until {
-            self.gather(segment, at, usage.until, budget)?
+        let (batch, bytes_read) = if offset < usage.log_len {
+            self.collect_live(segment, offset, usage.log_len, budget)?
         } else {
             Default::default()
         };
         if !batch.is_empty() {
             self.copy(&batch)?;
         }
-        let at = at + read as u32;
-        self.cleaner = Some(Cleaner { segment, at });
-        if at >= usage.until {
+        let offset = offset + bytes_read as u32;
+        self.compaction = Some(CompactionCursor { segment, offset });
+        if offset >= usage.log_len {
             self.drop_oldest(segment)?;
         }
         Ok(true)
     }
 
-    /// The records in force of whole frames from there on, and how many bytes they span.
-    fn gather(&mut self, segment: u32, at: u32, until: u32, budget: usize) -> Result<(Batch, usize), Error> {
+    /// Returns the live records of complete frames from this offset on, and the number of bytes that the
+    /// frames occupy.
+    fn collect_live(
+        &mut self,
+        segment: u32,
+        offset: u32,
+        log_len: u32,
+        budget: usize,
+    ) -> Result<(Batch, usize), Error> {
         let file = segment_file_name(segment);
-        let left = (until - at) as usize;
-        let mut bytes = self.disk.read_at(&file, at.into(), budget.max(FRAME_HEADER_LEN).min(left))?;
-        // One frame at least, however long it is.
-        if let Some(len) = frame_len(&bytes).filter(|len| *len > bytes.len() && *len <= left) {
-            bytes = self.disk.read_at(&file, at.into(), len)?;
+        let remaining = (log_len - offset) as usize;
+        let mut bytes =
+            self.disk.read_at(&file, offset.into(), budget.max(FRAME_HEADER_LEN).min(remaining))?;
+        // At least one frame is read, however long it is.
+        if let Some(len) = frame_len(&bytes).filter(|len| *len > bytes.len() && *len <= remaining) {
+            bytes = self.disk.read_at(&file, offset.into(), len)?;
         }
-        let (seed, mut batch, mut read) =
+        let (seed, mut batch, mut bytes_read) =
             (checksum_seed(self.active.header.store_id, segment), Batch::default(), 0);
-        while read < bytes.len() {
-            let frame = match read_frame(&bytes[read..], seed) {
+        while bytes_read < bytes.len() {
+            let frame = match read_frame(&bytes[bytes_read..], seed) {
                 Ok(frame) => frame,
-                Err(FrameError::Truncated) if read > 0 => break,
-                Err(flaw) => {
-                    // It was sound once, and what else is in it may be needed: nothing of it is dropped.
-                    let why = unsound(segment, u64::from(at) + read as u64, flaw);
-                    self.damaged = Some(why.clone());
-                    return Err(why.into());
+                Err(FrameError::Truncated) if bytes_read > 0 => break,
+                Err(error) => {
+                    // The frame was valid before. Other frames of the segment may be needed, so the segment is
+                    // kept.
+                    let damage = invalid_frame(segment, u64::from(offset) + bytes_read as u64, error);
+                    self.compaction_error = Some(damage.clone());
+                    return Err(damage.into());
                 }
             };
-            let begins = at + read as u32;
+            let frame_offset = offset + bytes_read as u32;
             for record in records(frame.payload).flatten() {
                 let Record::Put { table, key, value, value_offset } = record else { continue };
-                let at = begins + (FRAME_HEADER_LEN + value_offset) as u32;
-                let here = Place { segment, frame: begins, at, len: value.len() as u32 };
+                let value_start = frame_offset + (FRAME_HEADER_LEN + value_offset) as u32;
+                let here =
+                    Place { segment, frame: frame_offset, value: value_start, len: value.len() as u32 };
                 if self.index.get(table, key) == Some(here) {
                     batch.put(table, key, value);
                 }
             }
-            read += frame.len();
+            bytes_read += frame.len();
         }
-        Ok((batch, read))
+        Ok((batch, bytes_read))
     }
 
     fn copy(&mut self, batch: &Batch) -> Result<(), Error> {
-        let add = batch.len() as u64;
-        if !self.plan.admits_copy(add, &self.room()) {
+        let added = batch.len() as u64;
+        if !self.plan.admits_copy(added, &self.space_usage()) {
             return Err(Error::Full);
         }
-        self.place(batch, WriteKind::Update)?;
-        self.copied += add;
+        self.append(batch, WriteKind::Update)?;
+        self.copied_bytes += added;
         Ok(())
     }
 
     fn drop_oldest(&mut self, segment: u32) -> Result<(), Error> {
         let mut batch = Batch::default();
         batch.set_log_start(segment + 1);
-        let mark = self.place(&batch, WriteKind::End)?;
+        let copies_end = self.append(&batch, WriteKind::End)?;
         let len = self.index.segments().find(|s| s.0 == segment).map_or(0, |s| blocks(s.1.len));
-        self.index.dropped(segment);
-        (self.base, self.cleaner) = (segment + 1, None);
-        // It takes its room until it is gone.
-        self.others += len;
-        self.condemned.push(Condemned { segment, len, mark });
-        self.discard();
+        self.index.remove_segment(segment);
+        (self.log_start, self.compaction) = (segment + 1, None);
+        // The file occupies its space until it is removed.
+        self.other_bytes += len;
+        self.obsolete.push(ObsoleteSegment { segment, len, copies_end });
+        self.remove_obsolete();
         Ok(())
     }
 
-    /// Removes segments whose copies are safe.
-    pub(crate) fn discard(&mut self) {
+    /// Removes the files of obsolete segments whose copies are durable.
+    pub(crate) fn remove_obsolete(&mut self) {
         let disk = self.disk.clone();
-        let safe = self.condemned.iter().take_while(|c| self.is_durable(&c.mark)).count();
-        // One that cannot be removed now is tried again with the next, or is a leftover for the next start.
-        let gone = self
-            .condemned
+        let durable = self.obsolete.iter().take_while(|o| self.is_durable(&o.copies_end)).count();
+        // A file that cannot be removed now is tried again with the next one, or removed at the next start.
+        let removed = self
+            .obsolete
             .iter()
-            .take(safe)
-            .take_while(|c| disk.remove(&segment_file_name(c.segment)).is_ok())
+            .take(durable)
+            .take_while(|o| disk.remove(&segment_file_name(o.segment)).is_ok())
             .count();
-        self.others -= self.condemned.drain(..gone).map(|c| c.len).sum::<u64>();
+        self.other_bytes -= self.obsolete.drain(..removed).map(|o| o.len).sum::<u64>();
     }
 }
--- a/crates/store/src/error.rs
+++ b/crates/store/src/error.rs
@@ -1,18 +1,19 @@
-//! What can go wrong, and where.
+//! The errors of the store.
 
 use std::fmt;
 use std::io;
 
-/// Why a folder is not opened: the place, what should stand there, and what does. Nothing was changed.
+/// Why a folder cannot be opened: a position in a file, what was expected there, and what was found. Nothing
+/// was changed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Corruption {
-    /// The file.
+    /// The file name.
     pub file: String,
-    /// The byte in it.
+    /// The byte offset in the file.
     pub offset: u64,
-    /// What should stand there.
+    /// What was expected at the offset.
     pub expected: String,
-    /// What does.
+    /// What was found at the offset.
     pub found: String,
 }
 
@@ -23,26 +24,26 @@
     }
 }
 
-/// What a call to the store met.
+/// Why a call to the store failed.
 #[derive(Debug)]
 pub enum Error {
-    /// The folder cannot be trusted, and nothing was changed in it.
+    /// The folder is damaged, and nothing was changed in it.
     Corrupt(Corruption),
-    /// The folder's limit leaves no room for this. Room comes back by ends and compaction.
+    /// The folder's size limit leaves no space for the write. Space is freed by ends and by compaction.
     Full,
-    /// The disk could not be read or written. The store goes on once it can.
+    /// The disk could not be read or written. The store continues once it can be.
     Io(io::Error),
-    /// A key, a value or a batch is longer than the format holds.
+    /// A key, a value or a batch is longer than the format allows.
     TooLong,
 }
 
 impl fmt::Display for Error {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Corrupt(why) => why.fmt(f),
-            Self::Full => f.write_str("the folder's limit leaves no room"),
+            Self::Corrupt(corruption) => corruption.fmt(f),
+            Self::Full => f.write_str("the folder's size limit leaves no space"),
             Self::Io(e) => e.fmt(f),
-            Self::TooLong => f.write_str("longer than the format holds"),
+            Self::TooLong => f.write_str("a key, a value or a batch is longer than the format allows"),
         }
     }
 }
@@ -56,8 +57,8 @@
 }
 
 impl From<Corruption> for Error {
-    fn from(why: Corruption) -> Self {
-        Self::Corrupt(why)
+    fn from(corruption: Corruption) -> Self {
+        Self::Corrupt(corruption)
     }
 }
 
@@ -66,7 +67,7 @@
         match e {
             Error::Io(e) => e,
             Error::Full => Self::from(io::ErrorKind::StorageFull),
-            Error::Corrupt(why) => Self::new(io::ErrorKind::InvalidData, why.to_string()),
+            Error::Corrupt(corruption) => Self::new(io::ErrorKind::InvalidData, corruption.to_string()),
             Error::TooLong => Self::from(io::ErrorKind::InvalidInput),
         }
     }
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -1,50 +1,51 @@
-//! What is where: each key's place in the log, and how much of each segment is still of use.
+//! The index: the place of each key's value in the log, and the number of live bytes in each segment.
 
 use crate::format::{Record, Table, put_len};
 use std::collections::BTreeMap;
 use std::ops::Bound;
 
-/// Where a value stands.
+/// The place of a value in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The segment.
+    /// The number of the segment.
     pub segment: u32,
-    /// Where its frame begins there.
+    /// The offset of the frame in the segment.
     pub frame: u32,
-    /// Where the value begins there.
-    pub at: u32,
-    /// How long it is.
+    /// The offset of the value in the segment.
+    pub value: u32,
+    /// The length of the value in bytes.
     pub len: u32,
 }
 
-/// What a segment holds.
+/// The size of a segment and its parts.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Usage {
-    /// Its bytes.
+pub struct SegmentUsage {
+    /// The length of the segment in bytes.
     pub len: u64,
-    /// Bytes of records that are still in force.
-    pub live: u64,
-    /// So many of its bytes are part of the log; what stands behind was written but never trusted.
-    pub until: u32,
+    /// Bytes of live records.
+    pub live_bytes: u64,
+    /// The number of bytes that are part of the log. Bytes after them were written, but a write or a sync
+    /// failed.
+    pub log_len: u32,
 }
 
-/// The index. A key stands behind its table's number.
+/// The index. A key is stored with the number of its table before it.
 #[derive(Default)]
 pub struct Index {
-    map: BTreeMap<Box<[u8]>, Place>,
-    segments: BTreeMap<u32, Usage>,
-    live: u64,
+    places: BTreeMap<Box<[u8]>, Place>,
+    segments: BTreeMap<u32, SegmentUsage>,
+    live_bytes: u64,
 }
 
-fn full(table: Table, key: &[u8]) -> Box<[u8]> {
-    let mut all = Vec::with_capacity(1 + key.len());
-    all.push(table.0);
-    all.extend(key);
-    all.into()
+fn key_with_table(table: Table, key: &[u8]) -> Box<[u8]> {
+    let mut bytes = Vec::with_capacity(1 + key.len());
+    bytes.push(table.0);
+    bytes.extend(key);
+    bytes.into()
 }
 
-/// The first key behind all that begin like this.
-fn behind(prefix: &[u8]) -> Option<Box<[u8]>> {
+/// Returns the first key after all keys with this prefix.
+fn prefix_end(prefix: &[u8]) -> Option<Box<[u8]>> {
     let last = prefix.iter().rposition(|&b| b < u8::MAX)?;
     let mut end = prefix[..=last].to_vec();
     end[last] += 1;
@@ -52,25 +53,26 @@
 }
 
 impl Index {
-    /// Enters a record of a frame that begins there, whose records begin at `payload`.
+    /// Applies a record. `frame` is the offset of its frame in the segment, and `payload` the offset of the
+    /// frame's records.
     pub fn apply(&mut self, record: &Record<'_>, segment: u32, frame: u32, payload: u32) {
         match *record {
             Record::Put { table, key, value, value_offset } => {
                 let place =
-                    Place { segment, frame, at: payload + value_offset as u32, len: value.len() as u32 };
-                self.enter(full(table, key), place);
+                    Place { segment, frame, value: payload + value_offset as u32, len: value.len() as u32 };
+                self.insert(key_with_table(table, key), place);
             }
             Record::Delete { table, key } => {
-                let key = full(table, key);
-                if let Some(old) = self.map.remove(&key) {
-                    self.forget(key.len() - 1, old);
+                let key = key_with_table(table, key);
+                if let Some(old) = self.places.remove(&key) {
+                    self.subtract_live(key.len() - 1, old);
                 }
             }
             Record::DeletePrefix { table, key } => {
                 let found: Vec<Box<[u8]>> = self.range(table, key).map(|(k, _)| k.into()).collect();
                 for key in found {
-                    if let Some(old) = self.map.remove(&key) {
-                        self.forget(key.len() - 1, old);
+                    if let Some(old) = self.places.remove(&key) {
+                        self.subtract_live(key.len() - 1, old);
                     }
                 }
             }
@@ -78,70 +80,70 @@
         }
     }
 
-    /// Enters a key, its table's number before it.
-    pub fn enter(&mut self, key: Box<[u8]>, place: Place) {
-        let (len, add) = (key.len() - 1, put_len(key.len() - 1, place.len as usize));
-        self.segments.entry(place.segment).or_default().live += add;
-        self.live += add;
-        if let Some(old) = self.map.insert(key, place) {
-            self.forget(len, old);
+    /// Inserts a key, with its table's number before it.
+    pub fn insert(&mut self, key: Box<[u8]>, place: Place) {
+        let (key_len, added) = (key.len() - 1, put_len(key.len() - 1, place.len as usize));
+        self.segments.entry(place.segment).or_default().live_bytes += added;
+        self.live_bytes += added;
+        if let Some(old) = self.places.insert(key, place) {
+            self.subtract_live(key_len, old);
         }
     }
 
-    fn forget(&mut self, key: usize, old: Place) {
-        let gone = put_len(key, old.len as usize);
-        self.live -= gone;
-        if let Some(s) = self.segments.get_mut(&old.segment) {
-            s.live = s.live.saturating_sub(gone);
+    fn subtract_live(&mut self, key_len: usize, old: Place) {
+        let removed = put_len(key_len, old.len as usize);
+        self.live_bytes -= removed;
+        if let Some(segment) = self.segments.get_mut(&old.segment) {
+            segment.live_bytes = segment.live_bytes.saturating_sub(removed);
         }
     }
 
-    /// Where a key's value stands.
+    /// Returns the place of a key's value.
     pub fn get(&self, table: Table, key: &[u8]) -> Option<Place> {
-        self.map.get(&full(table, key)).copied()
+        self.places.get(&key_with_table(table, key)).copied()
     }
 
-    /// All keys that begin like this, each behind its table's number.
+    /// Returns all keys with this prefix, each with its table's number before it.
     pub fn range(&self, table: Table, prefix: &[u8]) -> impl Iterator<Item = (&[u8], Place)> {
-        let from = full(table, prefix);
-        let end = behind(&from);
+        let from = key_with_table(table, prefix);
+        let end = prefix_end(&from);
         let to = end.map_or(Bound::Unbounded, Bound::Excluded);
-        self.map.range((Bound::Included(from), to)).map(|(k, p)| (&**k, *p))
+        self.places.range((Bound::Included(from), to)).map(|(k, p)| (&**k, *p))
     }
 
-    /// So many keys from this one on, in order.
-    pub fn some_from(&self, from: Bound<&[u8]>, most: usize) -> Vec<(Box<[u8]>, Place)> {
+    /// Returns at most `limit` keys from this one on, in order.
+    pub fn entries_from(&self, from: Bound<&[u8]>, limit: usize) -> Vec<(Box<[u8]>, Place)> {
         let from = from.map(Box::from);
-        self.map.range((from, Bound::Unbounded)).take(most).map(|(k, p)| (k.clone(), *p)).collect()
+        self.places.range((from, Bound::Unbounded)).take(limit).map(|(k, p)| (k.clone(), *p)).collect()
     }
 
-    /// How many keys there are.
+    /// Returns the number of keys.
     pub fn len(&self) -> usize {
-        self.map.len()
+        self.places.len()
     }
 
-    /// A segment is so long now.
-    pub fn grown(&mut self, segment: u32, len: u64) {
+    /// Sets the length of a segment.
+    pub fn set_segment_len(&mut self, segment: u32, len: u64) {
         self.segments.entry(segment).or_default().len = len;
     }
 
-    /// So many of a segment's bytes are part of the log.
-    pub fn sealed(&mut self, segment: u32, until: u32) {
-        self.segments.entry(segment).or_default().until = until;
+    /// Sets how many bytes of a segment are part of the log.
+    pub fn set_log_len(&mut self, segment: u32, log_len: u32) {
+        self.segments.entry(segment).or_default().log_len = log_len;
     }
 
-    /// A segment is gone.
-    pub fn dropped(&mut self, segment: u32) {
+    /// Removes a segment.
+    pub fn remove_segment(&mut self, segment: u32) {
         self.segments.remove(&segment);
     }
 
-    /// All segments, oldest first.
-    pub fn segments(&self) -> impl Iterator<Item = (u32, Usage)> {
+    /// Returns all segments, oldest first.
+    pub fn segments(&self) -> impl Iterator<Item = (u32, SegmentUsage)> {
         self.segments.iter().map(|(n, u)| (*n, *u))
     }
 
-    /// Bytes of all records that are in force.
-    pub fn live(&self) -> u64 {
-        self.live
+    /// Returns the bytes of all live records.
+    pub fn live_bytes(&self) -> u64 {
+        self.live_bytes
     }
 }
--- a/crates/store/src/inspect.rs
+++ b/crates/store/src/inspect.rs
@@ -1,4 +1,4 @@
-//! Looking at a folder without being its owner: check it, list it, save what can be saved.
+//! Inspects a folder without opening its store: checks it, lists its records, and salvages what is readable.
 
 use crate::error::Error;
 use crate::format::{
@@ -6,30 +6,30 @@
 };
 use crate::plan::{Options, WriteKind};
 use crate::recover::RecoveryReport;
-use crate::store::{Store, read, read_found};
+use crate::store::{Store, load, read_headers};
 use notchpoint_seam::Disk;
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-/// What a check found in a sound folder.
+/// The content of a valid folder.
 #[derive(Clone, Debug, Default)]
 pub struct CheckReport {
-    /// As at a start.
+    /// What a start would report.
     pub recovery: RecoveryReport,
-    /// For each table keys and bytes of records in force.
+    /// The number of keys and the bytes of live records, by table.
     pub tables: BTreeMap<u8, (u64, u64)>,
-    /// For each segment its bytes and those of records in force.
+    /// For each segment its number, its length and the bytes of its live records.
     pub segments: Vec<(u32, u64, u64)>,
 }
 
 /// Reads every byte and every record. Nothing is changed, and the folder may be in use.
 ///
 /// # Errors
-/// As at a start.
+/// The same errors as [`Store::open`], except for the lock.
 pub fn check(disk: &dyn Disk) -> Result<CheckReport, Error> {
-    // Read whole, whatever a checkpoint says.
-    let found = read(disk, &Options { checkpoint_interval: 0, ..Options::new(0, u64::MAX) })?;
-    let index = &found.recovery.index;
+    // Without checkpoints the whole log is read.
+    let loaded = load(disk, &Options { checkpoint_interval: 0, ..Options::new(0, u64::MAX) })?;
+    let index = &loaded.recovery.index;
     let mut tables = BTreeMap::new();
     for table in 0..crate::format::TABLE_COUNT {
         let (mut keys, mut bytes) = (0, 0);
@@ -40,48 +40,48 @@
             tables.insert(table, (keys, bytes));
         }
     }
-    let segments = index.segments().map(|(n, u)| (n, u.len, u.live)).collect();
-    Ok(CheckReport { recovery: found.notes, tables, segments })
+    let segments = index.segments().map(|(n, u)| (n, u.len, u.live_bytes)).collect();
+    Ok(CheckReport { recovery: loaded.report, tables, segments })
 }
 
-/// A sound frame, or bytes that are none.
+/// A part of a log as [`walk`] reports it.
 #[derive(Clone, Debug)]
 pub enum LogItem<'a> {
-    /// A record, and the frame that it stands in: its place and number.
+    /// A record of a valid frame.
     Record {
-        /// Where the frame begins.
+        /// The offset of the frame in the segment.
         offset: u64,
-        /// Its number.
+        /// The sequence number of the frame.
         seq: u64,
         /// The record.
         record: Record<'a>,
     },
-    /// Nothing can be read from here ...
+    /// Bytes that cannot be read.
     Unreadable {
-        /// ... from this byte on ...
+        /// The offset of the first byte.
         from: u64,
-        /// ... up to this one.
+        /// The offset after the last byte.
         to: u64,
     },
-    /// The frames from this number on are missing, up to the next one that was read.
+    /// Frames that are missing.
     MissingFrames {
-        /// The first of them.
+        /// The sequence number of the first missing frame.
         from: u64,
-        /// The next that is there.
+        /// The sequence number of the next frame that was read.
         to: u64,
     },
 }
 
-/// Tells all that stands in a folder, in the order written, damage included.
+/// Calls `visitor` with each segment's number and items, in the order written, including damaged parts.
 ///
 /// # Errors
 /// The folder cannot be read.
-pub fn walk(disk: &dyn Disk, mut each: impl FnMut(u32, LogItem<'_>)) -> Result<(), Error> {
-    let mut found = read_found(disk)?;
+pub fn walk(disk: &dyn Disk, mut visitor: impl FnMut(u32, LogItem<'_>)) -> Result<(), Error> {
+    let mut found = read_headers(disk)?;
     found.sort_by_key(|f| f.number);
-    // A segment whose header is lost is read by what the others say.
+    // A segment without a valid header is read with the store id of another segment.
     let store = found.iter().find_map(|f| f.header.as_ref().ok()).map_or(0, |h| h.store_id);
-    let mut expected: Option<u64> = None;
+    let mut expected_seq: Option<u64> = None;
     for (n, f) in found.iter().enumerate() {
         let number = f.number;
         let seed = checksum_seed(f.header.as_ref().map_or(store, |h| h.store_id), number);
@@ -91,98 +91,100 @@
             bytes.truncate(next.previous_len as usize);
         }
         if f.header.is_err() {
-            each(number, LogItem::Unreadable { from: 0, to: HEADER_LEN.min(bytes.len()) as u64 });
+            visitor(number, LogItem::Unreadable { from: 0, to: HEADER_LEN.min(bytes.len()) as u64 });
         }
-        let (mut at, mut lost) = (HEADER_LEN.min(bytes.len()), None);
-        while at < bytes.len() {
-            let Ok(frame) = read_frame(&bytes[at..], seed) else {
-                lost.get_or_insert(at);
-                at += 1;
+        let (mut offset, mut unreadable_from) = (HEADER_LEN.min(bytes.len()), None);
+        while offset < bytes.len() {
+            let Ok(frame) = read_frame(&bytes[offset..], seed) else {
+                unreadable_from.get_or_insert(offset);
+                offset += 1;
                 continue;
             };
-            if let Some(from) = lost.take() {
-                each(number, LogItem::Unreadable { from: from as u64, to: at as u64 });
+            if let Some(from) = unreadable_from.take() {
+                visitor(number, LogItem::Unreadable { from: from as u64, to: offset as u64 });
             }
-            if let Some(from) = expected.filter(|e| *e < frame.seq) {
-                each(number, LogItem::MissingFrames { from, to: frame.seq });
+            if let Some(from) = expected_seq.filter(|e| *e < frame.seq) {
+                visitor(number, LogItem::MissingFrames { from, to: frame.seq });
             }
             for record in records(frame.payload).flatten() {
-                each(number, LogItem::Record { offset: at as u64, seq: frame.seq, record });
+                visitor(number, LogItem::Record { offset: offset as u64, seq: frame.seq, record });
             }
-            expected = Some(frame.seq + 1);
-            at += frame.len();
+            expected_seq = Some(frame.seq + 1);
+            offset += frame.len();
         }
-        if let Some(from) = lost {
-            each(number, LogItem::Unreadable { from: from as u64, to: bytes.len() as u64 });
+        if let Some(from) = unreadable_from {
+            visitor(number, LogItem::Unreadable { from: from as u64, to: bytes.len() as u64 });
         }
     }
     Ok(())
 }
 
-/// What was saved, and what was not.
+/// What was salvaged, and what was not.
 #[derive(Clone, Debug, Default)]
 pub struct SalvageReport {
-    /// Keys that stand in the new folder.
+    /// The number of keys in the new folder.
     pub key_count: u64,
-    /// Bytes that could not be read: the segment, from, to.
+    /// Bytes that could not be read: the segment, the first offset and the offset after the last byte.
     pub unreadable: Vec<(u32, u64, u64)>,
-    /// Frames that are missing: from this number on, up to the next that was read. What was known before them
-    /// may have been changed or ended by them.
+    /// Ranges of missing frames: the sequence number of the first, and of the next frame that was read. These
+    /// frames may have changed or removed keys that were written before them.
     pub missing_frames: Vec<(u64, u64)>,
-    /// Keys whose last frame that was read came before such a gap.
+    /// Keys that were last written before missing frames.
     pub uncertain: Vec<(Table, Vec<u8>)>,
 }
 
-/// Saves what can be read into another folder, which must hold no store. `amend` is told of each key that may
-/// have been changed or ended by a frame that is missing, with its value, and may add to what is written.
+/// Copies everything readable to another folder, which must not contain a store. `amend` is called with each
+/// key that a missing frame may have changed or removed, and with its value; it may add records to the batch
+/// that writes the key.
 ///
 /// # Errors
-/// A folder cannot be read or written, or the new one holds a store already.
+/// A folder cannot be read or written, or the new folder contains a store already.
 pub fn salvage(
     from: &dyn Disk,
     to: Rc<dyn Disk>,
     options: Options,
     mut amend: impl FnMut(Table, &[u8], &[u8], &mut Batch),
 ) -> Result<SalvageReport, Error> {
-    let mut saved = SalvageReport::default();
-    let mut known: BTreeMap<(u8, Vec<u8>), (u64, Vec<u8>)> = BTreeMap::new();
-    // Whether the last bytes of all are lost: they may have held frames that nothing counts.
-    let mut tail = false;
-    walk(from, |number, piece| {
-        tail = matches!(piece, LogItem::Unreadable { .. });
-        match piece {
-            LogItem::Unreadable { from, to } => saved.unreadable.push((number, from, to)),
-            LogItem::MissingFrames { from, to } => saved.missing_frames.push((from, to)),
+    let mut report = SalvageReport::default();
+    let mut found: BTreeMap<(u8, Vec<u8>), (u64, Vec<u8>)> = BTreeMap::new();
+    // Whether the end of the log is unreadable: it may have contained frames that no sequence number reveals.
+    let mut is_tail_unreadable = false;
+    walk(from, |number, item| {
+        is_tail_unreadable = matches!(item, LogItem::Unreadable { .. });
+        match item {
+            LogItem::Unreadable { from, to } => report.unreadable.push((number, from, to)),
+            LogItem::MissingFrames { from, to } => report.missing_frames.push((from, to)),
             LogItem::Record { seq, record, .. } => match record {
                 Record::Put { table, key, value, .. } => {
-                    known.insert((table.0, key.to_vec()), (seq, value.to_vec()));
+                    found.insert((table.0, key.to_vec()), (seq, value.to_vec()));
                 }
                 Record::Delete { table, key } => {
-                    known.remove(&(table.0, key.to_vec()));
+                    found.remove(&(table.0, key.to_vec()));
                 }
                 Record::DeletePrefix { table, key } => {
-                    known.retain(|(t, k), _| *t != table.0 || !k.starts_with(key))
+                    found.retain(|(t, k), _| *t != table.0 || !k.starts_with(key))
                 }
                 Record::LogStart(_) => {}
             },
         }
     })?;
-    if !read_found(&*to)?.is_empty() {
-        let why =
-            std::io::Error::new(std::io::ErrorKind::AlreadyExists, "the new folder holds a store already");
-        return Err(why.into());
+    if !read_headers(&*to)?.is_empty() {
+        let error =
+            std::io::Error::new(std::io::ErrorKind::AlreadyExists, "the new folder contains a store already");
+        return Err(error.into());
     }
     let (mut store, _) = Store::open(to, options)?;
-    let gap = if tail { Some(u64::MAX) } else { saved.missing_frames.last().map(|m| m.0) };
-    for ((table, key), (seq, value)) in known {
+    let last_gap =
+        if is_tail_unreadable { Some(u64::MAX) } else { report.missing_frames.last().map(|m| m.0) };
+    for ((table, key), (seq, value)) in found {
         let mut batch = Batch::default();
         batch.put(Table(table), &key, &value);
-        if gap.is_some_and(|gap| seq < gap) {
+        if last_gap.is_some_and(|gap| seq < gap) {
             amend(Table(table), &key, &value, &mut batch);
-            saved.uncertain.push((Table(table), key));
+            report.uncertain.push((Table(table), key));
         }
         store.apply(&batch, WriteKind::Update)?;
-        saved.key_count += 1;
+        report.key_count += 1;
     }
-    Ok(saved)
+    Ok(report)
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,12 +1,13 @@
-//! A small embedded store for what must outlast a process: a segmented log, an index in memory, compaction
-//! beside the traffic, and recovery that restores a consistent state or refuses to start, and never guesses.
+//! An embedded key-value store for data that must survive the process: a segmented log, an index in memory,
+//! incremental compaction, and a recovery that either restores a consistent state or refuses to open.
 //!
-//! It holds keys and values by [`Table`]. What belongs together is written as one [`Batch`], which is there
-//! whole or not at all. `format` is the bytes, `index` what is where, `plan` what is decided (when to roll,
-//! what is admitted, when and how fast to compact), `recover` what a folder's bytes mean; none of these does
-//! I/O. [`Store`] is the shell that carries out what they say on a [`Disk`](notchpoint_seam::Disk).
+//! Keys and values belong to a [`Table`]. Records that belong together are written as one [`Batch`], which is
+//! recovered completely or not at all. `format` encodes and decodes the bytes, `index` keeps the place of each
+//! value, `plan` decides when to start a segment, which writes to admit, and when and how fast to compact, and
+//! `recover` interprets the bytes of a folder. None of these performs I/O: [`Store`] does, on a
+//! [`Disk`](notchpoint_seam::Disk).
 //!
-//! Sizes are bytes. The format stands byte by byte in `docs/design/store.md`.
+//! Sizes are in bytes. `docs/design/store.md` describes the format byte by byte.
 #![warn(missing_docs)]
 
 mod checkpoint;
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,175 +1,195 @@
-//! What is decided: what is admitted, when a segment is full, when and how fast the log is compacted.
+//! The decisions of the store: which writes to admit, when a segment is full, and when and how fast to compact
+//! the log.
 
 use crate::format::{HEADER_LEN, MAX_SEGMENT_LEN};
 use std::ops::RangeInclusive;
 
-/// What outlasts what.
+/// What a write survives once it is durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// What was written outlasts the process, however it ends. A loss of power may take what came last.
+    /// Every write survives the end of the process, in whatever way it ends. A loss of power may lose the last
+    /// writes.
     #[default]
     Process,
-    /// What was synced outlasts a loss of power. Who promises anything waits for that.
+    /// Synced writes survive a loss of power. Callers wait for the sync before they acknowledge anything.
     Power,
 }
 
-/// What a write is for. Room is kept for those that must not fail.
+/// What a write is for. Space is reserved for the kinds that must not fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WriteKind {
-    /// Something new is taken on: refused first.
+    /// A new item. It is the first kind to be refused.
     New,
-    /// What goes on with something that was taken on.
+    /// An update of an open item.
     Update,
-    /// The end of something: room is kept for it.
+    /// The end of an item. Space is reserved for it.
     End,
-    /// What another store held: all that the limit leaves may be used for it.
+    /// Data imported from another store. It may use all of the space within the limit.
     Import,
-    /// What may be lost. It is written with the next write of another kind, or by a flush.
+    /// Data that may be lost. It is written together with the next write of another kind, or by a flush.
     Deferred,
 }
 
-/// Each file counts in whole blocks.
+/// The block size in bytes. Each file is counted in whole blocks.
 pub const BLOCK: u64 = 512;
-/// What a file of this length takes.
+/// Returns the bytes that a file of this length occupies.
 pub fn blocks(len: u64) -> u64 {
     len.div_ceil(BLOCK) * BLOCK
 }
 
-/// Kept free of the limit: the folder itself may count, and files that are made beside the store.
-const SPARE: u64 = 16 << 10;
-/// The limit in so many segments: the oldest is copied whole at worst while it is dropped, so that this share
-/// of the room is for compaction.
-const SEGMENTS: u64 = 16;
-/// A segment is this long at least, so that one body of 64 KiB does not fill it, and at most: it is read
-/// whole at a start.
-const SEGMENT: RangeInclusive<u64> = (96 << 10)..=(16 << 20);
-/// New work is admitted while what is in force takes this share of the room: beyond, each byte written would
-/// have compaction copy several.
-const LIVE_MOST: f64 = 0.6;
-/// Compaction begins where more than this share of the log is dead, ...
-const DEAD: f64 = 0.5;
-/// ... once there are so many segments, or ...
-const DEAD_SEGMENTS: u64 = 4;
-/// ... where this share of the room is used.
-const HIGH: f64 = 0.7;
-/// For each byte written so many are looked through: at half of the log dead two would do.
-const PACE: u64 = 4;
-
-/// How a store is kept.
+/// Bytes of the limit that stay unused: the folder itself may count, and so may files created next to the
+/// store's.
+const UNUSED_BYTES: u64 = 16 << 10;
+/// The limit divided by this is the segment length. In the worst case the oldest segment is copied completely
+/// while it is dropped, so this fraction of the space is needed for compaction.
+const SEGMENTS_PER_LIMIT: u64 = 16;
+/// The range of segment lengths in bytes. The minimum leaves room for more than one body of 64 KiB; the
+/// maximum is there because a start reads whole segments.
+const SEGMENT_LEN_RANGE: RangeInclusive<u64> = (96 << 10)..=(16 << 20);
+/// New items are admitted while live records occupy at most this fraction of the space: above it, compaction
+/// would copy several bytes for each byte written.
+const MAX_LIVE_FRACTION: f64 = 0.6;
+/// Compaction is needed if more than this fraction of the log is dead and the log is longer than
+/// [`DEAD_CHECK_SEGMENTS`], or if more than [`HIGH_USE_FRACTION`] of the space is used.
+const MAX_DEAD_FRACTION: f64 = 0.5;
+/// The log length, in segments, above which the dead fraction is checked.
+const DEAD_CHECK_SEGMENTS: u64 = 4;
+/// The fraction of the space above which compaction runs in any case.
+const HIGH_USE_FRACTION: f64 = 0.7;
+/// Bytes that compaction reads for each byte written. With half of the log dead, 2 would be sufficient.
+const COMPACT_BYTES_PER_WRITTEN: u64 = 4;
+
+/// The options of a store.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Options {
-    /// What a new store calls itself: a random number, so that a file of another store is told apart.
+    /// The id of a new store: a random number that distinguishes its files from those of other stores.
     pub id: u64,
-    /// What all files together may take.
+    /// The maximum number of bytes of all files together.
     pub limit_bytes: u64,
-    /// What outlasts what.
+    /// What writes must survive.
     pub durability: Durability,
-    /// Bytes that one step of compaction looks through at most.
+    /// The maximum number of bytes that one step of compaction reads.
     pub step_bytes: usize,
-    /// Kept on the disk for ends, in a file that is given up when the disk is full; 0 for none.
+    /// The size of a file that keeps disk space free for ends and is removed when the disk is full; 0 for
+    /// none.
     pub reserve_bytes: u64,
-    /// A checkpoint of the index is written each time that the log has grown by so much; 0 for never. Logs
-    /// that are shorter than twice this are read whole at a start.
+    /// A checkpoint of the index is written each time the log has grown by this number of bytes; 0 for never.
+    /// A start reads all of a log that is shorter than twice this.
     pub checkpoint_interval: u64,
-    /// The length of a segment, where it is not to follow from the limit.
+    /// The length of a segment in bytes, or `None` to derive it from the limit.
     pub segment_len: Option<u64>,
 }
 
 impl Options {
-    /// As is usual under this limit.
+    /// Returns the default options for this limit.
     pub fn new(id: u64, limit: u64) -> Self {
-        let checkpoint = if limit >= CHECKPOINT_FROM { CHECKPOINT } else { 0 };
+        let checkpoint_interval =
+            if limit >= MIN_LIMIT_FOR_CHECKPOINTS { DEFAULT_CHECKPOINT_INTERVAL } else { 0 };
         Self {
             id,
             limit_bytes: limit,
             durability: Durability::Process,
-            step_bytes: STEP,
+            step_bytes: DEFAULT_STEP_BYTES,
             reserve_bytes: 0,
-            checkpoint_interval: checkpoint,
+            checkpoint_interval,
             segment_len: None,
         }
     }
 }
 
-/// One step: read, checked and copied in well under two milliseconds, also by a slow core.
-const STEP: usize = 64 << 10;
-/// Logs that may grow longer than this have checkpoints: below, reading all takes less than a tenth of a
-/// second.
-const CHECKPOINT_FROM: u64 = 256 << 20;
-const CHECKPOINT: u64 = 64 << 20;
+/// The bytes that one step of compaction reads, checks and copies: well under two milliseconds, even on a slow
+/// core.
+const DEFAULT_STEP_BYTES: usize = 64 << 10;
+/// The smallest limit with checkpoints: below it, reading the whole log takes less than a tenth of a second.
+const MIN_LIMIT_FOR_CHECKPOINTS: u64 = 256 << 20;
+const DEFAULT_CHECKPOINT_INTERVAL: u64 = 64 << 20;
 
-/// What is known when something is decided.
+/// The space usage of a folder, which the decisions are based on.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct SpaceUsage {
-    /// What all files take, in whole blocks.
-    pub used: u64,
-    /// The log's bytes.
-    pub log: u64,
-    /// Bytes of records in force.
-    pub live: u64,
-    /// The longest segment that may have to be copied.
-    pub longest: u64,
-    /// What the ends of all that is open will take.
-    pub ends: u64,
+    /// Bytes that all files occupy, in whole blocks.
+    pub used_bytes: u64,
+    /// Bytes of the log.
+    pub log_bytes: u64,
+    /// Bytes of live records.
+    pub live_bytes: u64,
+    /// The length of the longest segment, which compaction may have to copy.
+    pub longest_segment: u64,
+    /// Bytes that the ends of all open items will need.
+    pub expected_end_bytes: u64,
 }
 
-/// The decisions for one store.
+/// Makes the decisions for one store.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    limit: u64,
-    segment: u64,
-    step: usize,
+    limit_bytes: u64,
+    segment_len: u64,
+    step_bytes: usize,
 }
 
 impl Plan {
-    /// For these options.
-    pub fn new(o: &Options) -> Self {
-        let usual = (o.limit_bytes / SEGMENTS).clamp(*SEGMENT.start(), *SEGMENT.end());
-        let segment = o.segment_len.unwrap_or(usual).clamp(HEADER_LEN as u64 + 1, MAX_SEGMENT_LEN);
-        Self { limit: o.limit_bytes.saturating_sub(SPARE), segment, step: o.step_bytes.max(1) }
+    /// Creates a plan for these options.
+    pub fn new(options: &Options) -> Self {
+        let default_len = (options.limit_bytes / SEGMENTS_PER_LIMIT)
+            .clamp(*SEGMENT_LEN_RANGE.start(), *SEGMENT_LEN_RANGE.end());
+        let segment_len =
+            options.segment_len.unwrap_or(default_len).clamp(HEADER_LEN as u64 + 1, MAX_SEGMENT_LEN);
+        Self {
+            limit_bytes: options.limit_bytes.saturating_sub(UNUSED_BYTES),
+            segment_len,
+            step_bytes: options.step_bytes.max(1),
+        }
     }
 
-    /// Whether so many bytes more may be written.
-    pub fn admits(&self, work: WriteKind, add: u64, room: &SpaceUsage) -> bool {
-        // A new segment may have to begin, and each file is rounded up.
-        let after = room.used + add + 2 * BLOCK;
-        let copies = room.longest.max(self.segment).min(self.limit / 4) + BLOCK;
-        let live = (room.live + add + room.ends) as f64;
-        match work {
+    /// Returns whether a write that adds this number of bytes is admitted.
+    pub fn admits(&self, kind: WriteKind, added: u64, usage: &SpaceUsage) -> bool {
+        // A new segment may have to be started, and each file is rounded up to whole blocks.
+        let used_after = usage.used_bytes + added + 2 * BLOCK;
+        let copy_bytes = usage.longest_segment.max(self.segment_len).min(self.limit_bytes / 4) + BLOCK;
+        let live_after = (usage.live_bytes + added + usage.expected_end_bytes) as f64;
+        match kind {
             WriteKind::New => {
-                let room_for_all = self.limit.saturating_sub(2 * copies) as f64;
-                after + copies + room.ends <= self.limit && live <= room_for_all * LIVE_MOST
+                let space_for_live = self.limit_bytes.saturating_sub(2 * copy_bytes) as f64;
+                used_after + copy_bytes + usage.expected_end_bytes <= self.limit_bytes
+                    && live_after <= space_for_live * MAX_LIVE_FRACTION
+            }
+            WriteKind::Update | WriteKind::Deferred => {
+                used_after + copy_bytes + usage.expected_end_bytes <= self.limit_bytes
             }
-            WriteKind::Update | WriteKind::Deferred => after + copies + room.ends <= self.limit,
-            WriteKind::End => after + copies <= self.limit,
-            WriteKind::Import => after <= self.limit,
+            WriteKind::End => used_after + copy_bytes <= self.limit_bytes,
+            WriteKind::Import => used_after <= self.limit_bytes,
         }
     }
 
-    /// Whether compaction may write so many bytes more: it alone may use the room that is kept for it.
-    pub fn admits_copy(&self, add: u64, room: &SpaceUsage) -> bool {
-        room.used + add + 2 * BLOCK <= self.limit
+    /// Returns whether compaction may write this number of bytes. Only compaction may use the space that is
+    /// reserved for it.
+    pub fn admits_copy(&self, added: u64, usage: &SpaceUsage) -> bool {
+        usage.used_bytes + added + 2 * BLOCK <= self.limit_bytes
     }
 
-    /// Whether a segment of this length is to be followed by a new one before so many bytes are added.
-    pub fn rolls(&self, len: u64, add: u64) -> bool {
-        len > HEADER_LEN as u64 && len + add > self.segment
+    /// Returns whether a new segment must be started before this number of bytes is added to a segment of this
+    /// length.
+    pub fn should_roll(&self, len: u64, added: u64) -> bool {
+        len > HEADER_LEN as u64 && len + added > self.segment_len
     }
 
-    /// Whether compaction has something to do.
-    pub fn due(&self, room: &SpaceUsage) -> bool {
-        let dead = room.log.saturating_sub(room.live) as f64;
-        let many = room.log > DEAD_SEGMENTS * self.segment && dead > room.log as f64 * DEAD;
-        many || room.used as f64 > self.limit as f64 * HIGH
+    /// Returns whether the log needs compaction.
+    pub fn needs_compaction(&self, usage: &SpaceUsage) -> bool {
+        let dead_bytes = usage.log_bytes.saturating_sub(usage.live_bytes) as f64;
+        let is_mostly_dead = usage.log_bytes > DEAD_CHECK_SEGMENTS * self.segment_len
+            && dead_bytes > usage.log_bytes as f64 * MAX_DEAD_FRACTION;
+        is_mostly_dead || usage.used_bytes as f64 > self.limit_bytes as f64 * HIGH_USE_FRACTION
     }
 
-    /// How many bytes compaction looks through for so many that were written.
-    pub fn pace(&self, written: u64) -> usize {
-        usize::try_from(written * PACE).unwrap_or(usize::MAX).clamp(self.step.min(4 << 10), self.step)
+    /// Returns the number of bytes that compaction reads after a write of this length.
+    pub fn compaction_budget(&self, written: u64) -> usize {
+        usize::try_from(written * COMPACT_BYTES_PER_WRITTEN)
+            .unwrap_or(usize::MAX)
+            .clamp(self.step_bytes.min(4 << 10), self.step_bytes)
     }
 
-    /// A whole step.
-    pub fn step(&self) -> usize {
-        self.step
+    /// Returns the number of bytes that a full step of compaction reads.
+    pub fn step_bytes(&self) -> usize {
+        self.step_bytes
     }
 }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,10 +1,10 @@
-//! What a folder's bytes mean. Nothing is guessed: bytes that a crash explains are dropped and said, all
-//! others are a refusal with the place.
+//! Interprets the bytes of a folder. Bytes that a crash can leave behind are dropped and reported; any other
+//! invalid bytes are an error with their position.
 //!
-//! A crash of the process leaves whole writes and one torn one, at the end of the last segment. A loss of
-//! power may also leave holes in what was not synced. Each frame says up to where its segment was safe when
-//! it was written (`firm`): bad bytes before that point of a later sound frame were safe once, so they are
-//! damage.
+//! A crash of the process leaves complete writes and one torn write, at the end of the last segment. A loss of
+//! power may also leave holes in the part that was not synced. Each frame contains the length up to which its
+//! segment was durable when the frame was written (`durable_len`). Invalid bytes before that point of a later
+//! valid frame were durable before, so they are damage and not the result of a crash.
 
 use crate::error::Corruption;
 use crate::format::{
@@ -15,129 +15,136 @@
 use crc32c::crc32c;
 use std::fmt;
 
-/// What was found at a start that an operator wants to know.
+/// What a start found in a folder, for the operator.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecoveryReport {
-    /// Nothing was there: the store is new.
-    pub created: bool,
-    /// Bytes of a torn tail that were dropped, and the file.
-    pub torn: Option<(String, u64)>,
-    /// Segments that compaction had dropped already and that were removed now.
-    pub leftovers: Vec<u32>,
+    /// The folder was empty, and the store is new.
+    pub is_new: bool,
+    /// The torn tail that was dropped: the file and the number of bytes.
+    pub torn_tail: Option<(String, u64)>,
+    /// Segments that compaction had dropped and whose files were removed at this start.
+    pub removed_segments: Vec<u32>,
     /// Why the index's checkpoint was not used.
-    pub index: Option<String>,
-    /// Segments read from end to end.
-    pub read: u32,
-    /// Keys in force.
-    pub keys: usize,
+    pub unused_checkpoint: Option<String>,
+    /// The number of segments that were read completely.
+    pub segments_read: u32,
+    /// The number of live keys.
+    pub key_count: usize,
 }
 
 impl fmt::Display for RecoveryReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        if self.created {
+        if self.is_new {
             return f.write_str("a new store");
         }
-        write!(f, "{} keys from {} segments", self.keys, self.read)?;
-        if let Some((file, bytes)) = &self.torn {
+        write!(f, "{} keys from {} segments", self.key_count, self.segments_read)?;
+        if let Some((file, bytes)) = &self.torn_tail {
             write!(f, "; a torn tail of {bytes} bytes was dropped from {file}")?;
         }
-        if !self.leftovers.is_empty() {
-            write!(f, "; {} segments that had been dropped were removed", self.leftovers.len())?;
+        if !self.removed_segments.is_empty() {
+            write!(f, "; {} segments that had been dropped were removed", self.removed_segments.len())?;
         }
-        self.index.as_ref().map_or(Ok(()), |why| write!(f, "; the index was built anew: {why}"))
+        self.unused_checkpoint
+            .as_ref()
+            .map_or(Ok(()), |reason| write!(f, "; the index was rebuilt from the log: {reason}"))
     }
 }
 
-/// A segment's file: its number, its length, and its header or what is wrong with it.
-pub struct Found {
-    /// By its name.
+/// A segment's file.
+pub struct SegmentFile {
+    /// The segment's number, from the file name.
     pub number: u32,
-    /// Bytes.
+    /// The file's length in bytes.
     pub len: u64,
-    /// Read, or the place, what was expected and what was found.
+    /// The header, or the offset of an error in it, what was expected there and what was found.
     pub header: Result<Header, (usize, String, String)>,
 }
 
-fn refuse(number: u32, offset: u64, expected: impl Into<String>, found: impl Into<String>) -> Corruption {
+fn corruption(number: u32, offset: u64, expected: impl Into<String>, found: impl Into<String>) -> Corruption {
     Corruption { file: segment_file_name(number), offset, expected: expected.into(), found: found.into() }
 }
 
-/// The segments that make up the log, oldest first, and those below a gap, which must have been dropped.
+/// The order of a folder's segments.
 #[derive(Debug)]
 pub struct Order {
-    /// The log.
+    /// The segments that make up the log, oldest first: number, file length and header.
     pub log: Vec<(u32, u64, Header)>,
-    /// What is left of dropped segments, if the log says so.
-    pub below: Vec<u32>,
+    /// Segments below a gap in the numbers, which must have been dropped. The log's start has to confirm this.
+    pub below_gap: Vec<u32>,
 }
 
-/// Holds the headers against one another.
+/// Checks the headers against one another and orders the segments.
 ///
 /// # Errors
-/// A header that cannot be read or belongs elsewhere, a segment that is missing or shorter than the next
-/// says.
-pub fn order(mut found: Vec<Found>) -> Result<Order, Corruption> {
+/// A header is invalid or belongs to another file or store, a segment is missing, or a segment is shorter than
+/// the next one declares.
+pub fn order(mut found: Vec<SegmentFile>) -> Result<Order, Corruption> {
     found.sort_by_key(|f| f.number);
     let mut log: Vec<(u32, u64, Header)> = Vec::new();
     for f in &found {
-        // A segment gets its name when its header is whole: a crash leaves none without.
-        let bad = |(at, e, f2): &(usize, String, String)| refuse(f.number, *at as u64, e.clone(), f2.clone());
-        let header = *f.header.as_ref().map_err(bad)?;
+        // A segment's file gets its final name once the header is complete, so a crash leaves no file with an
+        // incomplete header.
+        let invalid = |(offset, expected, found): &(usize, String, String)| {
+            corruption(f.number, *offset as u64, expected.clone(), found.clone())
+        };
+        let header = *f.header.as_ref().map_err(invalid)?;
         if header.number != f.number {
             let found = format!("segment {}", header.number);
-            return Err(refuse(f.number, 24, format!("segment {}", f.number), found));
+            return Err(corruption(f.number, 24, format!("segment {}", f.number), found));
         }
         log.push((f.number, f.len, header));
     }
-    let Some(store) = log.last().map(|l| l.2.store_id) else { return Ok(Order { log, below: Vec::new() }) };
+    let Some(store) = log.last().map(|l| l.2.store_id) else {
+        return Ok(Order { log, below_gap: Vec::new() });
+    };
     if let Some(l) = log.iter().find(|l| l.2.store_id != store) {
         let found = format!("store {:016x}", l.2.store_id);
-        return Err(refuse(l.0, 16, format!("store {store:016x}, as the last segment"), found));
+        return Err(corruption(l.0, 16, format!("store {store:016x}, as in the last segment"), found));
     }
-    // Names that were removed come back in any order after a loss of power.
+    // After a loss of power any of the removed files may exist again, so there may be gaps among them.
     let gap = log.windows(2).rposition(|w| w[1].0 != w[0].0 + 1).map_or(0, |n| n + 1);
-    let below = log.drain(..gap).map(|l| l.0).collect();
+    let below_gap = log.drain(..gap).map(|l| l.0).collect();
     for w in log.windows(2) {
         let ((number, len, _), next) = (w[0], w[1].2);
         if len < u64::from(next.previous_len) {
-            let found = format!("the end of the file (so says {})", segment_file_name(w[1].0));
-            return Err(refuse(number, len, format!("{} bytes", next.previous_len), found));
+            let found = format!("the end of the file (according to {})", segment_file_name(w[1].0));
+            return Err(corruption(number, len, format!("{} bytes", next.previous_len), found));
         }
     }
-    Ok(Order { log, below })
+    Ok(Order { log, below_gap })
 }
 
-/// Where the log ends.
+/// The end of the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Tail {
-    /// Sound bytes of the last segment.
+    /// The number of valid bytes in the last segment.
     pub len: u32,
-    /// Their checksum.
-    pub sum: u32,
-    /// The number of the next frame.
+    /// The checksum of these bytes.
+    pub checksum: u32,
+    /// The sequence number of the next frame.
     pub seq: u64,
 }
 
-/// Reads segment after segment.
+/// Rebuilds the index from the segments, in order.
 #[derive(Default)]
 pub struct Recovery {
-    /// What stands where.
+    /// The places of all live values read so far.
     pub index: Index,
-    /// Segments below are not part of the log.
-    pub base: u32,
-    next: Option<u64>,
+    /// Segments below this number are not part of the log.
+    pub log_start: u32,
+    next_seq: Option<u64>,
 }
 
 impl Recovery {
-    /// Goes on from an index that knows all before the segment with this first frame.
-    pub fn from(index: Index, first: u64) -> Self {
-        Self { index, base: 0, next: Some(first) }
+    /// Continues from an index that covers everything before the segment with this first frame.
+    pub fn from(index: Index, first_seq: u64) -> Self {
+        Self { index, log_start: 0, next_seq: Some(first_seq) }
     }
 
-    /// Takes in a segment. `next` is the header of the one that follows.
+    /// Reads a segment. `next` is the header of the segment that follows it.
     ///
     /// # Errors
-    /// Bytes that no crash explains.
+    /// The segment has invalid bytes that a crash cannot explain.
     pub fn segment(
         &mut self,
         header: &Header,
@@ -145,100 +152,106 @@
         next: Option<&Header>,
     ) -> Result<Tail, Corruption> {
         let number = header.number;
-        if let Some(next) = self.next.filter(|n| *n != header.first_seq) {
+        if let Some(next_seq) = self.next_seq.filter(|n| *n != header.first_seq) {
             let found = format!("frame {}", header.first_seq);
-            return Err(refuse(number, 32, format!("frame {next} as the first"), found));
+            return Err(corruption(number, 32, format!("frame {next_seq} as the first"), found));
         }
-        self.base = self.base.max(header.log_start);
-        let until = next.map_or(bytes.len(), |n| (n.previous_len as usize).min(bytes.len()));
-        let (mut at, mut seq, seed) = (HEADER_LEN, header.first_seq, checksum_seed(header.store_id, number));
-        while at < until {
-            let frame = match read_frame(&bytes[at..until], seed) {
+        self.log_start = self.log_start.max(header.log_start);
+        let end = next.map_or(bytes.len(), |n| (n.previous_len as usize).min(bytes.len()));
+        let (mut offset, mut seq, seed) =
+            (HEADER_LEN, header.first_seq, checksum_seed(header.store_id, number));
+        while offset < end {
+            let frame = match read_frame(&bytes[offset..end], seed) {
                 Ok(frame) => frame,
-                Err(flaw) if next.is_some() => return Err(flawed(number, at, seq, flaw)),
-                Err(flaw) => match later(&bytes[at..], seed, at, seq) {
-                    Some((place, later)) => {
-                        let mut why = flawed(number, at, seq, flaw);
-                        why.found += &format!(", though frame {later} at byte {place} is sound");
-                        return Err(why);
+                Err(error) if next.is_some() => return Err(invalid_frame(number, offset, seq, error)),
+                Err(error) => match find_proof_of_damage(&bytes[offset..], seed, offset, seq) {
+                    Some((later_offset, later_seq)) => {
+                        let mut damage = invalid_frame(number, offset, seq, error);
+                        damage.found +=
+                            &format!(", although frame {later_seq} at byte {later_offset} is valid");
+                        return Err(damage);
                     }
                     None => break,
                 },
             };
             if frame.seq != seq {
                 let found = format!("frame {}", frame.seq);
-                return Err(refuse(number, at as u64, format!("frame {seq}"), found));
+                return Err(corruption(number, offset as u64, format!("frame {seq}"), found));
             }
-            self.enter(number, at, &frame)?;
-            at += frame.len();
+            self.index_frame(number, offset, &frame)?;
+            offset += frame.len();
             seq += 1;
         }
-        let sum = crc32c(&bytes[..at]);
-        if let Some(next) = next.filter(|n| n.previous_checksum != sum) {
+        let checksum = crc32c(&bytes[..offset]);
+        if let Some(next) = next.filter(|n| n.previous_checksum != checksum) {
             let expected = format!(
-                "bytes with checksum {:08x} (so says {})",
+                "bytes with checksum {:08x} (according to {})",
                 next.previous_checksum,
                 segment_file_name(next.number)
             );
-            return Err(refuse(number, 0, expected, format!("{sum:08x}")));
+            return Err(corruption(number, 0, expected, format!("{checksum:08x}")));
         }
-        self.index.grown(number, bytes.len() as u64);
-        self.index.sealed(number, at as u32);
-        self.next = Some(seq);
-        Ok(Tail { len: at as u32, sum, seq })
+        self.index.set_segment_len(number, bytes.len() as u64);
+        self.index.set_log_len(number, offset as u32);
+        self.next_seq = Some(seq);
+        Ok(Tail { len: offset as u32, checksum, seq })
     }
 
-    fn enter(&mut self, number: u32, at: usize, frame: &Frame<'_>) -> Result<(), Corruption> {
-        let payload = at + crate::format::FRAME_HEADER_LEN;
+    fn index_frame(&mut self, number: u32, offset: usize, frame: &Frame<'_>) -> Result<(), Corruption> {
+        let payload = offset + crate::format::FRAME_HEADER_LEN;
         for record in records(frame.payload) {
-            let unread = |o: usize| refuse(number, (payload + o) as u64, "a record", "bytes that are none");
-            let record = record.map_err(unread)?;
+            let invalid = |record_offset: usize| {
+                corruption(number, (payload + record_offset) as u64, "a record", "bytes that are no record")
+            };
+            let record = record.map_err(invalid)?;
             match record {
-                Record::LogStart(base) => self.base = self.base.max(base),
-                Record::Put { table, .. } if table.0 >= TABLE_COUNT => return Err(unread(0)),
+                Record::LogStart(start) => self.log_start = self.log_start.max(start),
+                Record::Put { table, .. } if table.0 >= TABLE_COUNT => return Err(invalid(0)),
                 _ => {}
             }
-            self.index.apply(&record, number, at as u32, payload as u32);
+            self.index.apply(&record, number, offset as u32, payload as u32);
         }
         Ok(())
     }
 
-    /// All segments are read: is the oldest one the one that should be? Gives those that are left over.
+    /// Checks, after all segments are read, that no segment of the log is missing at its start. Returns the
+    /// segments that exist although the log has dropped them.
     ///
     /// # Errors
     /// A segment is missing.
-    pub fn finish(&mut self, oldest: u32, below: &[u32]) -> Result<Vec<u32>, Corruption> {
-        // The first segment of all is number 1.
-        let base = self.base.max(1);
-        if oldest > base || below.iter().any(|b| *b >= base) {
-            return Err(refuse(
-                base.min(oldest),
+    pub fn finish(&mut self, oldest: u32, below_gap: &[u32]) -> Result<Vec<u32>, Corruption> {
+        // The first segment of a store has number 1.
+        let log_start = self.log_start.max(1);
+        if oldest > log_start || below_gap.iter().any(|n| *n >= log_start) {
+            return Err(corruption(
+                log_start.min(oldest),
                 0,
                 "this segment, which the log has not dropped",
                 "no such file",
             ));
         }
-        let mut left: Vec<u32> = below.to_vec();
-        left.extend(oldest..base);
-        Ok(left)
+        let mut dropped: Vec<u32> = below_gap.to_vec();
+        dropped.extend(oldest..log_start);
+        Ok(dropped)
     }
 }
 
-fn flawed(number: u32, at: usize, seq: u64, flaw: FrameError) -> Corruption {
-    let found = match flaw {
-        FrameError::Truncated => "an end within a frame".to_owned(),
-        FrameError::InvalidLength(n) => format!("a frame of {n} bytes, which none has"),
+fn invalid_frame(number: u32, offset: usize, seq: u64, error: FrameError) -> Corruption {
+    let found = match error {
+        FrameError::Truncated => "the end of the file within a frame".to_owned(),
+        FrameError::InvalidLength(n) => format!("an invalid frame length of {n} bytes"),
         FrameError::ChecksumMismatch { computed, stored } => {
-            format!("bytes with checksum {computed:08x} under a checksum of {stored:08x}")
+            format!("bytes with checksum {computed:08x} and a stored checksum of {stored:08x}")
         }
     };
-    refuse(number, at as u64, format!("frame {seq}"), found)
+    corruption(number, offset as u64, format!("frame {seq}"), found)
 }
 
-/// A sound frame behind a bad place that proves that place to have been safe once: where, and its number.
-fn later(bytes: &[u8], seed: u32, from: usize, seq: u64) -> Option<(usize, u64)> {
+/// Finds a valid frame after an invalid place that proves that the place was durable before. Returns the
+/// frame's offset and sequence number.
+fn find_proof_of_damage(bytes: &[u8], seed: u32, from: usize, seq: u64) -> Option<(usize, u64)> {
     (1..bytes.len()).find_map(|n| {
-        // The number alone tells most places apart; a checksum is only then worth its time.
+        // The sequence number excludes most offsets, so the costly checksum is rarely computed.
         let found = crate::format::u64_at(&bytes[n..], 8);
         if found <= seq || found - seq > bytes.len() as u64 {
             return None;
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The shell: carries out on the disk what the format, the index, the plan and recovery say.
+//! The store itself: performs on the disk what the format, the index, the plan and recovery decide.
 
 use crate::checkpoint::{self, Checkpoint, Writer};
 use crate::error::{Corruption, Error};
@@ -8,7 +8,7 @@
 };
 use crate::index::{Index, Place};
 use crate::plan::{Durability, Options, Plan, SpaceUsage, WriteKind, blocks};
-use crate::recover::{Found, Recovery, RecoveryReport, Tail, order};
+use crate::recover::{Recovery, RecoveryReport, SegmentFile, Tail, order};
 use crc32c::crc32c_append;
 use notchpoint_seam::disk::SyncFuture;
 use notchpoint_seam::{Disk, File};
@@ -16,209 +16,234 @@
 use std::io::{self, ErrorKind};
 use std::rc::Rc;
 
-/// A segment is called this until its header is whole.
-const NEW: &str = "log.new";
-/// Room on the disk that is given up for ends when the disk is full.
-const RESERVE: &str = "reserve";
-/// Relaxed writes that are kept back until then.
-const RELAXED_MOST: usize = 32 << 10;
-/// Steps of compaction that new work waits for: a millisecond or two. Then it is refused.
-const STEPS_FOR_NEW: usize = 4;
-/// A reserve that was given up is made again at the earliest after so many writes.
-const RESERVE_AGAIN: u32 = 256;
+/// The file name of a new segment until its header is complete.
+const NEW_SEGMENT_FILE: &str = "log.new";
+/// The file that keeps disk space free; it is removed so that ends can be written when the disk is full.
+const RESERVE_FILE: &str = "reserve";
+/// Deferred writes are buffered up to this number of bytes.
+const MAX_DEFERRED_BYTES: usize = 32 << 10;
+/// Compaction steps that a new item waits for before it is refused: one or two milliseconds.
+const MAX_COMPACT_STEPS_FOR_NEW: usize = 4;
+/// Writes between the removal of the reserve file, or a failure to create it, and the next attempt to create
+/// it.
+const RESERVE_RETRY_WRITES: u32 = 256;
 
 /// The segment that is written to.
-pub(crate) struct Active {
+pub(crate) struct ActiveSegment {
     pub(crate) header: Header,
     file: Box<dyn File>,
-    /// What was written, and its checksum.
-    written: u64,
-    sum: u32,
-    /// Frames that were not written yet.
+    /// The number of bytes written to the file.
+    written_len: u64,
+    /// The checksum of the bytes written to the file.
+    checksum: u32,
+    /// Frames that are not written to the file yet.
     pending: Vec<u8>,
-    /// What is safe, by the store's durability.
-    firm: Point,
+    /// The end of the part that is durable, as [`Durability`] defines it.
+    durable: Point,
 }
 
-/// A place in the active segment: what stands before it, and the frame that comes there.
+/// A position in the active segment.
 #[derive(Clone, Copy)]
 struct Point {
+    /// The number of bytes before the position.
     len: u64,
-    sum: u32,
+    /// The checksum of these bytes.
+    checksum: u32,
+    /// The sequence number of the frame that starts at the position.
     seq: u64,
 }
 
-/// Where a write ends: it is safe once the log is up to there.
+/// The position of the end of a write. The write is durable once the log is durable up to this position.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LogPosition {
     segment: u32,
     end: u64,
 }
 
-/// A segment whose copies may not be safe yet.
-pub(crate) struct Condemned {
+/// A segment that compaction has copied, and whose copies may not be durable yet.
+pub(crate) struct ObsoleteSegment {
     pub(crate) segment: u32,
     pub(crate) len: u64,
-    pub(crate) mark: LogPosition,
+    pub(crate) copies_end: LogPosition,
 }
 
-/// How far the oldest segment is looked through.
-pub(crate) struct Cleaner {
+/// How far compaction has read the oldest segment.
+pub(crate) struct CompactionCursor {
     pub(crate) segment: u32,
-    pub(crate) at: u32,
+    pub(crate) offset: u32,
 }
 
-/// A sync that is under way: await `done`, and hand it back with what came of it.
+/// A sync in progress. The caller awaits `future` and passes its result to [`Store::finish_sync`].
 pub struct PendingSync {
-    /// What is to be awaited.
+    /// The future to await.
     pub future: Option<SyncFuture>,
     segment: u32,
     point: Point,
 }
 
-/// How a store stands.
+/// Counters and sizes of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Stats {
-    /// Keys in force.
-    pub keys: usize,
-    /// Bytes of records in force.
-    pub live: u64,
+    /// Live keys.
+    pub key_count: usize,
+    /// Bytes of live records.
+    pub live_bytes: u64,
     /// Bytes of all segments.
-    pub log: u64,
-    /// What all files of the folder take.
-    pub used: u64,
+    pub log_bytes: u64,
+    /// Bytes that all files of the folder occupy.
+    pub used_bytes: u64,
     /// Segments.
-    pub segments: usize,
-    /// Bytes that were handed in since the start, and bytes that compaction wrote again.
-    pub written: (u64, u64),
-    /// A write, or a sync, failed, and the log has not been put right yet.
-    pub troubled: bool,
+    pub segment_count: usize,
+    /// Bytes written by callers since the start, and bytes that compaction copied.
+    pub written_bytes: (u64, u64),
+    /// A write or a sync failed and the log is not repaired yet, or compaction found damage.
+    pub is_degraded: bool,
 }
 
-/// The store.
+/// An open store.
 pub struct Store {
     pub(crate) disk: Rc<dyn Disk>,
     pub(crate) options: Options,
     pub(crate) plan: Plan,
     pub(crate) index: Index,
-    pub(crate) active: Active,
-    pub(crate) base: u32,
-    pub(crate) cleaner: Option<Cleaner>,
-    pub(crate) condemned: Vec<Condemned>,
-    /// Damage that compaction met: it goes no further.
-    pub(crate) damaged: Option<Corruption>,
-    /// What other files of the folder take, the reserve and checkpoints included.
-    pub(crate) others: u64,
-    pub(crate) copied: u64,
-    seq: u64,
-    /// The active segment is not to be trusted beyond this point.
-    trouble: Option<Point>,
-    /// Nothing more may be added to the active segment.
+    pub(crate) active: ActiveSegment,
+    pub(crate) log_start: u32,
+    pub(crate) compaction: Option<CompactionCursor>,
+    pub(crate) obsolete: Vec<ObsoleteSegment>,
+    /// Damage that compaction found: it does not continue.
+    pub(crate) compaction_error: Option<Corruption>,
+    /// Bytes of the folder's files that are not segments in the index, checkpoints included. The reserve file
+    /// and a checkpoint in progress are added separately.
+    pub(crate) other_bytes: u64,
+    pub(crate) copied_bytes: u64,
+    next_seq: u64,
+    /// After a failed write or sync, the active segment is not trusted beyond this point.
+    untrusted_from: Option<Point>,
+    /// Nothing more may be appended to the active segment.
     must_roll: bool,
-    ends: u64,
-    written: u64,
-    checkpoint: Option<(Writer, Box<dyn File>, u64)>,
-    checkpoint_len: u64,
-    since_checkpoint: u64,
-    reserve: bool,
-    reserve_again: u32,
+    expected_end_bytes: u64,
+    written_bytes: u64,
+    new_checkpoint: Option<(Writer, Box<dyn File>, u64)>,
+    checkpoint_bytes: u64,
+    bytes_since_checkpoint: u64,
+    has_reserve: bool,
+    reserve_retry_writes: u32,
     _lock: Box<dyn Any>,
 }
 
-pub(crate) fn read_found(disk: &dyn Disk) -> io::Result<Vec<Found>> {
+/// Reads the header of each segment file.
+pub(crate) fn read_headers(disk: &dyn Disk) -> io::Result<Vec<SegmentFile>> {
     let mut found = Vec::new();
     for (name, len) in disk.list_files()? {
         if let Some(number) = segment_number(&name) {
-            found.push(Found { number, len, header: Header::decode(&disk.read_at(&name, 0, HEADER_LEN)?) });
+            found.push(SegmentFile {
+                number,
+                len,
+                header: Header::decode(&disk.read_at(&name, 0, HEADER_LEN)?),
+            });
         }
     }
     Ok(found)
 }
 
-/// What recovery read of a folder.
-pub(crate) struct Read {
+/// What recovery read from a folder.
+pub(crate) struct LoadedLog {
     pub(crate) recovery: Recovery,
+    /// The last segment: its header, its valid end and the length of its file.
     pub(crate) last: Option<(Header, Tail, u64)>,
-    pub(crate) left: Vec<u32>,
-    pub(crate) notes: RecoveryReport,
-    checkpointed: bool,
+    /// Segments that are no longer part of the log.
+    pub(crate) dropped: Vec<u32>,
+    pub(crate) report: RecoveryReport,
+    is_from_checkpoint: bool,
 }
 
-/// Reads all that is needed. Nothing is changed.
-pub(crate) fn read(disk: &dyn Disk, options: &Options) -> Result<Read, Error> {
-    let order = order(read_found(disk)?)?;
-    let mut notes = RecoveryReport { created: order.log.is_empty(), ..RecoveryReport::default() };
+/// Reads everything that recovery needs. Nothing is changed.
+pub(crate) fn load(disk: &dyn Disk, options: &Options) -> Result<LoadedLog, Error> {
+    let order = order(read_headers(disk)?)?;
+    let mut report = RecoveryReport { is_new: order.log.is_empty(), ..RecoveryReport::default() };
     let Some((oldest, _, first)) = order.log.first().copied() else {
         let recovery = Recovery::default();
-        return Ok(Read { recovery, last: None, left: order.below, notes, checkpointed: false });
+        return Ok(LoadedLog {
+            recovery,
+            last: None,
+            dropped: order.below_gap,
+            report,
+            is_from_checkpoint: false,
+        });
     };
     let checkpoint = disk.read(checkpoint::FILE)?.map(|bytes| checkpoint::read(&bytes, first.store_id));
-    let log: u64 = order.log.iter().map(|l| l.1).sum();
-    let long = options.checkpoint_interval > 0 && log >= 2 * options.checkpoint_interval;
+    let log_bytes: u64 = order.log.iter().map(|l| l.1).sum();
+    let is_long = options.checkpoint_interval > 0 && log_bytes >= 2 * options.checkpoint_interval;
     let checkpoint = match checkpoint {
         Some(Ok(c)) => {
             let newest = order.log.last().map_or(0, |l| l.0);
             if c.segment > newest {
-                let (expected, found) = ("this segment, which the index knows", "no such file");
+                let (expected, found) =
+                    ("this segment, which the index checkpoint refers to", "no such file");
                 let (expected, found) = (expected.into(), found.into());
                 return Err(
                     Corruption { file: segment_file_name(c.segment), offset: 0, expected, found }.into()
                 );
             }
-            Some(c).filter(|c| long && c.segment >= oldest)
+            Some(c).filter(|c| is_long && c.segment >= oldest)
         }
-        Some(Err(why)) => {
-            notes.index = Some(why);
+        Some(Err(reason)) => {
+            report.unused_checkpoint = Some(reason);
             None
         }
         None => None,
     };
     let (mut recovery, from) = match checkpoint {
-        Some(Checkpoint { segment, first, index }) => (Recovery::from(index, first), segment),
+        Some(Checkpoint { segment, first_seq, index }) => (Recovery::from(index, first_seq), segment),
         None => (Recovery::default(), oldest),
     };
     let mut last = None;
     for (n, (number, len, header)) in order.log.iter().enumerate() {
         let next = order.log.get(n + 1).map(|l| &l.2);
         if *number < from {
-            recovery.index.grown(*number, *len);
-            recovery.index.sealed(*number, next.map_or(0, |h| h.previous_len));
+            recovery.index.set_segment_len(*number, *len);
+            recovery.index.set_log_len(*number, next.map_or(0, |h| h.previous_len));
             continue;
         }
         let bytes = disk.read(&segment_file_name(*number))?.unwrap_or_default();
         let tail = recovery.segment(header, &bytes, next)?;
-        notes.read += 1;
+        report.segments_read += 1;
         if next.is_none() {
-            let torn = bytes.len() as u64 - u64::from(tail.len);
-            notes.torn = (torn > 0).then(|| (segment_file_name(*number), torn));
+            let torn_bytes = bytes.len() as u64 - u64::from(tail.len);
+            report.torn_tail = (torn_bytes > 0).then(|| (segment_file_name(*number), torn_bytes));
             last = Some((*header, tail, bytes.len() as u64));
         }
     }
-    let left = recovery.finish(oldest, &order.below)?;
-    // An index that names a segment which the log has dropped knows less than the log does.
-    let stray = recovery.index.segments().find(|s| s.1.live > 0).filter(|s| s.0 < recovery.base.max(oldest));
-    if let Some((number, _)) = stray {
+    let dropped = recovery.finish(oldest, &order.below_gap)?;
+    // A checkpoint that refers to a segment which the log has dropped is older than the log.
+    let stale = recovery
+        .index
+        .segments()
+        .find(|s| s.1.live_bytes > 0)
+        .filter(|s| s.0 < recovery.log_start.max(oldest));
+    if let Some((number, _)) = stale {
         if from == oldest {
-            let (expected, found) = ("no record in force, since it was dropped", "some");
+            let (expected, found) = ("no live record, since the segment was dropped", "live records");
             let (expected, found) = (expected.into(), found.into());
             return Err(Corruption { file: segment_file_name(number), offset: 0, expected, found }.into());
         }
-        let plain = Options { checkpoint_interval: 0, ..options.clone() };
-        let mut again = read(disk, &plain)?;
-        again.notes.index = Some(format!("{}: it names a segment that was dropped", checkpoint::FILE));
-        return Ok(again);
+        let without_checkpoint = Options { checkpoint_interval: 0, ..options.clone() };
+        let mut loaded = load(disk, &without_checkpoint)?;
+        loaded.report.unused_checkpoint =
+            Some(format!("{}: it refers to a segment that was dropped", checkpoint::FILE));
+        return Ok(loaded);
     }
-    notes.keys = recovery.index.len();
-    notes.leftovers = left.clone();
-    Ok(Read { recovery, last, left, notes, checkpointed: from > oldest })
+    report.key_count = recovery.index.len();
+    report.removed_segments = dropped.clone();
+    Ok(LoadedLog { recovery, last, dropped, report, is_from_checkpoint: from > oldest })
 }
 
 impl Store {
-    /// Opens a folder, or begins a store where it has none. What a crash left is put right.
+    /// Opens the store of a folder, or creates one in an empty folder. Repairs what a crash left behind.
     ///
     /// # Errors
-    /// Another process has the folder, it cannot be read or written, or what stands in it is explained by no
-    /// crash. Then nothing was changed.
+    /// Another process uses the folder, the folder cannot be read or written, or its content cannot be
+    /// explained by a crash. In the last case nothing is changed.
     pub fn open(disk: Rc<dyn Disk>, options: Options) -> Result<(Self, RecoveryReport), Error> {
         let lock = disk.lock().map_err(|e| match e.kind() {
             ErrorKind::WouldBlock => {
@@ -226,30 +251,30 @@
             }
             _ => e,
         })?;
-        let Read { recovery, last, left, notes, checkpointed } = read(&*disk, &options)?;
-        let Recovery { mut index, base, .. } = recovery;
-        // What a crash left of things that get their name when they are whole.
-        for file in [NEW, checkpoint::NEW] {
+        let LoadedLog { recovery, last, dropped, report, is_from_checkpoint } = load(&*disk, &options)?;
+        let Recovery { mut index, log_start, .. } = recovery;
+        // A crash may leave files that did not get their final name yet.
+        for file in [NEW_SEGMENT_FILE, checkpoint::NEW_FILE] {
             disk.remove(file)?;
         }
-        for number in left {
+        for number in dropped {
             disk.remove(&segment_file_name(number))?;
-            index.dropped(number);
+            index.remove_segment(number);
         }
-        let (active, seq) = match last {
+        let (active, next_seq) = match last {
             Some((header, tail, len)) => {
                 let mut file = disk.append(&segment_file_name(header.number))?;
                 if len > u64::from(tail.len) {
                     file.set_len(tail.len.into())?;
                 }
                 if options.durability == Durability::Power {
-                    // What the last process wrote and did not sync is promised from now on.
+                    // What the last process wrote without a sync counts as durable from now on.
                     file.sync()?;
                 }
-                index.grown(header.number, tail.len.into());
-                let firm = Point { len: tail.len.into(), sum: tail.sum, seq: tail.seq };
-                let (written, sum, pending) = (firm.len, firm.sum, Vec::new());
-                (Active { header, file, written, sum, pending, firm }, tail.seq)
+                index.set_segment_len(header.number, tail.len.into());
+                let durable = Point { len: tail.len.into(), checksum: tail.checksum, seq: tail.seq };
+                let (written_len, checksum, pending) = (durable.len, durable.checksum, Vec::new());
+                (ActiveSegment { header, file, written_len, checksum, pending, durable }, tail.seq)
             }
             None => {
                 let header = Header {
@@ -260,195 +285,212 @@
                     previous_len: 0,
                     previous_checksum: 0,
                 };
-                (create(&*disk, &options, header, &[])?, 1)
+                (create_segment(&*disk, &options, header, &[])?, 1)
             }
         };
-        index.grown(active.header.number, active.written);
+        index.set_segment_len(active.header.number, active.written_len);
         let plan = Plan::new(&options);
-        let (base, since) = (base.max(1), if checkpointed { 0 } else { options.checkpoint_interval });
+        let (log_start, bytes_since_checkpoint) =
+            (log_start.max(1), if is_from_checkpoint { 0 } else { options.checkpoint_interval });
         let mut store = Self {
             disk,
             plan,
             index,
             active,
-            base,
-            cleaner: None,
-            condemned: Vec::new(),
-            damaged: None,
-            others: 0,
-            copied: 0,
-            seq,
-            trouble: None,
+            log_start,
+            compaction: None,
+            obsolete: Vec::new(),
+            compaction_error: None,
+            other_bytes: 0,
+            copied_bytes: 0,
+            next_seq,
+            untrusted_from: None,
             must_roll: false,
-            ends: 0,
-            written: 0,
-            checkpoint: None,
-            checkpoint_len: 0,
-            since_checkpoint: since,
-            reserve: false,
-            reserve_again: 0,
+            expected_end_bytes: 0,
+            written_bytes: 0,
+            new_checkpoint: None,
+            checkpoint_bytes: 0,
+            bytes_since_checkpoint,
+            has_reserve: false,
+            reserve_retry_writes: 0,
             options,
             _lock: lock,
         };
-        // What is left over of a reserve or a checkpoint has been counted among the others.
-        let takes = |names: &[(String, u64)], file: &str| {
+        // An existing reserve file is not counted here: `create_reserve` replaces it.
+        let occupied = |names: &[(String, u64)], file: &str| {
             names.iter().find(|f| f.0 == file).map_or(0, |f| blocks(f.1))
         };
         let names = store.disk.list_files()?;
-        store.others = names.iter().filter(|f| segment_number(&f.0).is_none()).map(|f| blocks(f.1)).sum();
-        store.others -= takes(&names, RESERVE);
-        store.checkpoint_len = takes(&names, checkpoint::FILE);
-        store.make_reserve();
-        Ok((store, notes))
+        store.other_bytes =
+            names.iter().filter(|f| segment_number(&f.0).is_none()).map(|f| blocks(f.1)).sum();
+        store.other_bytes -= occupied(&names, RESERVE_FILE);
+        store.checkpoint_bytes = occupied(&names, checkpoint::FILE);
+        store.create_reserve();
+        Ok((store, report))
     }
 
-    /// What the ends of all that is open will take: room is kept for it.
+    /// Sets the number of bytes that the ends of all open items will need. This space is kept free.
     pub fn set_expected_end_bytes(&mut self, bytes: u64) {
-        self.ends = bytes;
+        self.expected_end_bytes = bytes;
     }
 
-    pub(crate) fn room(&self) -> SpaceUsage {
-        let (mut log, mut used, mut longest) = (0, self.others, 0);
-        for (_, u) in self.index.segments() {
-            (log, used, longest) = (log + u.len, used + blocks(u.len), longest.max(u.len));
+    pub(crate) fn space_usage(&self) -> SpaceUsage {
+        let (mut log_bytes, mut used_bytes, mut longest_segment) = (0, self.other_bytes, 0);
+        for (_, segment) in self.index.segments() {
+            (log_bytes, used_bytes, longest_segment) =
+                (log_bytes + segment.len, used_bytes + blocks(segment.len), longest_segment.max(segment.len));
+        }
+        used_bytes += blocks(self.options.reserve_bytes) * u64::from(self.has_reserve);
+        used_bytes += self.new_checkpoint.as_ref().map_or(0, |c| blocks(c.2));
+        SpaceUsage {
+            used_bytes,
+            log_bytes,
+            live_bytes: self.index.live_bytes(),
+            longest_segment,
+            expected_end_bytes: self.expected_end_bytes,
         }
-        used += blocks(self.options.reserve_bytes) * u64::from(self.reserve);
-        used += self.checkpoint.as_ref().map_or(0, |c| blocks(c.2));
-        SpaceUsage { used, log, live: self.index.live(), longest, ends: self.ends }
     }
 
-    /// Writes a batch: all of it, or after an error nothing. Where its safety is awaited, by
-    /// [`Self::is_durable`].
+    /// Writes a batch: all of it, or nothing if an error is returned. Returns the position up to which the
+    /// log must be durable ([`Self::is_durable`]) for the batch to be durable.
     ///
     /// # Errors
-    /// There is no room, or the disk cannot be written. The next call tries anew.
-    pub fn apply(&mut self, batch: &Batch, work: WriteKind) -> Result<LogPosition, Error> {
+    /// There is no space, or the disk cannot be written. The next call tries again.
+    pub fn apply(&mut self, batch: &Batch, kind: WriteKind) -> Result<LogPosition, Error> {
         if batch.is_empty() {
             return Ok(self.log_end());
         }
         if !batch.fits() {
             return Err(Error::TooLong);
         }
-        self.heal()?;
-        let add = batch.len() as u64;
-        self.make_room(add, work)?;
-        let mark = self.place(batch, work)?;
-        self.written += add;
-        // From here on the write stands, whatever becomes of the rest.
-        if self.plan.due(&self.room()) || self.cleaner.is_some() {
-            let _ = self.clean(self.plan.pace(add));
+        self.repair()?;
+        let added = batch.len() as u64;
+        self.make_space(added, kind)?;
+        let end = self.append(batch, kind)?;
+        self.written_bytes += added;
+        // From here on the write is done: the outcome of the following work does not change its result.
+        if self.plan.needs_compaction(&self.space_usage()) || self.compaction.is_some() {
+            let _ = self.compact(self.plan.compaction_budget(added));
         }
-        if self.step_checkpoint(add).is_err() {
-            self.give_up_checkpoint();
+        if self.step_checkpoint(added).is_err() {
+            self.abandon_checkpoint();
         }
-        if !self.reserve && work == WriteKind::New {
-            self.make_reserve();
+        if !self.has_reserve && kind == WriteKind::New {
+            self.create_reserve();
         }
-        Ok(mark)
+        Ok(end)
     }
 
-    fn make_room(&mut self, add: u64, work: WriteKind) -> Result<(), Error> {
+    fn make_space(&mut self, added: u64, kind: WriteKind) -> Result<(), Error> {
         let mut steps = 0;
-        while !self.plan.admits(work, add, &self.room()) {
+        while !self.plan.admits(kind, added, &self.space_usage()) {
             steps += 1;
-            let enough = work == WriteKind::New && steps > STEPS_FOR_NEW;
-            if enough || !self.clean(self.plan.step())? {
+            let is_over_limit = kind == WriteKind::New && steps > MAX_COMPACT_STEPS_FOR_NEW;
+            if is_over_limit || !self.compact(self.plan.step_bytes())? {
                 return Err(Error::Full);
             }
         }
         Ok(())
     }
 
-    /// Writes a batch behind all others, in a new segment if the present one is full.
-    pub(crate) fn place(&mut self, batch: &Batch, work: WriteKind) -> Result<LogPosition, Error> {
-        self.heal()?;
-        if self.must_roll || self.plan.rolls(self.active.len(), batch.len() as u64) {
+    /// Appends a batch to the log, in a new segment if the active one is full.
+    pub(crate) fn append(&mut self, batch: &Batch, kind: WriteKind) -> Result<LogPosition, Error> {
+        self.repair()?;
+        if self.must_roll || self.plan.should_roll(self.active.len(), batch.len() as u64) {
             self.roll()?;
         }
-        let a = &mut self.active;
-        let (number, at) = (a.header.number, a.len() as u32);
-        let firm = match self.options.durability {
-            Durability::Process => at,
-            Durability::Power => a.firm.len as u32,
+        let active = &mut self.active;
+        let (number, offset) = (active.header.number, active.len() as u32);
+        let durable_len = match self.options.durability {
+            Durability::Process => offset,
+            Durability::Power => active.durable.len as u32,
         };
-        let bytes = batch.frame(checksum_seed(a.header.store_id, number), self.seq, firm);
-        let before = a.pending.len();
-        a.pending.extend(&bytes);
-        let later = work == WriteKind::Deferred && a.pending.len() <= RELAXED_MOST;
-        if !later && let Err(e) = self.write(work) {
-            self.active.pending.truncate(before);
+        let bytes = batch.frame(checksum_seed(active.header.store_id, number), self.next_seq, durable_len);
+        let pending_len = active.pending.len();
+        active.pending.extend(&bytes);
+        let is_deferred = kind == WriteKind::Deferred && active.pending.len() <= MAX_DEFERRED_BYTES;
+        if !is_deferred && let Err(e) = self.write_pending(kind) {
+            self.active.pending.truncate(pending_len);
             return Err(e.into());
         }
-        self.enter(&bytes[FRAME_HEADER_LEN..], at);
+        self.index_frame(&bytes[FRAME_HEADER_LEN..], offset);
         Ok(self.log_end())
     }
 
-    /// Enters the records of a frame that stands there, which is known to be sound.
-    fn enter(&mut self, payload: &[u8], at: u32) {
+    /// Adds the records of a valid frame at this offset of the active segment to the index.
+    fn index_frame(&mut self, payload: &[u8], offset: u32) {
         let number = self.active.header.number;
         for record in records(payload).flatten() {
-            self.index.apply(&record, number, at, at + FRAME_HEADER_LEN as u32);
+            self.index.apply(&record, number, offset, offset + FRAME_HEADER_LEN as u32);
         }
-        self.seq += 1;
-        self.index.grown(number, self.active.len());
+        self.next_seq += 1;
+        self.index.set_segment_len(number, self.active.len());
     }
 
-    /// Writes what is pending.
-    fn write(&mut self, work: WriteKind) -> io::Result<()> {
-        let a = &mut self.active;
-        if a.pending.is_empty() {
+    /// Writes the pending frames to the file.
+    fn write_pending(&mut self, kind: WriteKind) -> io::Result<()> {
+        let active = &mut self.active;
+        if active.pending.is_empty() {
             return Ok(());
         }
-        if self.trouble.is_some() {
-            // Behind a torn write nothing is to stand.
+        if self.untrusted_from.is_some() {
+            // Nothing may be written after a torn write.
             return Err(ErrorKind::WriteZero.into());
         }
-        while let Err(e) = a.file.write_all(&a.pending) {
-            // A part of it may have been written, and what comes next must not stand behind that.
-            if a.file.set_len(a.written).is_err() {
-                let written = Point { len: a.written, sum: a.sum, seq: u64_at(&a.pending, 8) };
-                // The next header will vouch for what stands before this point.
-                let power = self.options.durability == Durability::Power;
-                self.trouble = Some(if power { a.firm } else { written });
+        while let Err(e) = active.file.write_all(&active.pending) {
+            // A part may have been written. It is cut off, so that the next frame does not follow it.
+            if active.file.set_len(active.written_len).is_err() {
+                let written = Point {
+                    len: active.written_len,
+                    checksum: active.checksum,
+                    seq: u64_at(&active.pending, 8),
+                };
+                // The next segment's header declares everything before this point to be part of the log.
+                let is_power = self.options.durability == Durability::Power;
+                self.untrusted_from = Some(if is_power { active.durable } else { written });
                 return Err(e);
             }
-            let full = matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
-            if !(full && work == WriteKind::End && self.reserve) || self.disk.remove(RESERVE).is_err() {
+            let is_disk_full = matches!(e.kind(), ErrorKind::StorageFull | ErrorKind::QuotaExceeded);
+            if !(is_disk_full && kind == WriteKind::End && self.has_reserve)
+                || self.disk.remove(RESERVE_FILE).is_err()
+            {
                 return Err(e);
             }
-            (self.reserve, self.reserve_again) = (false, RESERVE_AGAIN);
+            (self.has_reserve, self.reserve_retry_writes) = (false, RESERVE_RETRY_WRITES);
         }
-        a.sum = crc32c_append(a.sum, &a.pending);
-        a.written += a.pending.len() as u64;
-        a.pending.clear();
+        active.checksum = crc32c_append(active.checksum, &active.pending);
+        active.written_len += active.pending.len() as u64;
+        active.pending.clear();
         Ok(())
     }
 
-    /// Writes what may be lost and was kept back until now.
+    /// Writes the buffered [`WriteKind::Deferred`] batches.
     ///
     /// # Errors
-    /// It cannot be written, and is kept.
+    /// They cannot be written. They stay buffered.
     pub fn flush(&mut self) -> Result<(), Error> {
-        self.heal()?;
-        Ok(self.write(WriteKind::Deferred)?)
+        self.repair()?;
+        Ok(self.write_pending(WriteKind::Deferred)?)
     }
 
+    /// Starts a new segment.
     fn roll(&mut self) -> Result<(), Error> {
-        self.write(WriteKind::Update)?;
-        if self.options.durability == Durability::Power && self.active.firm.len < self.active.written {
-            // The next header says that this segment is whole.
+        self.write_pending(WriteKind::Update)?;
+        if self.options.durability == Durability::Power && self.active.durable.len < self.active.written_len {
+            // The next segment's header declares this segment to be complete, so it must be durable first.
             if let Err(e) = self.active.file.sync() {
-                self.trouble = Some(self.active.firm);
+                self.untrusted_from = Some(self.active.durable);
                 return Err(e.into());
             }
         }
-        let a = &self.active;
-        let end = Point { len: a.written, sum: a.sum, seq: self.seq };
+        let active = &self.active;
+        let end = Point { len: active.written_len, checksum: active.checksum, seq: self.next_seq };
         let header = self.header_after(end);
-        // One that could not be made may have got its name all the same: its header says where this one ends.
+        // If creating the segment fails, its file may still have got its final name, and its header says where
+        // the active segment ends. Nothing may be appended to the active segment after that.
         self.must_roll = true;
-        let fresh = create(&*self.disk, &self.options, header, &[])?;
-        self.succeed(fresh, end);
+        let new_segment = create_segment(&*self.disk, &self.options, header, &[])?;
+        self.activate(new_segment, end);
         Ok(())
     }
 
@@ -457,338 +499,367 @@
         Header {
             number: old.number + 1,
             first_seq: end.seq,
-            log_start: self.base,
+            log_start: self.log_start,
             previous_len: end.len as u32,
-            previous_checksum: end.sum,
+            previous_checksum: end.checksum,
             ..old
         }
     }
 
-    fn succeed(&mut self, fresh: Active, end: Point) {
-        self.index.sealed(self.active.header.number, end.len as u32);
-        self.index.grown(self.active.header.number, self.active.written);
-        self.index.grown(fresh.header.number, fresh.written);
-        (self.active, self.must_roll) = (fresh, false);
-        self.discard();
+    /// Replaces the active segment by a new one. The log contains the old one up to `end`.
+    fn activate(&mut self, new_segment: ActiveSegment, end: Point) {
+        self.index.set_log_len(self.active.header.number, end.len as u32);
+        self.index.set_segment_len(self.active.header.number, self.active.written_len);
+        self.index.set_segment_len(new_segment.header.number, new_segment.written_len);
+        (self.active, self.must_roll) = (new_segment, false);
+        self.remove_obsolete();
     }
 
-    /// After a write whose torn part could not be cut off, or a sync that failed: what stands behind the last
-    /// safe point is written again, in a new segment. The old one is not trusted beyond that point any more.
-    fn heal(&mut self) -> Result<(), Error> {
-        let Some(trusted) = self.trouble else { return Ok(()) };
-        let a = &self.active;
-        let (number, span) = (a.header.number, a.written.saturating_sub(trusted.len) as usize);
-        let mut again = self.disk.read_at(&segment_file_name(number), trusted.len, span)?;
-        if again.len() != span {
+    /// Repairs the log after a torn write that could not be cut off, or after a failed sync: writes everything
+    /// after the last trusted point again, in a new segment. The old segment is no longer trusted beyond that
+    /// point.
+    fn repair(&mut self) -> Result<(), Error> {
+        let Some(trusted) = self.untrusted_from else { return Ok(()) };
+        let active = &self.active;
+        let (number, span) = (active.header.number, active.written_len.saturating_sub(trusted.len) as usize);
+        let mut rewritten = self.disk.read_at(&segment_file_name(number), trusted.len, span)?;
+        if rewritten.len() != span {
             return Err(io::Error::from(ErrorKind::UnexpectedEof).into());
         }
-        again.extend(&a.pending);
-        let seed = checksum_seed(a.header.store_id, number);
+        rewritten.extend(&active.pending);
+        let seed = checksum_seed(active.header.store_id, number);
         let mut frames = Vec::new();
-        let mut rest = &again[..];
+        let mut rest = &rewritten[..];
         while !rest.is_empty() {
-            let frame = read_frame(rest, seed).map_err(|flaw| unsound(number, trusted.len, flaw))?;
+            let frame = read_frame(rest, seed).map_err(|e| invalid_frame(number, trusted.len, e))?;
             rest = &rest[frame.len()..];
             frames.push(frame);
         }
         let header = self.header_after(trusted);
-        // All of it stands in the new segment before that gets its name: there is no half-way.
-        let fresh = create(&*self.disk, &self.options, header, &frames)?;
-        self.seq = trusted.seq;
-        self.succeed(fresh, trusted);
-        let mut at = HEADER_LEN as u32;
-        for f in &frames {
-            self.enter(f.payload, at);
-            at += f.len() as u32;
-        }
-        self.trouble = None;
+        // The new segment contains all of the frames before it gets its final name, so a crash leaves either
+        // all of them or none.
+        let new_segment = create_segment(&*self.disk, &self.options, header, &frames)?;
+        self.next_seq = trusted.seq;
+        self.activate(new_segment, trusted);
+        let mut offset = HEADER_LEN as u32;
+        for frame in &frames {
+            self.index_frame(frame.payload, offset);
+            offset += frame.len() as u32;
+        }
+        self.untrusted_from = None;
         Ok(())
     }
 
-    /// The end of all that was handed in.
+    /// Returns the position after the last write.
     pub fn log_end(&self) -> LogPosition {
         LogPosition { segment: self.active.header.number, end: self.active.len() }
     }
 
-    /// Whether all up to there outlasts what the store's durability says.
-    pub fn is_durable(&self, mark: &LogPosition) -> bool {
+    /// Returns whether everything up to this position is durable, as the store's [`Durability`] defines it.
+    pub fn is_durable(&self, position: &LogPosition) -> bool {
         match self.options.durability {
             Durability::Process => true,
             Durability::Power => {
-                // A segment that has a successor was synced, or what was in doubt of it written again.
-                mark.segment < self.active.header.number || mark.end <= self.active.firm.len
+                // A segment that is followed by another was synced, or its uncertain part was written again.
+                position.segment < self.active.header.number || position.end <= self.active.durable.len
             }
         }
     }
 
-    /// Begins a sync of all that was written, where one is needed.
+    /// Starts a sync of all writes, if one is needed.
     ///
     /// # Errors
-    /// What was kept back cannot be written.
+    /// Buffered writes cannot be written.
     pub fn begin_sync(&mut self) -> Result<Option<PendingSync>, Error> {
-        self.heal()?;
-        self.write(WriteKind::Update)?;
-        let a = &self.active;
-        if self.options.durability == Durability::Process || a.firm.len == a.written {
+        self.repair()?;
+        self.write_pending(WriteKind::Update)?;
+        let active = &self.active;
+        if self.options.durability == Durability::Process || active.durable.len == active.written_len {
             return Ok(None);
         }
-        let point = Point { len: a.written, sum: a.sum, seq: self.seq };
-        Ok(Some(PendingSync { future: Some(a.file.sync_in_background()), segment: a.header.number, point }))
+        let point = Point { len: active.written_len, checksum: active.checksum, seq: self.next_seq };
+        Ok(Some(PendingSync {
+            future: Some(active.file.sync_in_background()),
+            segment: active.header.number,
+            point,
+        }))
     }
 
-    /// Takes in how a sync ended. After one that failed what it was for is written again elsewhere.
+    /// Records the result of a sync. If the sync failed, its data is written again in a new segment.
     ///
     /// # Errors
-    /// That failed as well; the next call tries anew, and nothing is firm until then.
+    /// Writing the data again failed as well. The next call tries again, and nothing becomes durable until
+    /// then.
     pub fn finish_sync(&mut self, sync: &PendingSync, result: io::Result<()>) -> Result<(), Error> {
         if sync.segment == self.active.header.number {
             match result {
-                Ok(()) if self.trouble.is_none() => {
-                    if sync.point.len > self.active.firm.len {
-                        self.active.firm = sync.point;
+                Ok(()) if self.untrusted_from.is_none() => {
+                    if sync.point.len > self.active.durable.len {
+                        self.active.durable = sync.point;
                     }
                 }
                 Ok(()) => {}
-                Err(_) => self.trouble = Some(self.active.firm),
+                Err(_) => self.untrusted_from = Some(self.active.durable),
             }
         }
-        self.heal()?;
-        self.discard();
+        self.repair()?;
+        self.remove_obsolete();
         Ok(())
     }
 
-    /// Syncs all that was written, here and now.
+    /// Syncs all writes and blocks until that is done.
     ///
     /// # Errors
-    /// It cannot be written or synced.
+    /// The disk cannot be written or synced.
     pub fn sync_now(&mut self) -> Result<(), Error> {
         if let Some(sync) = self.begin_sync()? {
-            let done = self.active.file.sync();
-            self.finish_sync(&sync, done)?;
+            let result = self.active.file.sync();
+            self.finish_sync(&sync, result)?;
         }
         Ok(())
     }
 
-    /// A key's value.
+    /// Returns the value of a key.
     ///
     /// # Errors
-    /// It cannot be read, or is not what was written.
+    /// It cannot be read, or its frame is damaged.
     pub fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, Error> {
-        self.index.get(table, key).map(|p| self.value(p)).transpose()
+        self.index.get(table, key).map(|p| self.read_value(p)).transpose()
     }
 
-    fn value(&self, p: Place) -> Result<Vec<u8>, Error> {
-        let file = segment_file_name(p.segment);
-        let a = &self.active;
-        let own = p.segment == a.header.number && u64::from(p.frame) >= a.written;
-        let bytes = if own {
-            a.pending[(u64::from(p.frame) - a.written) as usize..].to_vec()
+    fn read_value(&self, place: Place) -> Result<Vec<u8>, Error> {
+        let file = segment_file_name(place.segment);
+        let active = &self.active;
+        let is_pending =
+            place.segment == active.header.number && u64::from(place.frame) >= active.written_len;
+        let bytes = if is_pending {
+            active.pending[(u64::from(place.frame) - active.written_len) as usize..].to_vec()
         } else {
-            let some = (p.at - p.frame + p.len) as usize;
-            let bytes = self.disk.read_at(&file, p.frame.into(), some)?;
-            // The checksum is the whole frame's.
-            match frame_len(&bytes).filter(|len| *len > some) {
-                Some(len) => self.disk.read_at(&file, p.frame.into(), len)?,
+            let len_to_value_end = (place.value - place.frame + place.len) as usize;
+            let bytes = self.disk.read_at(&file, place.frame.into(), len_to_value_end)?;
+            // The checksum covers the whole frame, so all of it is read.
+            match frame_len(&bytes).filter(|len| *len > len_to_value_end) {
+                Some(len) => self.disk.read_at(&file, place.frame.into(), len)?,
                 None => bytes,
             }
         };
-        let frame = read_frame(&bytes, checksum_seed(a.header.store_id, p.segment));
-        let frame = frame.map_err(|flaw| unsound(p.segment, p.frame.into(), flaw))?;
-        let from = (p.at - p.frame) as usize - FRAME_HEADER_LEN;
-        let value = frame.payload.get(from..from + p.len as usize);
-        value.map(<[u8]>::to_vec).ok_or_else(|| unsound(p.segment, p.at.into(), FrameError::Truncated).into())
+        let frame = read_frame(&bytes, checksum_seed(active.header.store_id, place.segment));
+        let frame = frame.map_err(|e| invalid_frame(place.segment, place.frame.into(), e))?;
+        let from = (place.value - place.frame) as usize - FRAME_HEADER_LEN;
+        let value = frame.payload.get(from..from + place.len as usize);
+        value
+            .map(<[u8]>::to_vec)
+            .ok_or_else(|| invalid_frame(place.segment, place.value.into(), FrameError::Truncated).into())
     }
 
-    /// Whether a key is there.
+    /// Returns whether the store contains a key.
     pub fn contains_key(&self, table: Table, key: &[u8]) -> bool {
         self.index.get(table, key).is_some()
     }
 
-    /// All keys that begin like this, in order.
+    /// Returns all keys of a table with this prefix, in order.
     pub fn keys(&self, table: Table, prefix: &[u8]) -> impl Iterator<Item = &[u8]> {
         self.index.range(table, prefix).map(|(k, _)| &k[1..])
     }
 
-    /// All keys and values in force, in the order written, read from the log from end to end.
+    /// Reads the whole log and calls `visitor` with each live key and its value, in the order written.
     ///
     /// # Errors
-    /// It cannot be read, or is not what was written.
-    pub fn visit(&self, mut each: impl FnMut(Table, &[u8], &[u8])) -> Result<(), Error> {
-        for (number, usage) in self.index.segments() {
+    /// The log cannot be read, or is damaged.
+    pub fn visit(&self, mut visitor: impl FnMut(Table, &[u8], &[u8])) -> Result<(), Error> {
+        for (number, segment) in self.index.segments() {
             let mut bytes = self.disk.read(&segment_file_name(number))?.unwrap_or_default();
-            let active = number == self.active.header.number;
-            let until = if active { self.active.written } else { usage.until.into() };
-            if (bytes.len() as u64) < until {
-                return Err(unsound(number, bytes.len() as u64, FrameError::Truncated).into());
+            let is_active = number == self.active.header.number;
+            let log_len = if is_active { self.active.written_len } else { segment.log_len.into() };
+            if (bytes.len() as u64) < log_len {
+                return Err(invalid_frame(number, bytes.len() as u64, FrameError::Truncated).into());
             }
-            bytes.truncate(until as usize);
-            if active {
+            bytes.truncate(log_len as usize);
+            if is_active {
                 bytes.extend(&self.active.pending);
             }
-            let (mut at, seed) = (HEADER_LEN, checksum_seed(self.active.header.store_id, number));
-            while at < bytes.len() {
-                let frame =
-                    read_frame(&bytes[at..], seed).map_err(|flaw| unsound(number, at as u64, flaw))?;
+            let (mut offset, seed) = (HEADER_LEN, checksum_seed(self.active.header.store_id, number));
+            while offset < bytes.len() {
+                let frame = read_frame(&bytes[offset..], seed)
+                    .map_err(|e| invalid_frame(number, offset as u64, e))?;
                 for record in records(frame.payload).flatten() {
-                    let Record::Put { table, key, value, value_offset: v } = record else { continue };
-                    let there = self.index.get(table, key);
-                    let here = (number, at as u32, (at + FRAME_HEADER_LEN + v) as u32);
-                    if there.is_some_and(|p| (p.segment, p.frame, p.at) == here) {
-                        each(table, key, value);
+                    let Record::Put { table, key, value, value_offset } = record else { continue };
+                    let indexed = self.index.get(table, key);
+                    let here = (number, offset as u32, (offset + FRAME_HEADER_LEN + value_offset) as u32);
+                    if indexed.is_some_and(|p| (p.segment, p.frame, p.value) == here) {
+                        visitor(table, key, value);
                     }
                 }
-                at += frame.len();
+                offset += frame.len();
             }
         }
         Ok(())
     }
 
-    /// One step of compaction, where there is something to do: for moments without traffic.
+    /// Performs one step of compaction if there is something to do. It is called while there is no traffic.
     ///
     /// # Errors
-    /// The disk cannot be read or written; nothing is lost.
+    /// The disk cannot be read or written. Nothing is lost.
     pub fn compact_step(&mut self) -> Result<bool, Error> {
-        self.heal()?;
-        if !self.plan.due(&self.room()) && self.cleaner.is_none() {
+        self.repair()?;
+        if !self.plan.needs_compaction(&self.space_usage()) && self.compaction.is_none() {
             return Ok(false);
         }
-        self.clean(self.plan.step())
+        self.compact(self.plan.step_bytes())
     }
 
-    /// How it stands.
+    /// Returns the store's counters and sizes.
     pub fn stats(&self) -> Stats {
-        let room = self.room();
+        let usage = self.space_usage();
         Stats {
-            keys: self.index.len(),
-            live: room.live,
-            log: room.log,
-            used: room.used,
-            segments: self.index.segments().count(),
-            written: (self.written, self.copied),
-            troubled: self.trouble.is_some() || self.damaged.is_some(),
+            key_count: self.index.len(),
+            live_bytes: usage.live_bytes,
+            log_bytes: usage.log_bytes,
+            used_bytes: usage.used_bytes,
+            segment_count: self.index.segments().count(),
+            written_bytes: (self.written_bytes, self.copied_bytes),
+            is_degraded: self.untrusted_from.is_some() || self.compaction_error.is_some(),
         }
     }
 
-    /// The place that compaction could not read, if it met one: nothing was lost by that, and room runs out.
+    /// Returns the damage that stopped compaction, if there is any. Nothing is lost by it, but no space is
+    /// freed any more.
     pub fn compaction_error(&self) -> Option<&Corruption> {
-        self.damaged.as_ref()
+        self.compaction_error.as_ref()
     }
 
-    fn step_checkpoint(&mut self, add: u64) -> Result<(), Error> {
+    fn step_checkpoint(&mut self, added: u64) -> Result<(), Error> {
         if self.options.checkpoint_interval == 0 {
             return Ok(());
         }
-        self.since_checkpoint += add;
-        if self.checkpoint.is_none() {
-            if self.since_checkpoint < self.options.checkpoint_interval {
+        self.bytes_since_checkpoint += added;
+        if self.new_checkpoint.is_none() {
+            if self.bytes_since_checkpoint < self.options.checkpoint_interval {
                 return Ok(());
             }
-            self.since_checkpoint = 0;
-            let (writer, head) = Writer::begin(&self.active.header);
-            self.disk.remove(checkpoint::NEW)?;
-            let mut file = self.disk.append(checkpoint::NEW)?;
-            file.write_all(&head)?;
-            self.checkpoint = Some((writer, file, head.len() as u64));
+            self.bytes_since_checkpoint = 0;
+            let (writer, header) = Writer::begin(&self.active.header);
+            self.disk.remove(checkpoint::NEW_FILE)?;
+            let mut file = self.disk.append(checkpoint::NEW_FILE)?;
+            file.write_all(&header)?;
+            self.new_checkpoint = Some((writer, file, header.len() as u64));
             return Ok(());
         }
         let oldest = self.index.segments().next().map_or(0, |s| s.0);
-        let Some((mut writer, mut file, len)) = self.checkpoint.take() else { return Ok(()) };
+        let Some((mut writer, mut file, len)) = self.new_checkpoint.take() else { return Ok(()) };
         if oldest > writer.segment {
-            self.give_up_checkpoint(); // What it begins from is gone.
+            self.abandon_checkpoint(); // The segment from which the log would be replayed is dropped.
             return Ok(());
         }
-        let (bytes, done) = writer.step(&self.index);
+        let (bytes, is_done) = writer.step(&self.index);
         file.write_all(&bytes)?;
         let len = len + bytes.len() as u64;
-        if !done {
-            self.checkpoint = Some((writer, file, len));
+        if !is_done {
+            self.new_checkpoint = Some((writer, file, len));
             return Ok(());
         }
-        // It names places up to the log's end: they must be no less lasting than it is.
-        self.write(WriteKind::Update)?;
+        // The checkpoint refers to places up to the end of the log, so these must be as durable as the
+        // checkpoint itself.
+        self.write_pending(WriteKind::Update)?;
         if self.options.durability == Durability::Power {
             self.sync_now()?;
             file.sync()?;
         }
-        self.disk.rename(checkpoint::NEW, checkpoint::FILE)?;
-        self.others = self.others + blocks(len) - self.checkpoint_len;
-        self.checkpoint_len = blocks(len);
+        self.disk.rename(checkpoint::NEW_FILE, checkpoint::FILE)?;
+        self.other_bytes = self.other_bytes + blocks(len) - self.checkpoint_bytes;
+        self.checkpoint_bytes = blocks(len);
         Ok(())
     }
 
-    fn give_up_checkpoint(&mut self) {
-        self.checkpoint = None;
-        // What cannot be removed now is removed at the next start, or by the next one.
-        let _ = self.disk.remove(checkpoint::NEW);
+    fn abandon_checkpoint(&mut self) {
+        self.new_checkpoint = None;
+        // A file that cannot be removed now is removed at the next start or by the next checkpoint.
+        let _ = self.disk.remove(checkpoint::NEW_FILE);
     }
 
-    fn make_reserve(&mut self) {
-        if self.options.reserve_bytes == 0 || self.reserve {
+    fn create_reserve(&mut self) {
+        if self.options.reserve_bytes == 0 || self.has_reserve {
             return;
         }
-        self.reserve_again = self.reserve_again.saturating_sub(1);
-        let room = SpaceUsage { used: self.room().used + blocks(self.options.reserve_bytes), ..self.room() };
-        if self.reserve_again > 0 || !self.plan.admits(WriteKind::New, 0, &room) {
+        self.reserve_retry_writes = self.reserve_retry_writes.saturating_sub(1);
+        let usage = SpaceUsage {
+            used_bytes: self.space_usage().used_bytes + blocks(self.options.reserve_bytes),
+            ..self.space_usage()
+        };
+        if self.reserve_retry_writes > 0 || !self.plan.admits(WriteKind::New, 0, &usage) {
             return;
         }
         let bytes = vec![0; self.options.reserve_bytes as usize];
-        let made = self.disk.remove(RESERVE).and_then(|()| self.disk.append(RESERVE)?.write_all(&bytes));
-        self.reserve = made.is_ok();
-        if made.is_err() {
-            let _ = self.disk.remove(RESERVE);
-            self.reserve_again = RESERVE_AGAIN;
+        let created =
+            self.disk.remove(RESERVE_FILE).and_then(|()| self.disk.append(RESERVE_FILE)?.write_all(&bytes));
+        self.has_reserve = created.is_ok();
+        if created.is_err() {
+            let _ = self.disk.remove(RESERVE_FILE);
+            self.reserve_retry_writes = RESERVE_RETRY_WRITES;
         }
     }
 }
 
-impl Active {
-    /// Its length with what is pending.
+impl ActiveSegment {
+    /// Returns the length including the pending frames.
     fn len(&self) -> u64 {
-        self.written + self.pending.len() as u64
+        self.written_len + self.pending.len() as u64
     }
 }
 
-pub(crate) fn unsound(number: u32, offset: u64, flaw: FrameError) -> Corruption {
+pub(crate) fn invalid_frame(number: u32, offset: u64, error: FrameError) -> Corruption {
     Corruption {
         file: segment_file_name(number),
         offset,
-        expected: "a sound frame".into(),
-        found: format!("{flaw:?}"),
+        expected: "a valid frame".into(),
+        found: format!("{error:?}"),
     }
 }
 
-/// Makes a segment. It gets its name when its header and these frames stand in it whole, so that a crash
-/// leaves no segment without them.
-fn create(disk: &dyn Disk, options: &Options, header: Header, frames: &[Frame<'_>]) -> Result<Active, Error> {
+/// Creates a segment with these frames. The file gets its final name only once its header and frames are
+/// complete, so that a crash leaves no incomplete segment.
+fn create_segment(
+    disk: &dyn Disk,
+    options: &Options,
+    header: Header,
+    frames: &[Frame<'_>],
+) -> Result<ActiveSegment, Error> {
     let mut bytes = header.encode().to_vec();
     for (n, f) in frames.iter().enumerate() {
-        let firm = if options.durability == Durability::Process { bytes.len() as u32 } else { 0 };
+        let durable_len = if options.durability == Durability::Process { bytes.len() as u32 } else { 0 };
         bytes.extend(frame(
             f.payload,
             f.count,
             checksum_seed(header.store_id, header.number),
             header.first_seq + n as u64,
-            firm,
+            durable_len,
         ));
     }
-    let made = (|| {
-        disk.remove(NEW)?;
-        let mut file = disk.append(NEW)?;
+    let created = (|| {
+        disk.remove(NEW_SEGMENT_FILE)?;
+        let mut file = disk.append(NEW_SEGMENT_FILE)?;
         file.write_all(&bytes)?;
         if options.durability == Durability::Power {
             file.sync()?;
         }
-        disk.rename(NEW, &segment_file_name(header.number))?;
+        disk.rename(NEW_SEGMENT_FILE, &segment_file_name(header.number))?;
         if options.durability == Durability::Power {
             disk.sync_directory()?;
         }
         Ok(file)
     })();
-    let file: Box<dyn File> = made.inspect_err(|_: &io::Error| {
-        // Half of one would count against the limit for as long as it stays.
-        let _ = disk.remove(NEW);
+    let file: Box<dyn File> = created.inspect_err(|_: &io::Error| {
+        // An incomplete file would count against the limit as long as it exists.
+        let _ = disk.remove(NEW_SEGMENT_FILE);
     })?;
-    let sum = crc32c_append(0, &bytes);
+    let checksum = crc32c_append(0, &bytes);
     let (len, seq) = (bytes.len() as u64, header.first_seq + frames.len() as u64);
-    Ok(Active { header, file, written: len, sum, pending: Vec::new(), firm: Point { len, sum, seq } })
+    Ok(ActiveSegment {
+        header,
+        file,
+        written_len: len,
+        checksum,
+        pending: Vec::new(),
+        durable: Point { len, checksum, seq },
+    })
 }
--- a/crates/store/tests/room.rs
+++ b/crates/store/tests/room.rs
@@ -47,7 +47,7 @@
         assert!(sim.most.get() <= 3_000_000, "{}", sim.most.get());
     }
     assert!(refused > 400, "{refused}");
-    let live = store.stats().live;
+    let live = store.stats().live_bytes;
     assert!(live > 1_000_000, "much of the room is used: {live}");
     for n in open {
         store.apply(&end(n), WriteKind::End).expect("an end finds room");
@@ -92,7 +92,7 @@
     store.flush().expect("written");
     drop(store);
     let (store, _) = Store::open(Rc::new(Hands(sim)), Options::new(5, 3_000_000)).expect("a store");
-    assert_eq!(store.stats().keys, 3);
+    assert_eq!(store.stats().key_count, 3);
 }
 
 #[test]
@@ -122,7 +122,7 @@
     let mut long = Batch::default();
     long.put(T, &[1; 300], &[]);
     assert!(matches!(store.apply(&long, WriteKind::New), Err(Error::TooLong)));
-    assert_eq!(store.stats().keys, 0);
+    assert_eq!(store.stats().key_count, 0);
 }
 
 #[test]
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -420,7 +420,7 @@
             }
             Err(_) => {
                 played.refused += 1;
-                if store.stats().troubled && played.maybe.is_none() {
+                if store.stats().is_degraded && played.maybe.is_none() {
                     played.maybe = Some(next);
                 }
             }
