--- a/crates/recorder/examples/cost.rs
+++ b/crates/recorder/examples/cost.rs
@@ -1,6 +1,6 @@
-//! What recording costs: the same turns with the recorder off, in memory and in a folder, in turn, so that
-//! all three meet the same machine.
-//! `cargo run --release -p notchpoint-recorder --example cost -- [TURNS] [FOLDER]`
+//! Measures the cost of recording: the same turns with the recorder off, in memory and in a folder,
+//! alternating, so that all three run under the same conditions. `cargo run --release -p notchpoint-recorder
+//! --example cost -- [TURNS] [FOLDER]`
 
 use notchpoint_policy::*;
 use notchpoint_recorder::store::{FolderStore, MemoryStore};
@@ -8,11 +8,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-const LIMIT: u64 = 16_000_000;
-const TICK: Micros = 5_000;
-const DESTS: u64 = 20;
-/// Turns played in one go before the next way has its turn.
-const CHUNK: u64 = 2_000;
+const LIMIT_BYTES: u64 = 16_000_000;
+const TICK_US: Micros = 5_000;
+const DESTINATIONS: u64 = 20;
+/// Turns played with one recorder before the next one follows.
+const TURNS_PER_ROUND: u64 = 2_000;
 
 fn settings() -> Settings {
     let class = |effect, worth, deadline| Class {
@@ -51,28 +51,28 @@
         conn_idle: 5_000_000,
         multiplex: 1,
         connections_reported: false,
-        tick: TICK,
+        tick: TICK_US,
         max_retry_after: 2_000_000,
     }
 }
 
-/// A sender whose calls take 100 ms, and its recorder if it has one.
+/// A sender whose calls take 100 ms, with a recorder or without.
 struct Lane {
     name: &'static str,
     sender: Sender,
     recorder: Option<Recorder>,
     now: Micros,
-    out: Vec<(Micros, MessageId)>,
+    in_flight: Vec<(Micros, MessageId)>,
     messages: u64,
-    took: Duration,
+    elapsed: Duration,
 }
 
 impl Lane {
     fn new(name: &'static str, recorder: Option<Recorder>) -> Self {
         let sender = Sender::new(settings(), 1).expect("sound");
-        let (now, out, took) = (100_000_000, Vec::new(), Duration::ZERO);
-        let mut lane = Self { name, sender, recorder, now, out, messages: 0, took };
-        let entries = (0..DESTS).map(|n| ListEntry {
+        let (now, in_flight, elapsed) = (100_000_000, Vec::new(), Duration::ZERO);
+        let mut lane = Self { name, sender, recorder, now, in_flight, messages: 0, elapsed };
+        let entries = (0..DESTINATIONS).map(|n| ListEntry {
             endpoint: EndpointId(n),
             dest: DestinationId(n),
             zone: 0,
@@ -91,26 +91,26 @@
         }
         for a in actions {
             if let Action::Send { id, .. } = a {
-                self.out.push((self.now, id));
+                self.in_flight.push((self.now, id));
             }
         }
     }
 
     fn play(&mut self) {
         let started = Instant::now();
-        for n in 0..CHUNK {
-            self.now += TICK;
+        for n in 0..TURNS_PER_ROUND {
+            self.now += TICK_US;
             let now = self.now;
-            let done = self.out.extract_if(.., |o| now >= o.0 + 100_000);
-            let ended = |(_, id)| Event::Ended {
+            let ended = self.in_flight.extract_if(.., |o| now >= o.0 + 100_000);
+            let end_event = |(_, id)| Event::Ended {
                 id,
                 attempt: 0,
                 outcome: Outcome::Served,
                 is_final: true,
                 allowance: None,
             };
-            let mut events: Vec<Event> = done.map(ended).collect();
-            // 100 messages a second.
+            let mut events: Vec<Event> = ended.map(end_event).collect();
+            // 100 messages per second.
             if n % 2 == 0 {
                 self.messages += 1;
                 events.push(Event::Taken(Message {
@@ -118,20 +118,20 @@
                     class: (self.messages % 2) as u32,
                     tenant: None,
                     key: None,
-                    dest: DestinationId(self.messages % DESTS),
+                    dest: DestinationId(self.messages % DESTINATIONS),
                     is_retry: false,
                     expires_in: 6_000_000,
                 }));
             }
             self.turn(events);
         }
-        self.took += started.elapsed();
+        self.elapsed += started.elapsed();
     }
 }
 
 fn recorder(store: Box<dyn notchpoint_recorder::store::SegmentStore>) -> Option<Recorder> {
     let (sender, classes) = ("n0".into(), vec!["status-update".into(), "order-payment".into()]);
-    let options = Options { limit_bytes: LIMIT, sender, classes, settings: settings(), seed: 1 };
+    let options = Options { limit_bytes: LIMIT_BYTES, sender, classes, settings: settings(), seed: 1 };
     Recorder::start(options, store, &[], 100_000_000, 100_000_000).ok()
 }
 
@@ -139,22 +139,27 @@
     let mut args = std::env::args().skip(1);
     let turns: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(1_000_000);
     let folder = args.next().unwrap_or_else(|| "recording-cost".into());
-    let (store, there) = FolderStore::open(Path::new(&folder)).expect("a folder");
-    assert!(there.is_empty(), "{folder} holds a recording already");
+    let (store, existing) = FolderStore::open(Path::new(&folder)).expect("a folder");
+    assert!(existing.is_empty(), "{folder} contains a recording already");
     let mut lanes = [
         Lane::new("off", None),
         Lane::new("memory", recorder(Box::new(MemoryStore::default()))),
         Lane::new("folder", recorder(Box::new(store))),
     ];
-    for _ in 0..turns / CHUNK {
+    for _ in 0..turns / TURNS_PER_ROUND {
         lanes.iter_mut().for_each(Lane::play);
     }
-    let off = lanes[0].took;
+    let off = lanes[0].elapsed;
     println!("recorder  us a message  more than off  bytes kept");
     for l in &lanes {
-        let per = |d: Duration| d.as_secs_f64() * 1e6 / l.messages.max(1) as f64;
+        let per_message = |d: Duration| d.as_secs_f64() * 1e6 / l.messages.max(1) as f64;
         let kept = l.recorder.as_ref().map_or(0, Recorder::size);
-        println!("{:<8} {:>13.2} {:>14.2} {kept:>11}", l.name, per(l.took), per(l.took.saturating_sub(off)));
+        println!(
+            "{:<8} {:>13.2} {:>14.2} {kept:>11}",
+            l.name,
+            per_message(l.elapsed),
+            per_message(l.elapsed.saturating_sub(off))
+        );
     }
     std::fs::remove_dir_all(&folder).expect("removed");
 }
--- a/crates/recorder/src/explain.rs
+++ b/crates/recorder/src/explain.rs
@@ -1,337 +1,356 @@
-//! Which guard kept each message, from when to when, and what began and ended it.
+//! Explains a recording: which guard held each message and when, and which events began and ended it.
 //!
-//! The guards are the module's own words: after each turn that is played again it is asked what holds each
-//! message ([`Sender::holds`]). A message's time is cut into spans without a hole: in each either a call of
-//! it is out, or one guard holds it.
+//! The guards come from the decision module itself: after each replayed turn it returns what holds each
+//! message ([`Sender::holds`]). The time of a message is divided into spans without gaps. In each span either
+//! a call for the message is in flight or one guard holds it.
 
 use crate::format::{Header, Record, Turn};
-use crate::replay::{ReplayObserver, message_of, names};
+use crate::replay::{ReplayObserver, message_of, refers_to};
 use notchpoint_policy::{
     Action, DestinationId, EndpointId, Event, Guard, MessageId, Micros, Outcome, RouteView, Sender,
 };
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a message is at.
+/// The state of a message during a span.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub enum MessageState {
-    /// Held by this guard.
+    /// The message is held by this guard.
     Held(Guard),
-    /// A call of it is out.
-    Out,
+    /// A call for the message is in flight.
+    #[serde(rename = "Out")]
+    InFlight,
 }
 
-/// A stretch of a message's time.
+/// A span of a message's time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Span {
-    /// From when, in microseconds of the module's clock.
+    /// The start, in microseconds of the module's clock.
     pub from: Micros,
-    /// Until when.
+    /// The end.
     pub to: Micros,
-    /// What it was at.
-    pub at: MessageState,
-    /// Where the call went, if one was out.
+    /// The state of the message.
+    #[serde(rename = "at")]
+    pub state: MessageState,
+    /// The endpoint of the call, if one was in flight.
     pub endpoint: Option<String>,
-    /// What began it.
+    /// What began the span.
     pub began: String,
-    /// What ended it.
+    /// What ended the span.
     pub ended: String,
 }
 
-/// A message's course.
+/// The timeline of a message.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct MessageTimeline {
-    /// Its id, as clients write it.
+    /// The message's id, as clients write it.
     pub id: String,
-    /// Its class.
+    /// The name of its class.
     pub class: String,
-    /// Its destination.
+    /// The number of its destination.
     pub dest: u64,
-    /// It was held when the recording, or what is left of it, begins.
+    /// The message was accepted before the remaining recording begins.
     pub from_before: bool,
-    /// Its spans.
+    /// The spans, in order.
     pub spans: Vec<Span>,
-    /// How it ended; none if the recording ends before.
+    /// How the message ended, or `None` if the recording ends before that.
     pub end: Option<String>,
 }
 
 impl MessageTimeline {
-    /// How long it was held, without the time of its calls.
+    /// Returns how long the message was held, without the time of its calls.
     pub fn held(&self) -> Micros {
-        self.spans.iter().filter(|s| s.at != MessageState::Out).map(|s| s.to - s.from).sum()
+        self.spans.iter().filter(|s| s.state != MessageState::InFlight).map(|s| s.to - s.from).sum()
     }
 }
 
-/// A moment in the course of a destination.
+/// The values of a route of a destination at one time.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RouteSample {
-    /// When, in microseconds of the module's clock.
+    /// The time, in microseconds of the module's clock.
     pub at: Micros,
-    /// Which route of it: the endpoint's name where they are apart.
+    /// The route: the endpoint's name if the destination's endpoints are separate routes.
     pub route: Option<String>,
     /// The window.
     pub window: f64,
-    /// Calls out.
-    pub out: u32,
-    /// Those of them whose answers are taken to be lost.
+    /// Calls in flight.
+    #[serde(rename = "out")]
+    pub in_flight: u32,
+    /// Calls in flight whose answers are presumed lost.
     pub lost: u32,
     /// Messages held for the destination.
     pub held: usize,
-    /// Calls a second that the route is taken to admit; absent while no limit by rate showed.
-    pub admits: Option<f64>,
-    /// What holds the route.
+    /// The estimated limit of calls per second, or `None` while no rate limit was detected.
+    #[serde(rename = "admits")]
+    pub admitted_rate: Option<f64>,
+    /// The guard that holds the route.
     pub hold: Option<Guard>,
 }
 
-/// A cut of a window.
+/// A reduction of a window.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Cut {
-    /// When, in microseconds of the module's clock.
+    /// The time, in microseconds of the module's clock.
     pub at: Micros,
-    /// Which route of the destination.
+    /// The route of the destination.
     pub route: Option<String>,
-    /// The window before and after.
+    /// The window before the cut.
     pub from: f64,
-    /// See `from`.
+    /// The window after the cut.
     pub to: f64,
-    /// The outcome that cut it.
+    /// The outcome that caused the cut.
     pub cause: String,
 }
 
-/// What is asked for.
+/// Selects what to explain.
 #[derive(Clone, Debug, Default)]
 pub struct Query {
-    /// One message.
+    /// Only this message.
     pub message: Option<MessageId>,
-    /// One destination.
+    /// Only this destination.
     pub dest: Option<DestinationId>,
-    /// From so many microseconds after the recording's first moment, which is counted per process.
+    /// The start, in microseconds after the first recorded time of each process.
     pub from: Option<Micros>,
-    /// Until then.
+    /// The end, counted in the same way.
     pub to: Option<Micros>,
 }
 
-/// Held time of one guard.
+/// The time that one guard held messages.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct GuardTotal {
     /// The guard.
     pub guard: Guard,
-    /// How long it held messages, summed over them, in microseconds.
+    /// The held time in microseconds, summed over all messages.
     pub held: Micros,
-    /// How many it held.
+    /// The number of messages held.
     pub messages: usize,
 }
 
-/// What is said of one process.
+/// The explanation of one process.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Explanation {
-    /// The sender's name, and the start of its process in Unix microseconds.
+    /// The name of the sender.
     pub sender: String,
-    /// See `sender`.
+    /// The start of the process in Unix time, in microseconds.
     pub run: u64,
-    /// The first moment on the module's clock, and Unix time then, both in microseconds.
+    /// The first recorded time on the module's clock, in microseconds.
     pub begins: Micros,
-    /// See `begins`.
+    /// The Unix time at `begins`, in microseconds.
     pub unix: u64,
-    /// The last moment.
+    /// The last recorded time on the module's clock, in microseconds.
     pub ends: Micros,
-    /// Messages, by their first moment.
+    /// The timelines of the selected messages, ordered by their start.
     #[serde(rename = "courses")]
     pub timelines: Vec<MessageTimeline>,
-    /// Held time by guard, most first.
+    /// The held time by guard, longest first.
     pub totals: Vec<GuardTotal>,
-    /// Held time by destination, most first, in microseconds.
+    /// The held time by destination in microseconds, longest first.
     pub dests: Vec<(u64, Micros)>,
-    /// The course of the destination that was asked for.
+    /// The samples of the selected destination.
     pub points: Vec<RouteSample>,
-    /// The cuts of its window.
+    /// The window cuts of the selected destination.
     pub cuts: Vec<Cut>,
-    /// Held time that the module's own count gives, over all messages and without regard to the question.
+    /// The held time of all messages, selected or not, by the module's count of waiting messages.
     pub held_by_count: Micros,
-    /// The same by the spans. Both must be equal: then they have neither hole nor overlap.
+    /// The same by the spans. If both are equal, the spans have neither gaps nor overlaps.
     pub held_by_spans: Micros,
-    /// Steps of Unix time: when on the module's clock, and by how many microseconds.
+    /// Steps of the Unix clock: the time on the module's clock, and the size in microseconds.
     pub clock_steps: Vec<(Micros, i64)>,
-    /// Stretches that are missing in the recording, on the module's clock.
+    /// Periods that are missing in the recording, on the module's clock.
     pub gaps: Vec<(Micros, Micros)>,
 }
 
+/// An open message and its current span.
 struct Track {
-    course: MessageTimeline,
-    at: MessageState,
+    timeline: MessageTimeline,
+    state: MessageState,
     endpoint: Option<String>,
     from: Micros,
     began: String,
 }
 
-/// Explains while a recording is played.
+/// Builds the explanations while a recording is replayed.
 pub struct Explainer {
-    question: Query,
-    done: Vec<Explanation>,
-    now: Explanation,
+    query: Query,
+    finished: Vec<Explanation>,
+    current: Explanation,
     open: BTreeMap<MessageId, Track>,
     classes: Vec<String>,
     endpoints: BTreeMap<EndpointId, String>,
-    waiting: usize,
-    last: Micros,
+    waiting_count: usize,
+    last_turn_at: Micros,
     held: BTreeMap<Guard, (Micros, BTreeSet<MessageId>)>,
-    by_dest: BTreeMap<u64, Micros>,
+    held_by_dest: BTreeMap<u64, Micros>,
     routes: BTreeMap<Option<EndpointId>, RouteView>,
-    offset: i128,
-    began: bool,
+    unix_offset: i128,
+    has_begun: bool,
 }
 
 impl Explainer {
-    /// An explainer for one question.
-    pub fn new(question: Query) -> Self {
-        let (done, now, open, classes, endpoints, held, by_dest, routes) = Default::default();
-        let (waiting, last, offset, began) = (0, 0, 0, false);
+    /// Creates an explainer for one query.
+    pub fn new(query: Query) -> Self {
+        let (finished, current, open, classes, endpoints, held, held_by_dest, routes) = Default::default();
+        let (waiting_count, last_turn_at, unix_offset, has_begun) = (0, 0, 0, false);
         Self {
-            question,
-            done,
-            now,
+            query,
+            finished,
+            current,
             open,
             classes,
             endpoints,
-            waiting,
-            last,
+            waiting_count,
+            last_turn_at,
             held,
-            by_dest,
+            held_by_dest,
             routes,
-            offset,
-            began,
+            unix_offset,
+            has_begun,
         }
     }
 
-    /// What is to be said, by process.
+    /// Returns the explanations, one for each process.
     pub fn finish(mut self) -> Vec<Explanation> {
         self.close("the recording ends");
-        self.done
+        self.finished
     }
 
-    /// Ends what is being explained.
-    fn close(&mut self, why: &str) {
-        if !std::mem::take(&mut self.began) {
+    /// Finishes the current explanation.
+    fn close(&mut self, reason: &str) {
+        if !std::mem::take(&mut self.has_begun) {
             return;
         }
-        let last = self.last;
+        let last_turn_at = self.last_turn_at;
         for id in self.open.keys().copied().collect::<Vec<_>>() {
-            self.span(id, last, why);
-            if let Some(t) = self.open.remove(&id) {
-                self.keep(t.course);
+            self.end_span(id, last_turn_at, reason);
+            if let Some(track) = self.open.remove(&id) {
+                self.keep_if_selected(track.timeline);
             }
         }
-        let mut e = std::mem::take(&mut self.now);
-        e.ends = last;
+        let mut explanation = std::mem::take(&mut self.current);
+        explanation.ends = last_turn_at;
         let totals = std::mem::take(&mut self.held).into_iter();
-        e.totals =
+        explanation.totals =
             totals.map(|(guard, (held, ids))| GuardTotal { guard, held, messages: ids.len() }).collect();
-        e.totals.sort_by_key(|t| std::cmp::Reverse(t.held));
-        e.dests = std::mem::take(&mut self.by_dest).into_iter().collect();
-        e.dests.sort_by_key(|d| std::cmp::Reverse(d.1));
-        e.timelines.sort_by_key(|c| c.spans.first().map_or(0, |s| s.from));
+        explanation.totals.sort_by_key(|t| std::cmp::Reverse(t.held));
+        explanation.dests = std::mem::take(&mut self.held_by_dest).into_iter().collect();
+        explanation.dests.sort_by_key(|d| std::cmp::Reverse(d.1));
+        explanation.timelines.sort_by_key(|c| c.spans.first().map_or(0, |s| s.from));
         self.routes.clear();
-        self.done.push(e);
+        self.finished.push(explanation);
     }
 
-    fn class(&self, n: u32) -> String {
-        self.classes.get(n as usize).cloned().unwrap_or_else(|| format!("class {n}"))
+    fn class_name(&self, index: u32) -> String {
+        self.classes.get(index as usize).cloned().unwrap_or_else(|| format!("class {index}"))
     }
 
-    fn name(&self, id: EndpointId) -> String {
+    fn endpoint_name(&self, id: EndpointId) -> String {
         self.endpoints.get(&id).cloned().unwrap_or_else(|| format!("{:016x}", id.0))
     }
 
-    /// The stretch that was asked for, on the module's clock.
-    fn stretch(&self) -> (Micros, Micros) {
-        let from = self.question.from.map_or(0, |f| self.now.begins.saturating_add(f));
-        (from, self.question.to.map_or(Micros::MAX, |t| self.now.begins.saturating_add(t)))
+    /// Returns the selected period on the module's clock.
+    fn period(&self) -> (Micros, Micros) {
+        let from = self.query.from.map_or(0, |f| self.current.begins.saturating_add(f));
+        (from, self.query.to.map_or(Micros::MAX, |t| self.current.begins.saturating_add(t)))
     }
 
-    fn keep(&mut self, course: MessageTimeline) {
-        let (from, to) = self.stretch();
-        let asked = self.question.message.is_some() || self.question.dest.is_some() || from > 0;
-        let dest = self.question.dest.is_none_or(|d| d.0 == course.dest);
-        let id = self.question.message.is_none_or(|m| format!("{:016x}", m.0) == course.id);
-        if asked && dest && id && course.spans.iter().any(|s| s.from < to && s.to >= from) {
-            self.now.timelines.push(course);
+    /// Adds a finished timeline to the explanation if the query selects it.
+    fn keep_if_selected(&mut self, timeline: MessageTimeline) {
+        let (from, to) = self.period();
+        let has_selection = self.query.message.is_some() || self.query.dest.is_some() || from > 0;
+        let is_dest = self.query.dest.is_none_or(|d| d.0 == timeline.dest);
+        let is_message = self.query.message.is_none_or(|m| format!("{:016x}", m.0) == timeline.id);
+        if has_selection
+            && is_dest
+            && is_message
+            && timeline.spans.iter().any(|s| s.from < to && s.to >= from)
+        {
+            self.current.timelines.push(timeline);
         }
     }
 
-    /// Ends the present span of a message.
-    fn span(&mut self, id: MessageId, at: Micros, why: &str) {
-        let (from, to) = self.stretch();
-        let asked_for = |dest| self.question.dest.is_none_or(|d| d.0 == dest);
-        let Some(t) = self.open.get_mut(&id) else { return };
-        if at > t.from {
-            let (began, ended) = (std::mem::take(&mut t.began), why.to_owned());
-            let span = Span { from: t.from, to: at, at: t.at, endpoint: t.endpoint.take(), began, ended };
-            t.course.spans.push(span);
-            if let MessageState::Held(guard) = t.at {
-                self.now.held_by_spans += at - t.from;
-                let within = at.min(to).saturating_sub(t.from.max(from));
-                let id_asked = self.question.message.is_none_or(|m| m == id);
-                if within > 0 && id_asked && asked_for(t.course.dest) {
+    /// Ends the current span of a message and begins the next.
+    fn end_span(&mut self, id: MessageId, at: Micros, reason: &str) {
+        let (from, to) = self.period();
+        let is_selected_dest = |dest| self.query.dest.is_none_or(|d| d.0 == dest);
+        let Some(track) = self.open.get_mut(&id) else { return };
+        if at > track.from {
+            let (began, ended) = (std::mem::take(&mut track.began), reason.to_owned());
+            let span = Span {
+                from: track.from,
+                to: at,
+                state: track.state,
+                endpoint: track.endpoint.take(),
+                began,
+                ended,
+            };
+            track.timeline.spans.push(span);
+            if let MessageState::Held(guard) = track.state {
+                self.current.held_by_spans += at - track.from;
+                let selected_time = at.min(to).saturating_sub(track.from.max(from));
+                let is_selected_id = self.query.message.is_none_or(|m| m == id);
+                if selected_time > 0 && is_selected_id && is_selected_dest(track.timeline.dest) {
                     let total = self.held.entry(guard).or_default();
-                    total.0 += within;
+                    total.0 += selected_time;
                     total.1.insert(id);
-                    *self.by_dest.entry(t.course.dest).or_default() += within;
+                    *self.held_by_dest.entry(track.timeline.dest).or_default() += selected_time;
                 }
             }
         }
-        (t.from, t.began) = (at, why.to_owned());
+        (track.from, track.began) = (at, reason.to_owned());
     }
 
+    /// Starts the timeline of a message.
     fn track(&mut self, id: MessageId, class: u32, dest: u64, at: Micros, began: &str, from_before: bool) {
-        let course = MessageTimeline {
+        let timeline = MessageTimeline {
             id: format!("{:016x}", id.0),
-            class: self.class(class),
+            class: self.class_name(class),
             dest,
             from_before,
             spans: Vec::new(),
             end: None,
         };
-        let (at_, endpoint, began) = (MessageState::Held(Guard::Order), None, began.to_owned());
-        self.open.insert(id, Track { course, at: at_, endpoint, from: at, began });
+        let (state, endpoint, began) = (MessageState::Held(Guard::Order), None, began.to_owned());
+        self.open.insert(id, Track { timeline, state, endpoint, from: at, began });
     }
 
+    /// Ends the timeline of a message.
     fn end(&mut self, id: MessageId, at: Micros, how: &str) {
-        self.span(id, at, how);
-        if let Some(mut t) = self.open.remove(&id) {
-            t.course.end = Some(how.to_owned());
-            self.keep(t.course);
+        self.end_span(id, at, how);
+        if let Some(mut track) = self.open.remove(&id) {
+            track.timeline.end = Some(how.to_owned());
+            self.keep_if_selected(track.timeline);
         }
     }
 
-    /// What ended one span of a message and began the next.
-    fn why(&self, turn: &Turn, id: MessageId, dest: u64, now: MessageState) -> String {
-        let own = turn.events.iter().rev().find(|e| message_of(e) == Some(id));
-        if now == MessageState::Out {
+    /// Describes what ended one span of a message and began the next, which has this state.
+    fn describe_change(&self, turn: &Turn, id: MessageId, dest: u64, state: MessageState) -> String {
+        let own_event = turn.events.iter().rev().find(|e| message_of(e) == Some(id));
+        if state == MessageState::InFlight {
             let sent = turn.actions.iter().find_map(|a| match a {
                 Action::Send { id: i, endpoint, .. } if *i == id => Some(*endpoint),
                 _ => None,
             });
-            return sent.map_or("sent".into(), |e| format!("sent to {}", self.name(e)));
+            return sent.map_or("sent".into(), |e| format!("sent to {}", self.endpoint_name(e)));
         }
-        if let Some(e) = own {
-            return say(e);
+        if let Some(e) = own_event {
+            return describe_event(e);
         }
-        let dest_of = |e: &Event| {
+        let is_of_dest = |e: &Event| {
             let other = message_of(e).and_then(|m| self.open.get(&m));
-            other.is_some_and(|t| t.course.dest == dest) || names(e, DestinationId(dest))
+            other.is_some_and(|t| t.timeline.dest == dest) || refers_to(e, DestinationId(dest))
         };
-        if let Some(e) = turn.events.iter().find(|e| dest_of(e)) {
-            return format!("{} (of its destination)", say(e));
+        if let Some(e) = turn.events.iter().find(|e| is_of_dest(e)) {
+            return format!("{} (same destination)", describe_event(e));
         }
-        let ended = |e: &&Event| matches!(e, Event::Ended { .. });
-        match turn.events.iter().find(ended) {
-            Some(e) => format!("{} (elsewhere)", say(e)),
-            None => "by the clock".into(),
+        let is_end = |e: &&Event| matches!(e, Event::Ended { .. });
+        match turn.events.iter().find(is_end) {
+            Some(e) => format!("{} (another destination)", describe_event(e)),
+            None => "the clock advanced".into(),
         }
     }
 
-    /// Brings all open messages to what the module says of them after a turn.
-    fn settle(&mut self, turn: &Turn, sender: &Sender) {
+    /// Updates the spans of all open messages to their states after a turn.
+    fn update_spans(&mut self, turn: &Turn, sender: &Sender) {
         let at = turn.at;
         let holds: BTreeMap<MessageId, Guard> =
             sender.holds().into_iter().map(|(id, _, h)| (id, h.guard)).collect();
@@ -339,130 +358,153 @@
             .open
             .iter()
             .map(|(&id, t)| {
-                (id, holds.get(&id).map_or(MessageState::Out, |g| MessageState::Held(*g)), t.course.dest)
+                (
+                    id,
+                    holds.get(&id).map_or(MessageState::InFlight, |g| MessageState::Held(*g)),
+                    t.timeline.dest,
+                )
             })
-            .filter(|(id, now, _)| self.open.get(id).is_some_and(|t| t.at != *now || t.from == at))
+            .filter(|(id, state, _)| self.open.get(id).is_some_and(|t| t.state != *state || t.from == at))
             .collect();
-        for (id, now, dest) in changed {
-            let why = self.why(turn, id, dest, now);
-            let fresh = self.open.get(&id).is_some_and(|t| t.from == at && t.course.spans.is_empty());
-            if !fresh {
-                self.span(id, at, &why);
+        for (id, state, dest) in changed {
+            let reason = self.describe_change(turn, id, dest, state);
+            let is_new = self.open.get(&id).is_some_and(|t| t.from == at && t.timeline.spans.is_empty());
+            if !is_new {
+                self.end_span(id, at, &reason);
             }
-            let sent = turn.actions.iter().find_map(|a| match a {
-                Action::Send { id: i, endpoint, .. } if *i == id => Some(self.name(*endpoint)),
+            let sent_to = turn.actions.iter().find_map(|a| match a {
+                Action::Send { id: i, endpoint, .. } if *i == id => Some(self.endpoint_name(*endpoint)),
                 _ => None,
             });
             if let Some(t) = self.open.get_mut(&id) {
-                t.at = now;
-                t.endpoint = sent
-                    .filter(|_| now == MessageState::Out)
-                    .or(t.endpoint.take().filter(|_| now == MessageState::Out));
+                t.state = state;
+                t.endpoint = sent_to
+                    .filter(|_| state == MessageState::InFlight)
+                    .or(t.endpoint.take().filter(|_| state == MessageState::InFlight));
             }
         }
-        self.waiting = sender.waiting_count();
-        self.watch_dest(at, &holds, sender);
+        self.waiting_count = sender.waiting_count();
+        self.sample_routes(at, &holds, sender);
     }
 
-    fn watch_dest(&mut self, at: Micros, holds: &BTreeMap<MessageId, Guard>, sender: &Sender) {
-        let Some(dest) = self.question.dest else { return };
-        let held = holds.keys().filter(|id| self.open.get(id).is_some_and(|t| t.course.dest == dest.0));
+    /// Records the routes of the selected destination if they changed.
+    fn sample_routes(&mut self, at: Micros, holds: &BTreeMap<MessageId, Guard>, sender: &Sender) {
+        let Some(dest) = self.query.dest else { return };
+        let held = holds.keys().filter(|id| self.open.get(id).is_some_and(|t| t.timeline.dest == dest.0));
         let held = held.count();
-        let (from, to) = self.stretch();
-        for v in sender.route_views(Some(dest)) {
-            let route = v.endpoint.map(|e| self.name(e));
-            let old = self.routes.insert(v.endpoint, v.clone());
+        let (from, to) = self.period();
+        for view in sender.route_views(Some(dest)) {
+            let route = view.endpoint.map(|e| self.endpoint_name(e));
+            let old = self.routes.insert(view.endpoint, view.clone());
             if at < from || at > to {
                 continue;
             }
-            if let Some((when, outcome)) =
-                v.last_cut.filter(|c| old.as_ref().is_none_or(|o| o.last_cut != Some(*c)))
+            if let Some((cut_at, outcome)) =
+                view.last_cut.filter(|c| old.as_ref().is_none_or(|o| o.last_cut != Some(*c)))
             {
                 let cause = describe_outcome(outcome);
-                let before = old.as_ref().map_or(v.window, |o| o.window);
-                self.now.cuts.push(Cut { at: when, route: route.clone(), from: before, to: v.window, cause });
+                let before = old.as_ref().map_or(view.window, |o| o.window);
+                self.current.cuts.push(Cut {
+                    at: cut_at,
+                    route: route.clone(),
+                    from: before,
+                    to: view.window,
+                    cause,
+                });
             }
-            let hold = v.hold.map(|h| h.guard);
-            let (window, out, lost, admits) = (v.window, v.in_flight, v.lost, v.admitted_rate);
-            let point = RouteSample { at, route, window, out, lost, held, admits, hold };
-            let same = |p: &&RouteSample| {
-                let known = (p.window, p.out, p.lost, p.held, p.admits, p.hold);
-                known == (point.window, point.out, point.lost, point.held, point.admits, point.hold)
+            let hold = view.hold.map(|h| h.guard);
+            let (window, in_flight, lost, admitted_rate) =
+                (view.window, view.in_flight, view.lost, view.admitted_rate);
+            let sample = RouteSample { at, route, window, in_flight, lost, held, admitted_rate, hold };
+            let is_unchanged = |p: &&RouteSample| {
+                let values = (p.window, p.in_flight, p.lost, p.held, p.admitted_rate, p.hold);
+                values
+                    == (
+                        sample.window,
+                        sample.in_flight,
+                        sample.lost,
+                        sample.held,
+                        sample.admitted_rate,
+                        sample.hold,
+                    )
             };
-            let last = self.now.points.iter().rev().find(|p| p.route == point.route);
-            if last.filter(same).is_none() {
-                self.now.points.push(point);
+            let last = self.current.points.iter().rev().find(|p| p.route == sample.route);
+            if last.filter(is_unchanged).is_none() {
+                self.current.points.push(sample);
             }
         }
     }
 }
 
-/// An outcome in words.
+/// Describes the outcome of a call.
 pub fn describe_outcome(outcome: Outcome) -> String {
     match outcome {
         Outcome::Served => "served".into(),
         Outcome::Failed => "answered with an error".into(),
-        Outcome::Full { wait: Some(w) } => format!("refused as full, told to wait {:.3} s", w as f64 / 1e6),
-        Outcome::Full { wait: None } => "refused as full, no wait told".into(),
+        Outcome::Full { wait: Some(w) } => {
+            format!("refused as full, with a wait time of {:.3} s", w as f64 / 1e6)
+        }
+        Outcome::Full { wait: None } => "refused as full, without a wait time".into(),
         Outcome::TimedOut => "timed out".into(),
         Outcome::ConnectFailed => "no connection, or it broke before the request was written".into(),
         Outcome::Reset => "the connection broke, it may have run".into(),
-        Outcome::Spoilt => "an answer that cannot be read".into(),
-        Outcome::Cancelled => "called off, it may have run".into(),
+        Outcome::Spoilt => "the response cannot be read".into(),
+        Outcome::Cancelled => "cancelled, it may have run".into(),
         Outcome::Moot => "not sent".into(),
-        Outcome::NotSent => "not sent: no connection or record could be made here".into(),
+        Outcome::NotSent => "not sent: this process could not create the connection or the record".into(),
     }
 }
 
-fn say(event: &Event) -> String {
+fn describe_event(event: &Event) -> String {
     match event {
-        Event::Taken(m) => format!("{:016x} was taken", m.id.0),
+        Event::Taken(m) => format!("{:016x} was accepted", m.id.0),
         Event::Resumed { message, .. } => format!("{:016x} was taken up after a restart", message.id.0),
         Event::Ended { id, attempt, outcome, .. } => {
             format!("attempt {attempt} of {:016x}: {}", id.0, describe_outcome(*outcome))
         }
         Event::Withdrawn(id) => format!("{:016x} was withdrawn", id.0),
-        Event::Wake => "by the clock".into(),
+        Event::Wake => "the clock advanced".into(),
         Event::List(_) => "the list of endpoints changed".into(),
         Event::Note { from, .. } => format!("a note from sender {from}"),
-        Event::Unused(_) => "a connection stands idle".into(),
-        Event::Closed(_) => "an idle connection ended".into(),
+        Event::Unused(_) => "a connection became idle".into(),
+        Event::Closed(_) => "an idle connection was closed".into(),
         Event::Probed { .. } => "a probe ended".into(),
-        Event::Settings(_) => "other settings came into force".into(),
-        Event::Service { out_of_service: true, .. } => "operators took an endpoint out".into(),
-        Event::Service { .. } => "operators put an endpoint back".into(),
-        Event::Zone { zone, probe: true, .. } => format!("zone {zone} is tried, by the fleet's turn"),
+        Event::Settings(_) => "new settings became active".into(),
+        Event::Service { out_of_service: true, .. } => "operators took an endpoint out of service".into(),
+        Event::Service { .. } => "operators returned an endpoint to service".into(),
+        Event::Zone { zone, probe: true, .. } => format!("zone {zone} is probed: it is this sender's turn"),
         Event::Zone { zone, share, .. } => {
-            format!("zone {zone} is sent {:.0} % of its share, as the fleet found", 100.0 * share)
+            format!("zone {zone} receives {:.0} % of its share, as the fleet decided", 100.0 * share)
         }
     }
 }
 
 impl ReplayObserver for Explainer {
-    fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
+    fn on_segment(&mut self, header: &Header, sender: &Sender, is_continued: bool) {
         self.classes.clone_from(&header.classes);
         self.endpoints.extend(header.endpoints.iter().cloned());
-        if goes_on {
+        if is_continued {
             return;
         }
-        if self.began && self.now.run == header.run {
-            // A part is missing: what was open before it cannot be followed across.
+        if self.has_begun && self.current.run == header.run {
+            // A part is missing, so messages that were open before it cannot be tracked further.
             self.close("the recording has a gap");
         } else {
             self.close("the process ended");
         }
-        self.began = true;
-        self.offset = i128::from(header.unix) - i128::from(header.at);
-        (self.last, self.waiting) = (header.at, sender.waiting_count());
+        self.has_begun = true;
+        self.unix_offset = i128::from(header.unix) - i128::from(header.at);
+        (self.last_turn_at, self.waiting_count) = (header.at, sender.waiting_count());
         let (run, begins, unix) = (header.run, header.at, header.unix);
-        self.now = Explanation { sender: header.sender.clone(), run, begins, unix, ..Explanation::default() };
+        self.current =
+            Explanation { sender: header.sender.clone(), run, begins, unix, ..Explanation::default() };
         let holds: BTreeMap<MessageId, Guard> =
             sender.holds().into_iter().map(|(id, _, h)| (id, h.guard)).collect();
-        for (id, class, dest, out) in sender.open_messages() {
+        for (id, class, dest, in_flight) in sender.open_messages() {
             self.track(id, class, dest.0, header.at, "held before the recording begins", true);
             if let Some(t) = self.open.get_mut(&id) {
-                t.at = if out {
-                    MessageState::Out
+                t.state = if in_flight {
+                    MessageState::InFlight
                 } else {
                     MessageState::Held(holds.get(&id).copied().unwrap_or(Guard::Order))
                 };
@@ -471,15 +513,20 @@
     }
 
     fn on_turn(&mut self, turn: &Turn, sender: &Sender) {
-        self.now.held_by_count += self.waiting as Micros * turn.at.saturating_sub(self.last);
-        self.last = turn.at;
+        self.current.held_by_count +=
+            self.waiting_count as Micros * turn.at.saturating_sub(self.last_turn_at);
+        self.last_turn_at = turn.at;
         for e in &turn.events {
             match e {
                 Event::Taken(m) | Event::Resumed { message: m, .. } if !self.open.contains_key(&m.id) => {
-                    self.track(m.id, m.class, m.dest.0, turn.at, &say(e), false);
+                    self.track(m.id, m.class, m.dest.0, turn.at, &describe_event(e), false);
                 }
                 Event::Ended { id, outcome, is_final, .. } if *is_final || *outcome == Outcome::Served => {
-                    let how = if *outcome == Outcome::Served { "delivered" } else { "over: nobody wants it" };
+                    let how = if *outcome == Outcome::Served {
+                        "delivered"
+                    } else {
+                        "ended: no result is needed any more"
+                    };
                     self.end(*id, turn.at, how);
                 }
                 Event::Withdrawn(id) => self.end(*id, turn.at, "withdrawn"),
@@ -493,15 +540,15 @@
                 _ => {}
             }
         }
-        self.settle(turn, sender);
+        self.update_spans(turn, sender);
     }
 
     fn on_other_record(&mut self, record: &Record) {
         match record {
             Record::Clock { at, unix } => {
-                let offset = i128::from(*unix) - i128::from(*at);
-                self.now.clock_steps.push((*at, (offset - self.offset) as i64));
-                self.offset = offset;
+                let unix_offset = i128::from(*unix) - i128::from(*at);
+                self.current.clock_steps.push((*at, (unix_offset - self.unix_offset) as i64));
+                self.unix_offset = unix_offset;
             }
             Record::Name(id, name) => {
                 self.endpoints.insert(*id, name.clone());
--- a/crates/recorder/src/fleet.rs
+++ b/crates/recorder/src/fleet.rs
@@ -1,7 +1,8 @@
-//! What all senders of a fleet did together: by second and destination, summed over their recordings.
+//! Counts what all senders of a fleet did, by second and destination, summed over their recordings.
 //!
-//! A sender that behaves well alone can do harm in step with others, and no recording of one shows it. The
-//! counts are of what was recorded, not played again, so recordings of any build with this form can be read.
+//! Senders that behave well on their own can do harm together if they act at the same time, and no recording
+//! of a single sender shows this. The counts are taken from the recorded events and actions without a replay,
+//! so recordings of any build with this format can be read.
 
 use crate::format::{Damage, Record, Recording, SegmentStart, Turn};
 use notchpoint_policy::{
@@ -11,77 +12,76 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write as _;
 
-/// Cells (second and destination) that are counted at most: a day of a hundred destinations would fill
-/// them. What comes for further ones is said to be left out, not guessed.
-const CELLS: usize = 1 << 20;
+/// The maximum number of cells (second and destination); a day of a hundred destinations would fill them.
+/// Counts for further cells are dropped and reported as left out.
+const MAX_CELLS: usize = 1 << 20;
 
-/// What was counted in a second of a destination, over all senders.
+/// The counts of one second and destination, over all senders.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct DestinationCounts {
-    /// Messages taken on.
+    /// Messages accepted.
     pub taken: u64,
-    /// Calls started; of a bundle it is one.
+    /// Calls started. A bundle is one call.
     pub calls: u64,
-    /// Messages in them.
+    /// Messages in the started calls.
     pub messages: u64,
-    /// Calls by how they ended: served, refused as full, timed out, not connected, reset, else.
+    /// Calls that ended as served.
     pub served: u64,
-    /// See `served`.
+    /// Calls that were refused as full.
     pub full: u64,
-    /// See `served`.
+    /// Calls that timed out.
     pub timed_out: u64,
-    /// See `served`.
+    /// Calls that failed to connect.
     pub unconnected: u64,
-    /// See `served`.
+    /// Calls that ended with a reset.
     pub reset: u64,
-    /// See `served`.
+    /// Calls that ended in any other way.
     pub other: u64,
-    /// Messages refused or given up.
+    /// Messages that were refused or failed.
     pub ended: u64,
-    /// Connections closed by decision, and idle ones that ended.
+    /// Idle connections that the decision module closed.
     pub closed: u64,
-    /// See `closed`.
+    /// Idle connections that ended on their own.
     pub idle_ended: u64,
-    /// Senders that started calls here.
+    /// Senders that started calls to the destination.
     pub senders: BTreeSet<u32>,
 }
 
-/// What was counted in a second that belongs to no destination.
+/// The counts of one second that belong to no destination.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct SharedCounts {
-    /// Watches or fetches of the list begun, and those that failed or broke.
+    /// Watches and fetches of the endpoint list that were started.
     #[serde(rename = "asked")]
     pub list_requests: u64,
-    /// See `asked`.
+    /// Watches and fetches that failed or were interrupted.
     pub unavailable: u64,
-    /// Lists that came: whole ones, and changes.
+    /// Complete lists received.
     pub whole: u64,
-    /// See `whole`.
+    /// Changes of the list received.
     pub changes: u64,
-    /// Entries in them.
+    /// Entries in the lists and changes.
     pub entries: u64,
-    /// Notes written, to one or all, and their bytes; and notes that arrived.
+    /// Notes sent, to one sender or to all.
     pub notes: u64,
-    /// See `notes`.
+    /// Bytes of the notes sent.
     pub note_bytes: u64,
-    /// See `notes`.
+    /// Notes received.
     #[serde(rename = "heard")]
     pub notes_received: u64,
 }
 
-/// What senders were told of a zone in a second: how many took it to nothing, to a part of its share, to the
-/// whole, and how many turns to try there were.
+/// The changes of a zone's share in one second, over all senders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct ZoneCounts {
-    /// Nothing is sent there from now on.
+    /// Changes to a share of nothing.
     #[serde(rename = "left")]
     pub evacuated: u64,
-    /// A part of its share is.
+    /// Changes to a part of the share.
     #[serde(rename = "part")]
     pub partial: u64,
-    /// All of it is.
+    /// Changes to the whole share.
     pub whole: u64,
-    /// Turns to try.
+    /// Probes of the zone.
     #[serde(rename = "tries")]
     pub probes: u64,
 }
@@ -91,32 +91,37 @@
 pub struct FleetCounts {
     zones: BTreeMap<(u64, u32), ZoneCounts>,
     cells: BTreeMap<(u64, DestinationId), DestinationCounts>,
-    common: BTreeMap<u64, SharedCounts>,
+    shared: BTreeMap<u64, SharedCounts>,
     senders: u32,
     left_out: u64,
 }
 
-/// A process as far as it was read.
+/// The state of a process while its recording is read.
 #[derive(Default)]
 struct Process {
     sender: u32,
-    /// Unix time less the module's clock.
-    offset: i128,
+    /// Unix time minus the module's clock in microseconds.
+    unix_offset: i128,
+    /// Whether each kind bundles messages, by index.
     bundles: Vec<bool>,
     endpoints: BTreeMap<EndpointId, (DestinationId, u32)>,
     messages: BTreeMap<MessageId, DestinationId>,
-    /// Calls that are out, by message and attempt: none but the first message of a bundle tells of it.
+    /// Calls in flight, by message and attempt: the destination, and whether the message is the first of its
+    /// call. Only the first message of a bundle counts the end of the call.
     calls: BTreeMap<(MessageId, u32), (DestinationId, bool)>,
     attempts: BTreeMap<MessageId, u32>,
 }
 
 impl Process {
-    fn list(&mut self, news: &ListUpdate) -> usize {
-        let (ListUpdate::Whole(all) | ListUpdate::Changes(all) | ListUpdate::Restored(all)) = news else {
+    /// Updates the endpoints. Returns the number of entries.
+    fn update_endpoints(&mut self, update: &ListUpdate) -> usize {
+        let (ListUpdate::Whole(entries) | ListUpdate::Changes(entries) | ListUpdate::Restored(entries)) =
+            update
+        else {
             return 0;
         };
-        self.endpoints.extend(all.iter().map(|e| (e.endpoint, (e.dest, e.kind))));
-        all.len()
+        self.endpoints.extend(entries.iter().map(|e| (e.endpoint, (e.dest, e.kind))));
+        entries.len()
     }
 
     fn forget(&mut self, id: MessageId) {
@@ -126,8 +131,8 @@
 }
 
 impl FleetCounts {
-    /// Counts one sender's recording; gives what is wrong with it. What is whole before and behind a damaged
-    /// place counts.
+    /// Counts the recording of one sender and returns its damage. Records before and after a damaged part are
+    /// counted.
     pub fn add_recording(&mut self, bytes: &[u8]) -> Vec<Damage> {
         let recording = Recording::read(bytes);
         let mut damage = recording.damage.clone();
@@ -136,21 +141,21 @@
         }
         self.senders += 1;
         let mut run = None;
-        let mut p = Process::default();
+        let mut process = Process::default();
         for segment in &recording.segments {
-            let h = &segment.header;
-            if run.replace(h.run) != Some(h.run) {
-                p = Process { sender: self.senders, ..Process::default() };
+            let header = &segment.header;
+            if run.replace(header.run) != Some(header.run) {
+                process = Process { sender: self.senders, ..Process::default() };
             }
-            p.offset = i128::from(h.unix) - i128::from(h.at);
-            if let SegmentStart::Fresh { settings, .. } = &h.start {
-                p.bundles = bundles(settings);
+            process.unix_offset = i128::from(header.unix) - i128::from(header.at);
+            if let SegmentStart::Fresh { settings, .. } = &header.start {
+                process.bundles = bundles_by_kind(settings);
             }
             let mut records = segment.records();
             for record in &mut records {
                 match record {
-                    Record::Turn(turn) => self.turn(&mut p, &turn),
-                    Record::Clock { at, unix } => p.offset = i128::from(unix) - i128::from(at),
+                    Record::Turn(turn) => self.count_turn(&mut process, &turn),
+                    Record::Clock { at, unix } => process.unix_offset = i128::from(unix) - i128::from(at),
                     Record::Header(_) | Record::Name(..) => {}
                 }
             }
@@ -159,28 +164,28 @@
         damage
     }
 
-    fn turn(&mut self, p: &mut Process, turn: &Turn) {
-        let second = second(p.offset, turn.at);
+    fn count_turn(&mut self, process: &mut Process, turn: &Turn) {
+        let second = unix_second(process.unix_offset, turn.at);
         for e in &turn.events {
-            self.event(p, second, e);
+            self.count_event(process, second, e);
         }
         let mut bundled = BTreeSet::new();
         for a in &turn.actions {
-            self.action(p, second, a, &mut bundled);
+            self.count_action(process, second, a, &mut bundled);
         }
     }
 
-    fn event(&mut self, p: &mut Process, second: u64, event: &Event) {
+    fn count_event(&mut self, process: &mut Process, second: u64, event: &Event) {
         match event {
             Event::Taken(m) | Event::Resumed { message: m, .. } => {
-                p.messages.insert(m.id, m.dest);
-                let before = if let Event::Resumed { attempts, .. } = event { *attempts } else { 0 };
-                p.attempts.insert(m.id, before);
-                self.cell(second, m.dest, |c| c.taken += 1);
+                process.messages.insert(m.id, m.dest);
+                let attempts = if let Event::Resumed { attempts, .. } = event { *attempts } else { 0 };
+                process.attempts.insert(m.id, attempts);
+                self.count_cell(second, m.dest, |c| c.taken += 1);
             }
             Event::Ended { id, attempt, outcome, is_final, .. } => {
-                if let Some((dest, true)) = p.calls.remove(&(*id, *attempt)) {
-                    self.cell(second, dest, |c| match outcome {
+                if let Some((dest, true)) = process.calls.remove(&(*id, *attempt)) {
+                    self.count_cell(second, dest, |c| match outcome {
                         Outcome::Served => c.served += 1,
                         Outcome::Full { .. } => c.full += 1,
                         Outcome::TimedOut => c.timed_out += 1,
@@ -190,123 +195,129 @@
                     });
                 }
                 if *is_final || *outcome == Outcome::Served {
-                    p.forget(*id);
+                    process.forget(*id);
                 }
             }
-            Event::Withdrawn(id) => p.forget(*id),
+            Event::Withdrawn(id) => process.forget(*id),
             Event::Closed(endpoint) => {
-                if let Some((dest, _)) = p.endpoints.get(endpoint).copied() {
-                    self.cell(second, dest, |c| c.idle_ended += 1);
+                if let Some((dest, _)) = process.endpoints.get(endpoint).copied() {
+                    self.count_cell(second, dest, |c| c.idle_ended += 1);
                 }
             }
-            Event::List(news) => {
-                let entries = p.list(news) as u64;
-                let c = self.common.entry(second).or_default();
-                match news {
-                    ListUpdate::Unavailable => c.unavailable += 1,
-                    ListUpdate::Whole(_) => c.whole += 1,
-                    ListUpdate::Changes(_) => c.changes += 1,
+            Event::List(update) => {
+                let entries = process.update_endpoints(update) as u64;
+                let counts = self.shared.entry(second).or_default();
+                match update {
+                    ListUpdate::Unavailable => counts.unavailable += 1,
+                    ListUpdate::Whole(_) => counts.whole += 1,
+                    ListUpdate::Changes(_) => counts.changes += 1,
                     ListUpdate::Restored(_) => return,
                 }
-                c.entries += entries;
+                counts.entries += entries;
             }
-            Event::Note { .. } => self.common.entry(second).or_default().notes_received += 1,
+            Event::Note { .. } => self.shared.entry(second).or_default().notes_received += 1,
             Event::Wake | Event::Unused(_) | Event::Probed { .. } => {}
             Event::Service { .. } | Event::Settings(_) => {}
-            Event::Zone { zone, share, probe, .. } => self.zone(second, *zone, *share, *probe),
+            Event::Zone { zone, share, probe, .. } => self.count_zone(second, *zone, *share, *probe),
         }
     }
 
-    fn zone(&mut self, second: u64, zone: u32, share: f64, tries: bool) {
+    fn count_zone(&mut self, second: u64, zone: u32, share: f64, is_probe: bool) {
         let key = (second, zone);
-        if self.zones.len() >= CELLS && !self.zones.contains_key(&key) {
+        if self.zones.len() >= MAX_CELLS && !self.zones.contains_key(&key) {
             self.left_out += 1;
             return;
         }
-        let z = self.zones.entry(key).or_default();
+        let counts = self.zones.entry(key).or_default();
         let count = match share {
-            _ if tries => &mut z.probes,
-            s if s <= 0.0 => &mut z.evacuated,
-            s if s < 1.0 => &mut z.partial,
-            _ => &mut z.whole,
+            _ if is_probe => &mut counts.probes,
+            s if s <= 0.0 => &mut counts.evacuated,
+            s if s < 1.0 => &mut counts.partial,
+            _ => &mut counts.whole,
         };
         *count += 1;
     }
 
-    fn action(&mut self, p: &mut Process, second: u64, action: &Action, bundled: &mut BTreeSet<EndpointId>) {
+    fn count_action(
+        &mut self,
+        process: &mut Process,
+        second: u64,
+        action: &Action,
+        bundled: &mut BTreeSet<EndpointId>,
+    ) {
         match action {
             Action::Send { id, endpoint, .. } => {
-                let Some((dest, kind)) = p.endpoints.get(endpoint).copied() else { return };
-                // Sends of one turn to one endpoint are one call where the kind bundles.
-                let bundles = p.bundles.get(kind as usize).copied().unwrap_or(false);
-                let first = bundled.insert(*endpoint) || !bundles;
-                let n = p.attempts.entry(*id).or_default();
-                p.calls.insert((*id, *n), (dest, first));
-                *n += 1;
-                let sender = p.sender;
-                self.cell(second, dest, |c| {
-                    c.calls += u64::from(first);
+                let Some((dest, kind)) = process.endpoints.get(endpoint).copied() else { return };
+                // The messages sent to one endpoint in one turn are one call if its kind bundles messages.
+                let bundles = process.bundles.get(kind as usize).copied().unwrap_or(false);
+                let is_first = bundled.insert(*endpoint) || !bundles;
+                let attempt = process.attempts.entry(*id).or_default();
+                process.calls.insert((*id, *attempt), (dest, is_first));
+                *attempt += 1;
+                let sender = process.sender;
+                self.count_cell(second, dest, |c| {
+                    c.calls += u64::from(is_first);
                     c.messages += 1;
                     c.senders.insert(sender);
                 });
             }
             Action::Refuse { id, .. } | Action::Fail { id } => {
-                if let Some(dest) = p.messages.get(id).copied() {
-                    self.cell(second, dest, |c| c.ended += 1);
+                if let Some(dest) = process.messages.get(id).copied() {
+                    self.count_cell(second, dest, |c| c.ended += 1);
                 }
-                p.forget(*id);
+                process.forget(*id);
             }
             Action::CloseIdle { endpoint } => {
-                if let Some((dest, _)) = p.endpoints.get(endpoint).copied() {
-                    self.cell(second, dest, |c| c.closed += 1);
+                if let Some((dest, _)) = process.endpoints.get(endpoint).copied() {
+                    self.count_cell(second, dest, |c| c.closed += 1);
                 }
             }
-            Action::Watch | Action::Fetch => self.common.entry(second).or_default().list_requests += 1,
+            Action::Watch | Action::Fetch => self.shared.entry(second).or_default().list_requests += 1,
             Action::Note { body, .. } => {
-                let c = self.common.entry(second).or_default();
-                (c.notes, c.note_bytes) = (c.notes + 1, c.note_bytes + body.len() as u64);
+                let counts = self.shared.entry(second).or_default();
+                (counts.notes, counts.note_bytes) = (counts.notes + 1, counts.note_bytes + body.len() as u64);
             }
             Action::Cancel { .. } | Action::WakeAt(_) | Action::Probe { .. } | Action::Log(_) => {}
         }
     }
 
-    fn cell(&mut self, second: u64, dest: DestinationId, count: impl FnOnce(&mut DestinationCounts)) {
+    fn count_cell(&mut self, second: u64, dest: DestinationId, count: impl FnOnce(&mut DestinationCounts)) {
         let key = (second, dest);
-        if self.cells.len() >= CELLS && !self.cells.contains_key(&key) {
+        if self.cells.len() >= MAX_CELLS && !self.cells.contains_key(&key) {
             self.left_out += 1;
             return;
         }
         count(self.cells.entry(key).or_default());
     }
 
-    /// Senders that were read.
+    /// Returns the number of senders whose recordings were read.
     pub fn senders(&self) -> u32 {
         self.senders
     }
 
-    /// Counts that found no room.
+    /// Returns the number of counts that were left out because there were too many cells.
     pub fn left_out(&self) -> u64 {
         self.left_out
     }
 
-    /// The cells, by Unix second and destination.
+    /// Returns the counts by Unix second and destination.
     pub fn by_destination(&self) -> impl Iterator<Item = (u64, DestinationId, &DestinationCounts)> {
         self.cells.iter().map(|((s, d), c)| (*s, *d, c))
     }
 
-    /// What belongs to no destination, by Unix second.
+    /// Returns the counts that belong to no destination, by Unix second.
     pub fn shared(&self) -> impl Iterator<Item = (u64, &SharedCounts)> {
-        self.common.iter().map(|(s, c)| (*s, c))
+        self.shared.iter().map(|(s, c)| (*s, c))
     }
 
-    /// What senders were told of zones, by Unix second and the zone's place in the configuration.
+    /// Returns the counts of zones by Unix second and the zone's index in the configuration.
     pub fn by_zone(&self) -> impl Iterator<Item = (u64, u32, &ZoneCounts)> {
         self.zones.iter().map(|((s, z), c)| (*s, *z, c))
     }
 
-    /// The tables for people; seconds count from the first one. Of one destination, or of all.
+    /// Formats the counts of one destination, or of all, as tables. Seconds are counted from the first one.
     pub fn text(&self, dest: Option<DestinationId>) -> String {
-        let seconds = self.cells.keys().map(|k| k.0).chain(self.common.keys().copied());
+        let seconds = self.cells.keys().map(|k| k.0).chain(self.shared.keys().copied());
         let first = seconds.chain(self.zones.keys().map(|k| k.0)).min().unwrap_or(0);
         let mut out = format!("{} senders, from Unix second {first} on\n", self.senders);
         let _ = writeln!(
@@ -354,7 +365,7 @@
             "{:>4} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6} {:>6}",
             "s", "asked", "failed", "whole", "changes", "entries", "notes", "bytes", "heard"
         );
-        for (s, c) in &self.common {
+        for (s, c) in &self.shared {
             let _ = writeln!(
                 out,
                 "{:>4} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6} {:>6}",
@@ -388,16 +399,20 @@
             );
         }
         if self.left_out > 0 {
-            let _ = writeln!(out, "{} counts found no room and are left out", self.left_out);
+            let _ = writeln!(
+                out,
+                "{} counts are left out: there are too many seconds and destinations",
+                self.left_out
+            );
         }
         out
     }
 }
 
-fn bundles(set: &Settings) -> Vec<bool> {
-    set.kinds.iter().map(|k| k.max_bundle > 1).collect()
+fn bundles_by_kind(settings: &Settings) -> Vec<bool> {
+    settings.kinds.iter().map(|k| k.max_bundle > 1).collect()
 }
 
-fn second(offset: i128, at: Micros) -> u64 {
-    u64::try_from((offset + i128::from(at)) / 1_000_000).unwrap_or(0)
+fn unix_second(unix_offset: i128, at: Micros) -> u64 {
+    u64::try_from((unix_offset + i128::from(at)) / 1_000_000).unwrap_or(0)
 }
--- a/crates/recorder/src/format.rs
+++ b/crates/recorder/src/format.rs
@@ -1,123 +1,124 @@
-//! The form of a recording.
+//! The format of a recording.
 //!
-//! A segment begins with [`MAGIC`]; after it come frames: length and CRC-32 (IEEE) of the payload, each four
-//! bytes in little-endian order, then the payload, a [`Record`] in postcard's encoding (its 1.0 wire format).
-//! A segment's first record is its [`Header`], which holds all that is needed to play it without the segments
-//! before it. A recording is any number of segments one behind the other.
+//! A segment begins with [`MAGIC`], followed by frames. A frame is the length and the CRC-32 (IEEE) of its
+//! payload, each four bytes in little-endian order, and then the payload: a [`Record`] in postcard's encoding
+//! (its 1.0 wire format). A segment's first record is its [`Header`], which holds everything that is needed
+//! to replay the segment without the segments before it. A recording is a sequence of any number of segments.
 
 use notchpoint_policy::{Action, EndpointId, Event, Micros, Settings};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// Begins each segment; the last byte is the version of the form.
+/// The first bytes of each segment. The last byte is the version of the format.
 pub const MAGIC: [u8; 8] = *b"NPTREC\0\x01";
-/// Length and checksum before each payload.
+/// The length in bytes of a frame's header: the payload's length and checksum.
 pub const FRAME_HEADER_LEN: usize = 8;
-/// No record is longer: a state of 100,000 messages and destinations takes a third of it.
+/// The maximum length of a record in bytes: three times a state of 100,000 messages and destinations.
 pub const MAX_RECORD_LEN: usize = 64 << 20;
 
-/// What a segment starts from.
+/// The state of the decision module at the start of a segment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum SegmentStart {
-    /// The start of a process: any build can play it.
+    /// A new process. Any build can replay it.
     Fresh {
-        /// What the module was told.
+        /// The module's settings.
         settings: Settings,
-        /// Its seed.
+        /// The module's random seed.
         seed: u64,
     },
-    /// The module's state before the first turn, in the form that `state_form` names.
+    /// The module's serialized state before the first turn, in the format given by [`Header::state_form`].
     State(Vec<u8>),
 }
 
 /// The first record of a segment.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Header {
-    /// The sender's name.
+    /// The name of the sender.
     pub sender: String,
-    /// Which process of it: Unix time at its start, in microseconds.
+    /// The process: the Unix time of its start, in microseconds.
     pub run: u64,
-    /// The number of the segment in its run.
+    /// The number of the segment in its process.
     pub segment: u64,
-    /// The number of its first turn.
+    /// The number of the segment's first turn.
     pub first_turn: u64,
-    /// The decisions' text, see [`notchpoint_policy::FINGERPRINT`].
+    /// The fingerprint of the decision module's source, see [`notchpoint_policy::FINGERPRINT`].
     pub fingerprint: u64,
-    /// The state's form, see [`notchpoint_policy::STATE_FORM`].
+    /// The format of the serialized state, see [`notchpoint_policy::STATE_FORM`].
     pub state_form: u64,
-    /// The module's clock, and Unix time, in microseconds.
+    /// The module's clock at the start of the segment, in microseconds.
     pub at: Micros,
-    /// See `at`.
+    /// The Unix time at the start of the segment, in microseconds.
     pub unix: u64,
-    /// The names of classes, by position.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// Endpoints by number and name.
+    /// The ids and names of the endpoints.
     pub endpoints: Vec<(EndpointId, String)>,
-    /// What it starts from.
+    /// The state of the decision module.
     pub start: SegmentStart,
 }
 
-/// One turn of the module.
+/// One turn of the decision module.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Turn {
-    /// Its number in the run.
+    /// The number of the turn in its process.
     pub number: u64,
-    /// The module's clock.
+    /// The module's clock in microseconds.
     pub at: Micros,
-    /// What it was told.
+    /// The events passed to the module.
     pub events: Vec<Event>,
-    /// What it answered.
+    /// The actions that the module returned.
     pub actions: Vec<Action>,
 }
 
-/// What a frame holds.
+/// The content of a frame.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Record {
-    /// The first of a segment.
+    /// The first record of a segment.
     Header(Box<Header>),
-    /// A turn.
+    /// A turn of the decision module.
     Turn(Turn),
-    /// Unix time stepped against the module's clock: both, in microseconds.
+    /// The Unix clock was stepped relative to the module's clock.
     Clock {
-        /// The module's clock.
+        /// The module's clock in microseconds.
         at: Micros,
-        /// Unix time.
+        /// The Unix time in microseconds.
         unix: u64,
     },
-    /// An endpoint was named.
+    /// The name of an endpoint.
     Name(EndpointId, String),
 }
 
-/// A [`Record::Turn`] to be written, without a copy of what is in it. Its encoding is the same.
+/// A borrowed [`Record::Turn`] with the same encoding. It is written without a copy of its content.
 #[derive(Serialize)]
-struct TurnToWrite<'a> {
+struct BorrowedTurn<'a> {
     number: u64,
     at: Micros,
     events: &'a [Event],
     actions: &'a [Action],
 }
 
-/// The place of [`Record::Turn`] among the records.
-const TURN: u8 = 1;
+/// The index of the variant [`Record::Turn`].
+const TURN_VARIANT: u8 = 1;
 
-/// Why a record could not be written.
+/// A record could not be written because it has this number of bytes.
 #[derive(Debug)]
 pub struct TooLong(pub usize);
 
 impl fmt::Display for TooLong {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "a record of {} bytes; {MAX_RECORD_LEN} are allowed", self.0)
+        write!(f, "a record of {} bytes exceeds the maximum of {MAX_RECORD_LEN} bytes", self.0)
     }
 }
 
 impl std::error::Error for TooLong {}
 
-/// Appends a record as a frame.
+/// Appends a record to `to` as a frame.
 pub fn write_record(record: &Record, to: &mut Vec<u8>) -> Result<(), TooLong> {
     frame(&[], record, to)
 }
 
-/// Appends a turn as a frame; as [`write_record()`] of a [`Record::Turn`], but nothing is copied on the way.
+/// Appends a turn to `to` as a frame. The result is that of [`write_record()`] with a [`Record::Turn`], but
+/// the events and actions are not copied.
 pub fn write_turn(
     number: u64,
     at: Micros,
@@ -125,55 +126,55 @@
     actions: &[Action],
     to: &mut Vec<u8>,
 ) -> Result<(), TooLong> {
-    frame(&[TURN], &TurnToWrite { number, at, events, actions }, to)
+    frame(&[TURN_VARIANT], &BorrowedTurn { number, at, events, actions }, to)
 }
 
-fn frame(before: &[u8], payload: &impl Serialize, to: &mut Vec<u8>) -> Result<(), TooLong> {
+fn frame(prefix: &[u8], payload: &impl Serialize, to: &mut Vec<u8>) -> Result<(), TooLong> {
     let start = to.len();
     to.extend([0; FRAME_HEADER_LEN]);
-    to.extend(before);
-    // Writing into memory cannot fail for plain data.
+    to.extend(prefix);
+    // Serializing plain data into memory cannot fail.
     *to = postcard::to_extend(payload, std::mem::take(to)).map_err(|_| TooLong(usize::MAX))?;
-    let body = start + FRAME_HEADER_LEN;
-    let length = to.len() - body;
+    let payload_start = start + FRAME_HEADER_LEN;
+    let length = to.len() - payload_start;
     if length > MAX_RECORD_LEN {
         to.truncate(start);
         return Err(TooLong(length));
     }
-    let sum = crc32fast::hash(&to[body..]);
+    let checksum = crc32fast::hash(&to[payload_start..]);
     to[start..start + 4].copy_from_slice(&(length as u32).to_le_bytes());
-    to[start + 4..body].copy_from_slice(&sum.to_le_bytes());
+    to[start + 4..payload_start].copy_from_slice(&checksum.to_le_bytes());
     Ok(())
 }
 
-/// What is wrong with a segment, and from where on.
+/// A damaged or unsupported part of a recording. Offsets are counted from the start of the recording.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Damage {
-    /// It ends within a record: the process was killed while it wrote, or the file was cut.
+    /// The bytes end within a record: the process was killed while it wrote, or the file was truncated.
     Truncated {
-        /// Where the torn record begins, counted from the start of the recording.
+        /// The offset of the incomplete record.
         offset: usize,
     },
-    /// A record is whole by its checksum, but says nothing that this build knows: another version wrote it.
+    /// A record has a valid checksum, but cannot be decoded: another version wrote it.
     UnknownFormat {
-        /// Where it begins.
+        /// The offset of the record.
         offset: usize,
     },
-    /// A record does not fit its checksum.
+    /// The checksum of a record does not match.
     ChecksumMismatch {
-        /// Where it begins.
+        /// The offset of the record.
         offset: usize,
     },
-    /// These bytes are no segment.
+    /// These bytes are not a segment.
     NoSegment {
-        /// Where they begin.
+        /// The offset of the bytes.
         offset: usize,
     },
-    /// The form is of another version.
+    /// The segment has another version of the format.
     UnsupportedVersion {
-        /// Where the segment begins.
+        /// The offset of the segment.
         offset: usize,
-        /// Its version.
+        /// The version of the format.
         version: u8,
     },
 }
@@ -183,17 +184,20 @@
         match self {
             Self::Truncated { offset } => write!(f, "byte {offset}: the recording ends within a record"),
             Self::UnknownFormat { offset } => {
-                write!(f, "byte {offset}: a whole record in a form that this build does not know: it was ")?;
-                write!(f, "written by another version, and only a build with that form can play it")
+                write!(
+                    f,
+                    "byte {offset}: a valid record in a format that this build does not know: it was "
+                )?;
+                write!(f, "written by another version, and only a build with that format can replay it")
             }
             Self::ChecksumMismatch { offset } => {
-                write!(f, "byte {offset}: a record does not fit its checksum")
+                write!(f, "byte {offset}: the checksum of a record does not match")
             }
             Self::NoSegment { offset } => write!(f, "byte {offset}: no segment of a recording begins here"),
             Self::UnsupportedVersion { offset, version } => {
                 write!(
                     f,
-                    "byte {offset}: a segment of version {version}, this build reads version {}",
+                    "byte {offset}: format version {version} is not supported (this build reads {})",
                     MAGIC[7]
                 )
             }
@@ -201,142 +205,153 @@
     }
 }
 
+/// The result of decoding a frame.
 enum Frame<'a> {
-    Whole(Record, &'a [u8]),
-    Cut,
-    Spoilt,
-    Foreign,
+    /// The record, and the bytes after the frame.
+    Valid(Record, &'a [u8]),
+    Truncated,
+    ChecksumMismatch,
+    UnknownFormat,
 }
 
-/// The payload of the first frame, and what follows it; else whether the bytes end within it.
-fn check(bytes: &[u8]) -> Result<(&[u8], &[u8]), Frame<'static>> {
-    let (head, rest) = bytes.split_at_checked(FRAME_HEADER_LEN).ok_or(Frame::Cut)?;
-    let word = |n: usize| u32::from_le_bytes([head[n], head[n + 1], head[n + 2], head[n + 3]]);
-    let length = word(0) as usize;
+/// Returns the payload of the first frame and the bytes after the frame, or why the frame is invalid.
+fn split_frame(bytes: &[u8]) -> Result<(&[u8], &[u8]), Frame<'static>> {
+    let (header, rest) = bytes.split_at_checked(FRAME_HEADER_LEN).ok_or(Frame::Truncated)?;
+    let u32_at = |n: usize| u32::from_le_bytes([header[n], header[n + 1], header[n + 2], header[n + 3]]);
+    let length = u32_at(0) as usize;
     if length > MAX_RECORD_LEN {
-        return Err(Frame::Spoilt);
+        return Err(Frame::ChecksumMismatch);
     }
-    let (body, rest) = rest.split_at_checked(length).ok_or(Frame::Cut)?;
-    if crc32fast::hash(body) != word(4) {
-        return Err(Frame::Spoilt);
+    let (payload, rest) = rest.split_at_checked(length).ok_or(Frame::Truncated)?;
+    if crc32fast::hash(payload) != u32_at(4) {
+        return Err(Frame::ChecksumMismatch);
     }
-    Ok((body, rest))
+    Ok((payload, rest))
 }
 
-fn read(bytes: &[u8]) -> Frame<'_> {
-    let (body, rest) = match check(bytes) {
-        Ok(found) => found,
-        Err(bad) => return bad,
+fn read_frame(bytes: &[u8]) -> Frame<'_> {
+    let (payload, rest) = match split_frame(bytes) {
+        Ok(frame) => frame,
+        Err(invalid) => return invalid,
     };
-    match postcard::take_from_bytes(body) {
-        Ok((record, [])) => Frame::Whole(record, rest),
-        _ => Frame::Foreign,
+    match postcard::take_from_bytes(payload) {
+        Ok((record, [])) => Frame::Valid(record, rest),
+        _ => Frame::UnknownFormat,
     }
 }
 
-/// A segment of a recording: its header, and the bytes behind it.
+/// A segment of a recording.
 #[derive(Clone, Debug)]
 pub struct Segment<'a> {
-    /// Where it begins.
+    /// The offset of the segment in the recording.
     pub offset: usize,
-    /// Its header.
+    /// The segment's header.
     pub header: Header,
+    /// The bytes of the records after the header.
     records: &'a [u8],
-    records_at: usize,
+    /// The offset of these bytes in the recording.
+    records_offset: usize,
 }
 
-/// A recording, read as far as it makes sense.
+/// A recording, decoded as far as possible.
 #[derive(Clone, Debug, Default)]
 pub struct Recording<'a> {
-    /// Its segments, oldest first.
+    /// The segments, oldest first.
     pub segments: Vec<Segment<'a>>,
-    /// What is wrong with it.
+    /// The damaged or unsupported parts.
     pub damage: Vec<Damage>,
 }
 
 impl<'a> Recording<'a> {
-    /// Finds the segments. Behind a damaged one the next is looked for, since each can be played by itself.
+    /// Finds the segments. After a damaged segment it searches for the next one, because each segment can be
+    /// replayed on its own.
     pub fn read(bytes: &'a [u8]) -> Self {
-        let mut found = Self::default();
-        let mut at = 0;
-        while at < bytes.len() {
-            let rest = &bytes[at..];
-            let next = |from: usize| find(bytes, from).unwrap_or(bytes.len());
+        let mut recording = Self::default();
+        let mut position = 0;
+        while position < bytes.len() {
+            let rest = &bytes[position..];
+            let next = |from: usize| find_segment(bytes, from).unwrap_or(bytes.len());
             if rest.len() < MAGIC.len() && MAGIC.starts_with(rest) {
-                found.damage.push(Damage::Truncated { offset: at });
+                recording.damage.push(Damage::Truncated { offset: position });
                 break;
             }
             if !rest.starts_with(&MAGIC[..7]) {
-                found.damage.push(Damage::NoSegment { offset: at });
-                at = next(at + 1);
+                recording.damage.push(Damage::NoSegment { offset: position });
+                position = next(position + 1);
                 continue;
             }
             if rest[7] != MAGIC[7] {
-                found.damage.push(Damage::UnsupportedVersion { offset: at, version: rest[7] });
-                at = next(at + 1);
+                recording.damage.push(Damage::UnsupportedVersion { offset: position, version: rest[7] });
+                position = next(position + 1);
                 continue;
             }
-            let begin = at + MAGIC.len();
-            match read(&bytes[begin..]) {
-                Frame::Whole(Record::Header(header), rest) => {
-                    let records_at = bytes.len() - rest.len();
-                    let end = end(bytes, records_at);
-                    let records = &bytes[records_at..end];
-                    found.segments.push(Segment { offset: at, header: *header, records, records_at });
-                    at = end;
+            let header_start = position + MAGIC.len();
+            match read_frame(&bytes[header_start..]) {
+                Frame::Valid(Record::Header(header), rest) => {
+                    let records_offset = bytes.len() - rest.len();
+                    let end = segment_end(bytes, records_offset);
+                    let records = &bytes[records_offset..end];
+                    recording.segments.push(Segment {
+                        offset: position,
+                        header: *header,
+                        records,
+                        records_offset,
+                    });
+                    position = end;
                 }
-                Frame::Cut if find(bytes, begin).is_none() => {
-                    found.damage.push(Damage::Truncated { offset: at });
+                Frame::Truncated if find_segment(bytes, header_start).is_none() => {
+                    recording.damage.push(Damage::Truncated { offset: position });
                     break;
                 }
-                Frame::Foreign => {
-                    found.damage.push(Damage::UnknownFormat { offset: at });
-                    at = next(begin);
+                Frame::UnknownFormat => {
+                    recording.damage.push(Damage::UnknownFormat { offset: position });
+                    position = next(header_start);
                 }
                 _ => {
-                    found.damage.push(Damage::ChecksumMismatch { offset: at });
-                    at = next(begin);
+                    recording.damage.push(Damage::ChecksumMismatch { offset: position });
+                    position = next(header_start);
                 }
             }
         }
-        found
+        recording
     }
 }
 
-/// Where the next segment begins, by its magic, at or after `from`.
-fn find(bytes: &[u8], from: usize) -> Option<usize> {
+/// Returns the offset of the first segment at or after `from`, found by its magic bytes.
+fn find_segment(bytes: &[u8], from: usize) -> Option<usize> {
     let rest = bytes.get(from..)?;
     rest.windows(MAGIC.len()).position(|w| w == MAGIC).map(|n| from + n)
 }
 
-/// Where a segment's records end: at the next segment, or with the bytes.
-fn end(bytes: &[u8], mut at: usize) -> usize {
+/// Returns the offset where a segment's records end: at the next segment, or at the end of the bytes.
+fn segment_end(bytes: &[u8], mut offset: usize) -> usize {
     loop {
-        if bytes[at..].starts_with(&MAGIC) {
-            return at;
+        if bytes[offset..].starts_with(&MAGIC) {
+            return offset;
         }
-        match check(&bytes[at..]) {
+        match split_frame(&bytes[offset..]) {
             Ok((_, [])) => return bytes.len(),
-            Ok((_, rest)) => at = bytes.len() - rest.len(),
-            // Torn or spoilt, so its length is not believed: what follows begins with the next magic.
-            Err(_) => return find(bytes, at).unwrap_or(bytes.len()),
+            Ok((_, rest)) => offset = bytes.len() - rest.len(),
+            // The record is truncated or damaged, so its length cannot be trusted. The search continues with
+            // the next magic bytes.
+            Err(_) => return find_segment(bytes, offset).unwrap_or(bytes.len()),
         }
     }
 }
 
 impl<'a> Segment<'a> {
-    /// Its records, up to the last whole one.
+    /// Returns the segment's records, up to the first invalid one.
     pub fn records(&self) -> Records<'a> {
-        Records { bytes: self.records, at: self.records_at, damage: None }
+        Records { bytes: self.records, offset: self.records_offset, damage: None }
     }
 }
 
-/// Reads records one by one.
+/// Iterates over the records of a segment.
 #[derive(Clone, Debug)]
 pub struct Records<'a> {
     bytes: &'a [u8],
-    at: usize,
-    /// Why it ended, if not with the segment's end.
+    offset: usize,
+    /// Why the iteration stopped before the end of the segment.
     pub damage: Option<Damage>,
 }
 
@@ -347,21 +362,21 @@
         if self.bytes.is_empty() || self.damage.is_some() {
             return None;
         }
-        match read(self.bytes) {
-            Frame::Whole(Record::Header(_), _) | Frame::Spoilt => {
-                self.damage = Some(Damage::ChecksumMismatch { offset: self.at });
+        match read_frame(self.bytes) {
+            Frame::Valid(Record::Header(_), _) | Frame::ChecksumMismatch => {
+                self.damage = Some(Damage::ChecksumMismatch { offset: self.offset });
                 None
             }
-            Frame::Foreign => {
-                self.damage = Some(Damage::UnknownFormat { offset: self.at });
+            Frame::UnknownFormat => {
+                self.damage = Some(Damage::UnknownFormat { offset: self.offset });
                 None
             }
-            Frame::Cut => {
-                self.damage = Some(Damage::Truncated { offset: self.at });
+            Frame::Truncated => {
+                self.damage = Some(Damage::Truncated { offset: self.offset });
                 None
             }
-            Frame::Whole(record, rest) => {
-                self.at += self.bytes.len() - rest.len();
+            Frame::Valid(record, rest) => {
+                self.offset += self.bytes.len() - rest.len();
                 self.bytes = rest;
                 Some(record)
             }
@@ -374,7 +389,7 @@
     use super::*;
 
     #[test]
-    fn a_whole_record_of_another_version_is_not_taken_for_damage() {
+    fn valid_record_of_another_version_is_not_reported_as_damaged() {
         let mut bytes = MAGIC.to_vec();
         frame(&[77], &"a record of a later version", &mut bytes).expect("fits");
         assert_eq!(Recording::read(&bytes).damage, [Damage::UnknownFormat { offset: 0 }]);
@@ -384,11 +399,11 @@
     }
 
     #[test]
-    fn a_turn_written_without_a_copy_is_the_same_bytes() {
+    fn borrowed_turn_has_the_same_encoding() {
         let (events, actions) = (vec![Event::Wake], vec![Action::Watch, Action::WakeAt(7)]);
-        let (mut a, mut b) = (Vec::new(), Vec::new());
-        write_turn(300, 5, &events, &actions, &mut a).expect("fits");
-        write_record(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut b).expect("fits");
-        assert_eq!(a, b);
+        let (mut borrowed, mut owned) = (Vec::new(), Vec::new());
+        write_turn(300, 5, &events, &actions, &mut borrowed).expect("fits");
+        write_record(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut owned).expect("fits");
+        assert_eq!(borrowed, owned);
     }
 }
--- a/crates/recorder/src/lib.rs
+++ b/crates/recorder/src/lib.rs
@@ -1,18 +1,18 @@
 //! The flight recorder of a sender.
 //!
-//! The decision module is pure: from its state, the clock and the events of a turn follow its actions. A
-//! recording holds exactly these, so that each decision can be made again, bit for bit, and asked for its
-//! reason. Bodies of messages never enter it.
+//! The decision module is deterministic: its actions follow from its state, the clock and the events of a
+//! turn. A recording holds exactly these, so each decision can be replayed bit for bit and explained. It
+//! never contains the bodies of messages.
 //!
-//! - [`mod@format`]: how a recording is written as bytes, and read as far as it is whole.
-//! - [`ring`]: which segment bytes go to, and which one gives way, so that the whole has a bound.
-//! - [`store`]: where segments lie: in memory or in a folder.
-//! - [`recorder`]: what the sender calls once a turn.
-//! - [`mod@replay`]: makes the decisions again and finds the first that differs.
-//! - [`explain`]: which guard kept each message, from when to when, and what began and ended it.
-//! - [`fleet`]: what all senders of a fleet did together, by second and destination.
-//! - [`text`]: an explanation for people.
-//! - [`plot`]: a destination's window, calls and waits over time, as SVG.
+//! - [`mod@format`]: encodes a recording, and decodes it up to the first damaged record of each segment.
+//! - [`ring`]: decides which segment bytes go to and which segments to remove, so that the size is bounded.
+//! - [`store`]: stores segments in memory or in a folder.
+//! - [`recorder`]: records each turn of a sender.
+//! - [`mod@replay`]: repeats the recorded decisions and finds the first that differs.
+//! - [`explain`]: reports which guard held each message, for how long, and which events began and ended it.
+//! - [`fleet`]: counts what all senders of a fleet did, by second and destination.
+//! - [`text`]: formats an explanation as text.
+//! - [`plot`]: draws a destination's window, calls and held messages over time as SVG.
 #![warn(missing_docs)]
 
 pub mod explain;
--- a/crates/recorder/src/recorder.rs
+++ b/crates/recorder/src/recorder.rs
@@ -1,4 +1,4 @@
-//! What the sender calls once a turn.
+//! Records each turn of a sender.
 
 use crate::format::{self, Header, MAGIC, Record, SegmentStart};
 use crate::ring::{LimitTooSmall, Ring};
@@ -8,30 +8,30 @@
 use std::fmt;
 use std::io::{self, Write};
 
-/// Unix time that moves against the module's clock by more than this has stepped. Less is drift, and noise
-/// between two looks at two clocks.
-const STEP: u64 = 20_000;
+/// The Unix clock was stepped if it moved by more than this relative to the module's clock, in microseconds.
+/// Smaller differences are drift, or the time between reading the two clocks.
+const MIN_CLOCK_STEP_US: u64 = 20_000;
 
-/// What a recorder is told at its start.
+/// The options of a recorder.
 pub struct Options {
-    /// Bytes that the recording may take.
+    /// The maximum size of the recording in bytes.
     pub limit_bytes: u64,
-    /// The sender's name.
+    /// The name of the sender.
     pub sender: String,
-    /// The names of classes, by position.
+    /// The names of the classes, by index.
     pub classes: Vec<String>,
-    /// What the module was told.
+    /// The decision module's settings.
     pub settings: Settings,
-    /// Its seed.
+    /// The decision module's random seed.
     pub seed: u64,
 }
 
-/// Why recording ended. The sender goes on without it.
+/// Why recording stopped. The sender continues without it.
 #[derive(Debug)]
 pub enum Error {
-    /// The place cannot be written.
+    /// The segment store cannot be written.
     Io(io::Error),
-    /// The module's state does not fit the limit.
+    /// The module's state does not fit into the limit.
     LimitTooSmall(LimitTooSmall),
     /// A record is too long.
     TooLong(format::TooLong),
@@ -69,24 +69,25 @@
     }
 }
 
-/// Records the turns of one module.
+/// Records the turns of one decision module.
 pub struct Recorder {
     ring: Ring,
     store: Box<dyn SegmentStore>,
     header: Header,
-    names: BTreeMap<EndpointId, String>,
+    endpoint_names: BTreeMap<EndpointId, String>,
     turns: u64,
-    /// Unix time less the module's clock, as it was told last.
-    offset: i128,
+    /// Unix time minus the module's clock in microseconds, as last recorded.
+    unix_offset: i128,
     buffer: Vec<u8>,
 }
 
 impl Recorder {
-    /// Begins a recording of a module that has had no turn yet. `there` are the segments in the store.
+    /// Starts a recording of a module that has had no turn yet. `existing` are the segments in the store:
+    /// their numbers and lengths, oldest first.
     pub fn start(
         options: Options,
         store: Box<dyn SegmentStore>,
-        there: &[(u64, u64)],
+        existing: &[(u64, u64)],
         at: Micros,
         unix: u64,
     ) -> Result<Self, Error> {
@@ -103,43 +104,44 @@
             endpoints: Vec::new(),
             start: SegmentStart::Fresh { settings: options.settings, seed: options.seed },
         };
-        let ring = Ring::new(options.limit_bytes, there);
-        let offset = i128::from(unix) - i128::from(at);
-        let (names, buffer) = Default::default();
-        let mut recorder = Self { ring, store, header, names, turns: 0, offset, buffer };
-        recorder.segment()?;
+        let ring = Ring::new(options.limit_bytes, existing);
+        let unix_offset = i128::from(unix) - i128::from(at);
+        let (endpoint_names, buffer) = Default::default();
+        let mut recorder = Self { ring, store, header, endpoint_names, turns: 0, unix_offset, buffer };
+        recorder.begin_segment()?;
         Ok(recorder)
     }
 
-    /// Writes the header that is prepared as a new segment.
-    fn segment(&mut self) -> Result<(), Error> {
+    /// Begins a new segment with the current header.
+    fn begin_segment(&mut self) -> Result<(), Error> {
         let mut bytes = MAGIC.to_vec();
         format::write_record(&Record::Header(Box::new(self.header.clone())), &mut bytes)?;
         let plan = self.ring.begin(bytes.len() as u64)?;
-        for old in plan.remove {
-            self.store.remove(old)?;
+        for segment in plan.remove {
+            self.store.remove(segment)?;
         }
         Ok(self.store.begin(plan.segment, &bytes)?)
     }
 
-    /// An endpoint's name, so that people are told names and not numbers.
+    /// Records the name of an endpoint, so that an explanation can show names instead of ids.
     pub fn record_name(&mut self, endpoint: EndpointId, name: &str) -> Result<(), Error> {
-        if self.names.get(&endpoint).is_some_and(|n| n == name) {
+        if self.endpoint_names.get(&endpoint).is_some_and(|n| n == name) {
             return Ok(());
         }
-        self.names.insert(endpoint, name.to_owned());
+        self.endpoint_names.insert(endpoint, name.to_owned());
         self.buffer.clear();
         format::write_record(&Record::Name(endpoint, name.to_owned()), &mut self.buffer)?;
         self.flush()
     }
 
-    /// Forgets names that `listed` does not have: it is called when the list has changed.
-    pub fn retain_names(&mut self, listed: impl Fn(EndpointId) -> bool) {
-        self.names.retain(|id, _| listed(*id));
+    /// Drops the names of endpoints that `is_listed` does not accept. It is called after the endpoint list
+    /// has changed.
+    pub fn retain_names(&mut self, is_listed: impl Fn(EndpointId) -> bool) {
+        self.endpoint_names.retain(|id, _| is_listed(*id));
     }
 
-    /// Records a turn; `after` is the module behind it. Of messages it holds what the module was told, so no
-    /// bodies.
+    /// Records a turn. `after` is the module after the turn. The events contain no bodies of messages, so
+    /// neither does the recording.
     pub fn record_turn(
         &mut self,
         at: Micros,
@@ -149,9 +151,9 @@
         after: &Sender,
     ) -> Result<(), Error> {
         self.buffer.clear();
-        let offset = i128::from(unix) - i128::from(at);
-        if offset.abs_diff(self.offset) > u128::from(STEP) {
-            self.offset = offset;
+        let unix_offset = i128::from(unix) - i128::from(at);
+        if unix_offset.abs_diff(self.unix_offset) > u128::from(MIN_CLOCK_STEP_US) {
+            self.unix_offset = unix_offset;
             format::write_record(&Record::Clock { at, unix }, &mut self.buffer)?;
         }
         format::write_turn(self.turns, at, events, actions, &mut self.buffer)?;
@@ -160,22 +162,22 @@
         if self.ring.is_full(self.buffer.len() as u64) {
             self.header.segment += 1;
             (self.header.first_turn, self.header.at, self.header.unix) = (self.turns, at, unix);
-            self.header.endpoints = self.names.iter().map(|(id, n)| (*id, n.clone())).collect();
-            self.header.start = SegmentStart::State(state(after));
-            self.segment()?;
+            self.header.endpoints = self.endpoint_names.iter().map(|(id, n)| (*id, n.clone())).collect();
+            self.header.start = SegmentStart::State(serialize_state(after));
+            self.begin_segment()?;
         }
         Ok(())
     }
 
     fn flush(&mut self) -> Result<(), Error> {
         let plan = self.ring.add(self.buffer.len() as u64)?;
-        for old in plan.remove {
-            self.store.remove(old)?;
+        for segment in plan.remove {
+            self.store.remove(segment)?;
         }
         Ok(self.store.append(&self.buffer)?)
     }
 
-    /// Writes all that is recorded as one file; gives its length.
+    /// Writes the whole recording to `to`. Returns its length in bytes.
     pub fn dump(&self, to: &mut impl Write) -> io::Result<u64> {
         let mut length = 0;
         for segment in self.ring.numbers() {
@@ -186,14 +188,14 @@
         Ok(length)
     }
 
-    /// Bytes that the recording takes.
+    /// Returns the size of the recording in bytes.
     pub fn size(&self) -> u64 {
         self.ring.size()
     }
 }
 
-/// A module's state as bytes.
-pub(crate) fn state(sender: &Sender) -> Vec<u8> {
-    // Writing plain data into memory cannot fail; empty bytes are turned down where they are read.
+/// Serializes the state of a module.
+pub(crate) fn serialize_state(sender: &Sender) -> Vec<u8> {
+    // Serializing plain data into memory cannot fail. If it did, replay would reject the empty state.
     postcard::to_allocvec(sender).unwrap_or_default()
 }
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -1,23 +1,24 @@
-//! Makes the recorded decisions again.
+//! Replays a recording: repeats its decisions and compares them with the recorded ones.
 
 use crate::format::{Damage, Header, Record, Recording, Segment, SegmentStart, Turn};
-use crate::recorder::state;
+use crate::recorder::serialize_state;
 use notchpoint_policy::{
     Action, DestinationId, Event, FINGERPRINT, ListUpdate, MessageId, Micros, STATE_FORM, Sender,
 };
 use std::fmt;
 
-/// Looks on while decisions are made again.
+/// Observes a replay.
 pub trait ReplayObserver {
-    /// A segment begins with this module. `goes_on` if its run was being played up to here without a gap.
-    fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool);
-    /// A turn was made; `sender` is the module behind it.
+    /// Called at the start of a segment with the module's state there. `is_continued` is true if the same
+    /// process was replayed up to this segment without a gap.
+    fn on_segment(&mut self, header: &Header, sender: &Sender, is_continued: bool);
+    /// Called after each turn. `sender` is the module after the turn.
     fn on_turn(&mut self, turn: &Turn, sender: &Sender);
-    /// What else is recorded.
+    /// Called with each record that is not a turn.
     fn on_other_record(&mut self, _record: &Record) {}
 }
 
-/// Observes nothing.
+/// An observer that does nothing.
 pub struct NoObserver;
 
 impl ReplayObserver for NoObserver {
@@ -25,45 +26,47 @@
     fn on_turn(&mut self, _: &Turn, _: &Sender) {}
 }
 
-/// The first decision that is not the recorded one.
+/// The first decision that differs from the recorded one.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Difference {
-    /// The process, by its start in Unix time, microseconds.
+    /// The process: the Unix time of its start, in microseconds.
     pub run: u64,
-    /// The turn's number in it.
+    /// The number of the turn in its process.
     pub turn: u64,
-    /// The module's clock.
+    /// The module's clock in microseconds.
     pub at: Micros,
-    /// The place of the action in the turn.
+    /// The index of the action in the turn.
     pub action_index: usize,
-    /// The recorded action there; none where there were no more.
+    /// The recorded action at this index, or `None` after the last one.
     pub recorded: Option<Action>,
-    /// What was decided now.
+    /// The action decided in the replay, or `None` after the last one.
     pub decided: Option<Action>,
-    /// The event of the turn that the action hangs on; none where time alone did it.
+    /// The event of the turn that the action probably results from, or `None` if only the clock advanced.
     pub event: Option<Event>,
 }
 
 impl fmt::Display for Difference {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let (turn, at) = (self.turn, self.at as f64 / 1e6);
-        writeln!(f, "the decisions part in turn {turn} (clock {at:.6} s), action {}:", self.action_index)?;
-        let say = |a: &Option<Action>| a.as_ref().map_or("nothing more".to_owned(), |a| format!("{a:?}"));
-        writeln!(f, "  recorded: {}", say(&self.recorded))?;
-        writeln!(f, "  decided:  {}", say(&self.decided))?;
+        writeln!(f, "the decisions differ in turn {turn} (clock {at:.6} s), action {}:", self.action_index)?;
+        let describe =
+            |a: &Option<Action>| a.as_ref().map_or("no further action".to_owned(), |a| format!("{a:?}"));
+        writeln!(f, "  recorded: {}", describe(&self.recorded))?;
+        writeln!(f, "  decided:  {}", describe(&self.decided))?;
         match &self.event {
             Some(e) => write!(f, "  event:    {e:?}"),
-            None => write!(f, "  event:    none of the turn concerns it: time alone"),
+            None => write!(f, "  event:    none in this turn: only the clock advanced"),
         }
     }
 }
 
-/// Why a segment was not played.
+/// Why a segment was not replayed.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum SkipReason {
-    /// It begins with a state whose form this build cannot read, and what came before is not recorded.
+    /// The segment begins with a state in a format that this build cannot read, and the turns before it are
+    /// not in the recording.
     UnsupportedState,
-    /// Its state or settings make no sense, though their checksum fits.
+    /// The initial state or settings are invalid, although their checksum matches.
     InvalidState(String),
 }
 
@@ -72,93 +75,95 @@
         match self {
             Self::UnsupportedState => write!(
                 f,
-                "it begins with a state in the form of another build, and the recording no longer has what \
-                 came before it: only a build with that form can play it"
+                "it begins with a state in the format of another build, and the recording no longer has the \
+                 turns before it: only a build with that format can replay it"
             ),
-            Self::InvalidState(why) => write!(f, "its beginning makes no sense: {why}"),
+            Self::InvalidState(why) => write!(f, "its initial state or settings are invalid: {why}"),
         }
     }
 }
 
-/// What came of it.
+/// The result of a replay.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct ReplayReport {
-    /// Segments played.
+    /// The number of segments that were replayed.
     pub segments: usize,
-    /// Turns whose actions are the recorded ones.
+    /// The number of turns with the same actions as recorded.
     pub turns: u64,
-    /// States at the beginnings of segments that were compared with the module's own, byte for byte.
+    /// The number of recorded states at the start of segments that were compared with the module's state,
+    /// byte for byte.
     pub states: usize,
-    /// Processes that are recorded.
+    /// The number of processes in the recording.
     pub runs: usize,
-    /// The first difference; nothing is played behind it.
+    /// The first difference. Nothing is replayed after it.
     pub difference: Option<Difference>,
-    /// A recorded state that is not the one played to: the run and the segment.
+    /// The process and segment of a recorded state that differs from the replayed one.
     pub state_differs: Option<(u64, u64)>,
-    /// What is wrong with the recording.
+    /// The damaged or unsupported parts of the recording.
     pub damage: Vec<Damage>,
-    /// Segments that could not be played: run, segment and why.
+    /// Segments that could not be replayed: the process, the segment and the reason.
     pub skipped: Vec<(u64, u64, SkipReason)>,
-    /// Decisions of other builds were recorded: their fingerprints.
+    /// The fingerprints of other builds whose decisions are recorded.
     pub other_builds: Vec<u64>,
 }
 
 impl ReplayReport {
-    /// All that is recorded was decided again as it was.
+    /// Returns whether all decisions and states are the same as recorded.
     pub fn is_equal(&self) -> bool {
         self.difference.is_none() && self.state_differs.is_none() && self.skipped.is_empty()
     }
 }
 
-/// Feeds a recording to this build's module and compares each turn's actions.
-pub fn replay(recording: &Recording, watch: &mut dyn ReplayObserver) -> ReplayReport {
-    let mut done = ReplayReport { damage: recording.damage.clone(), ..ReplayReport::default() };
-    // The module as played so far: its run, the segment due next, and the turn due next.
-    let mut playing: Option<(u64, u64, u64, Sender)> = None;
+/// Replays a recording with this build's decision module and compares the actions of each turn.
+pub fn replay(recording: &Recording, observer: &mut dyn ReplayObserver) -> ReplayReport {
+    let mut report = ReplayReport { damage: recording.damage.clone(), ..ReplayReport::default() };
+    // The module after the last segment: its process, the next segment, the next turn, and the module itself.
+    let mut replayed: Option<(u64, u64, u64, Sender)> = None;
     let mut run = None;
     for segment in &recording.segments {
-        let h = &segment.header;
-        if run != Some(h.run) {
-            run = Some(h.run);
-            done.runs += 1;
+        let header = &segment.header;
+        if run != Some(header.run) {
+            run = Some(header.run);
+            report.runs += 1;
         }
-        if h.fingerprint != FINGERPRINT && !done.other_builds.contains(&h.fingerprint) {
-            done.other_builds.push(h.fingerprint);
+        if header.fingerprint != FINGERPRINT && !report.other_builds.contains(&header.fingerprint) {
+            report.other_builds.push(header.fingerprint);
         }
-        let next = playing.take().filter(|p| (p.0, p.1, p.2) == (h.run, h.segment, h.first_turn));
-        let goes_on = next.is_some();
-        let sender = match (next, &h.start) {
+        let next =
+            replayed.take().filter(|p| (p.0, p.1, p.2) == (header.run, header.segment, header.first_turn));
+        let is_continued = next.is_some();
+        let sender = match (next, &header.start) {
             (Some((.., sender)), SegmentStart::State(bytes)) => {
-                if h.state_form == STATE_FORM {
-                    done.states += 1;
-                    if state(&sender) != *bytes {
-                        done.state_differs = Some((h.run, h.segment));
-                        return done;
+                if header.state_form == STATE_FORM {
+                    report.states += 1;
+                    if serialize_state(&sender) != *bytes {
+                        report.state_differs = Some((header.run, header.segment));
+                        return report;
                     }
                 }
                 Ok(sender)
             }
-            (_, start) => begin(start, h.state_form),
+            (_, start) => initial_sender(start, header.state_form),
         };
         let mut sender = match sender {
             Ok(sender) => sender,
             Err(why) => {
-                done.skipped.push((h.run, h.segment, why));
+                report.skipped.push((header.run, header.segment, why));
                 continue;
             }
         };
-        watch.on_segment(h, &sender, goes_on);
-        done.segments += 1;
-        match play(segment, &mut sender, watch, &mut done) {
-            Some(due) => playing = Some((h.run, h.segment + 1, due, sender)),
-            None if done.difference.is_some() => return done,
+        observer.on_segment(header, &sender, is_continued);
+        report.segments += 1;
+        match replay_segment(segment, &mut sender, observer, &mut report) {
+            Some(next_turn) => replayed = Some((header.run, header.segment + 1, next_turn, sender)),
+            None if report.difference.is_some() => return report,
             None => {}
         }
     }
-    done
+    report
 }
 
-fn begin(start: &SegmentStart, form: u64) -> Result<Sender, SkipReason> {
+fn initial_sender(start: &SegmentStart, form: u64) -> Result<Sender, SkipReason> {
     match start {
         SegmentStart::Fresh { settings, seed } => {
             Sender::new(settings.clone(), *seed).map_err(|e| SkipReason::InvalidState(e.to_string()))
@@ -170,53 +175,53 @@
     }
 }
 
-/// Plays a segment; gives the turn due next if it is whole.
-fn play(
+/// Replays a segment. Returns the number of the next turn if the segment is complete.
+fn replay_segment(
     segment: &Segment,
     sender: &mut Sender,
-    watch: &mut dyn ReplayObserver,
-    done: &mut ReplayReport,
+    observer: &mut dyn ReplayObserver,
+    report: &mut ReplayReport,
 ) -> Option<u64> {
     let mut records = segment.records();
-    let mut due = segment.header.first_turn;
+    let mut next_turn = segment.header.first_turn;
     let mut actions = Vec::new();
     for record in &mut records {
         let Record::Turn(turn) = &record else {
-            watch.on_other_record(&record);
+            observer.on_other_record(&record);
             continue;
         };
-        if turn.number != due {
-            done.damage.push(Damage::ChecksumMismatch { offset: segment.offset });
+        if turn.number != next_turn {
+            report.damage.push(Damage::ChecksumMismatch { offset: segment.offset });
             return None;
         }
         actions.clear();
         sender.handle(turn.at, &turn.events, &mut actions);
         if actions != turn.actions {
-            done.difference = Some(difference(segment.header.run, turn, &actions));
+            report.difference = Some(difference(segment.header.run, turn, &actions));
             return None;
         }
-        watch.on_turn(turn, sender);
-        (due, done.turns) = (due + 1, done.turns + 1);
+        observer.on_turn(turn, sender);
+        (next_turn, report.turns) = (next_turn + 1, report.turns + 1);
     }
-    let whole = records.damage.is_none();
-    done.damage.extend(records.damage);
-    whole.then_some(due)
+    let is_complete = records.damage.is_none();
+    report.damage.extend(records.damage);
+    is_complete.then_some(next_turn)
 }
 
 fn difference(run: u64, turn: &Turn, actions: &[Action]) -> Difference {
-    let same = turn.actions.iter().zip(actions).take_while(|(a, b)| a == b).count();
-    let (recorded, decided) = (turn.actions.get(same).cloned(), actions.get(same).cloned());
-    let of = |a: &Option<Action>| a.as_ref().and_then(message_of_action);
+    let index = turn.actions.iter().zip(actions).take_while(|(a, b)| a == b).count();
+    let (recorded, decided) = (turn.actions.get(index).cloned(), actions.get(index).cloned());
+    let message = |a: &Option<Action>| a.as_ref().and_then(message_of_action);
     let event = [&recorded, &decided]
         .into_iter()
-        .filter_map(of)
+        .filter_map(message)
         .find_map(|id| turn.events.iter().find(|e| message_of(e) == Some(id)).cloned());
-    // Not about its own message: then what else happened in the turn made the difference.
+    // Without an event about the message itself, another event of the turn probably made the difference.
     let event = event.or_else(|| turn.events.iter().find(|e| **e != Event::Wake).cloned());
-    Difference { run, turn: turn.number, at: turn.at, action_index: same, recorded, decided, event }
+    Difference { run, turn: turn.number, at: turn.at, action_index: index, recorded, decided, event }
 }
 
-/// The message that an event is about.
+/// Returns the message that an event is about.
 pub(crate) fn message_of(event: &Event) -> Option<MessageId> {
     match event {
         Event::Taken(m) | Event::Resumed { message: m, .. } => Some(m.id),
@@ -225,7 +230,7 @@
     }
 }
 
-/// The message that an action is about.
+/// Returns the message that an action is about.
 pub(crate) fn message_of_action(action: &Action) -> Option<MessageId> {
     match action {
         Action::Send { id, .. }
@@ -236,8 +241,8 @@
     }
 }
 
-/// Whether an event names the destination, as far as it tells by itself.
-pub(crate) fn names(event: &Event, dest: DestinationId) -> bool {
+/// Returns whether an event itself refers to the destination.
+pub(crate) fn refers_to(event: &Event, dest: DestinationId) -> bool {
     match event {
         Event::Taken(m) | Event::Resumed { message: m, .. } => m.dest == dest,
         Event::List(ListUpdate::Changes(list) | ListUpdate::Whole(list) | ListUpdate::Restored(list)) => {
--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -1,4 +1,4 @@
-//! The counts over a fleet's recordings: sums over senders, and what is cut or foreign.
+//! The counts over the recordings of a fleet: sums over senders, and truncated or invalid recordings.
 
 #[path = "../../policy/tests/common/mod.rs"]
 mod common;
@@ -11,38 +11,39 @@
 
 const UNIX: u64 = 1_700_000_000_000_000;
 
-/// A sender's recording: three messages served, one refused as full, one not connected, a note and a watch.
-fn recording(name: &str, shift: Micros) -> Vec<u8> {
-    let set = Settings { may_send_notes: true, senders: 3, ..settings() };
+/// Returns the recording of a sender: three messages served, one refused as full, one that failed to connect,
+/// a note, a failed watch and changes of a zone's share.
+fn recording(name: &str, clock_offset: Micros) -> Vec<u8> {
+    let settings = Settings { may_send_notes: true, senders: 3, ..settings() };
     let options = Options {
         limit_bytes: 1 << 20,
         sender: name.into(),
         classes: vec![],
-        settings: set.clone(),
+        settings: settings.clone(),
         seed: 7,
     };
     let mut recorder =
-        Recorder::start(options, Box::new(MemoryStore::default()), &[], 100 * SEC, UNIX + shift)
+        Recorder::start(options, Box::new(MemoryStore::default()), &[], 100 * SEC, UNIX + clock_offset)
             .expect("begun");
-    let mut sender = Sender::new(set, 7).expect("sound");
+    let mut sender = Sender::new(settings, 7).expect("sound");
     let mut now = 100 * SEC;
     let mut turn = |at: Micros, events: Vec<Event>| {
         let mut actions = Vec::new();
         sender.handle(at, &events, &mut actions);
         recorder
-            .record_turn(at, UNIX + shift + at - 100 * SEC, &events, &actions, &sender)
+            .record_turn(at, UNIX + clock_offset + at - 100 * SEC, &events, &actions, &sender)
             .expect("recorded");
     };
     let known = |n| common::entry(n, 1, 0, Phase::Live);
     turn(now, vec![Event::List(ListUpdate::Whole(vec![known(0), known(1)]))]);
-    let ends = [
+    let outcomes = [
         Outcome::Served,
         Outcome::Served,
         Outcome::Served,
         Outcome::Full { wait: None },
         Outcome::ConnectFailed,
     ];
-    for (n, outcome) in ends.into_iter().enumerate() {
+    for (n, outcome) in outcomes.into_iter().enumerate() {
         let id = MessageId(n as u64);
         let message = Message {
             id,
@@ -69,6 +70,7 @@
     bytes
 }
 
+/// Returns the sums of the counts of all cells.
 fn sums(fleet: &FleetCounts) -> DestinationCounts {
     fleet.by_destination().fold(DestinationCounts::default(), |mut sum, (_, dest, c)| {
         assert_eq!(dest, DestinationId(1));
@@ -91,8 +93,8 @@
     let one = sums(&fleet);
     assert_eq!((one.taken, one.served), (5, 3));
     assert!(one.full >= 1 && one.unconnected >= 1, "{one:?}");
-    assert_eq!(one.ended, 2, "what was refused and not connected ran out of time");
-    // Another sender, half a second later by the wall clock: the same seconds, twice the sums.
+    assert_eq!(one.ended, 2, "the refused message and the one that failed to connect have ended");
+    // Another sender with a Unix clock half a second ahead: the counts fall into the same seconds.
     assert_eq!(fleet.add_recording(&recording("b", SEC / 2)), []);
     let both = sums(&fleet);
     assert_eq!((both.taken, both.calls, both.served, both.ended), (10, 2 * one.calls, 6, 4));
@@ -108,11 +110,11 @@
     let first = fleet.by_destination().next().expect("a cell");
     assert_eq!((first.0, first.2.taken), (UNIX / 1_000_000, 2), "both in the first second");
     assert!(fleet.text(None).starts_with("2 senders, from Unix second 1700000000 on\n"));
-    assert!(!fleet.text(Some(DestinationId(9))).contains("    1      2"), "only what was asked for");
+    assert!(!fleet.text(Some(DestinationId(9))).contains("    1      2"), "only the selected destination");
 }
 
 #[test]
-fn of_a_recording_cut_short_the_whole_part_counts_and_the_place_is_named() {
+fn truncated_recording_is_counted_up_to_the_damage_which_is_reported() {
     let whole = recording("a", 0);
     for cut in (1..whole.len()).step_by(7) {
         let mut fleet = FleetCounts::default();
@@ -123,32 +125,32 @@
                 "{cut}: {damage:?}"
             );
         }
-        assert_eq!(fleet.add_recording(&recording("b", 0)), [], "the others are still read");
+        assert_eq!(fleet.add_recording(&recording("b", 0)), [], "other recordings are still read");
         assert!(sums(&fleet).served >= 3);
     }
     let mut fleet = FleetCounts::default();
-    assert_eq!(fleet.add_recording(&whole[..whole.len() - 3]).len(), 1, "the place is named");
+    assert_eq!(fleet.add_recording(&whole[..whole.len() - 3]).len(), 1, "the position is reported");
     assert_eq!(fleet.add_recording(b"no recording at all"), [Damage::NoSegment { offset: 0 }]);
     assert_eq!(fleet.senders(), 1);
 }
 
 #[test]
-fn a_bundle_is_one_call() {
-    let set = settings();
-    let mut rig = Rig::new(set.clone(), 2, 1);
+fn bundle_counts_as_one_call() {
+    let settings = settings();
+    let mut rig = Rig::new(settings.clone(), 2, 1);
     rig.submit_many(8);
-    let alone = rig.actions.len();
+    let first_action = rig.actions.len();
     rig.end_all(Outcome::Served);
-    let sent: Vec<Action> = rig.actions[alone..].iter().map(|(_, a)| a.clone()).collect();
+    let new_actions: Vec<Action> = rig.actions[first_action..].iter().map(|(_, a)| a.clone()).collect();
     let options =
-        Options { limit_bytes: 1 << 20, sender: "a".into(), classes: vec![], settings: set, seed: 7 };
+        Options { limit_bytes: 1 << 20, sender: "a".into(), classes: vec![], settings: settings, seed: 7 };
     let mut recorder =
         Recorder::start(options, Box::new(MemoryStore::default()), &[], rig.now, UNIX).expect("begun");
     let list = Event::List(ListUpdate::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
     recorder.record_turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("recorded");
-    let together: Vec<Action> = sent.into_iter().filter(|a| matches!(a, Action::Send { .. })).collect();
-    let messages = together.len() as u64;
-    recorder.record_turn(rig.now, UNIX, &[], &together, &rig.sender).expect("recorded");
+    let sends: Vec<Action> = new_actions.into_iter().filter(|a| matches!(a, Action::Send { .. })).collect();
+    let messages = sends.len() as u64;
+    recorder.record_turn(rig.now, UNIX, &[], &sends, &rig.sender).expect("recorded");
     let mut bytes = Vec::new();
     recorder.dump(&mut bytes).expect("written");
     let mut fleet = FleetCounts::default();
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -1,4 +1,5 @@
-//! Random worlds recorded, played again and explained; recordings that are cut, spoilt or of another build.
+//! Random worlds that are recorded, replayed and explained, and recordings that are truncated, damaged or
+//! from another build.
 
 #[path = "../../policy/tests/common/mod.rs"]
 mod common;
@@ -25,28 +26,34 @@
     Options { limit_bytes: limit, sender: "n0".into(), classes, settings, seed: SEED }
 }
 
-fn begin(limit: u64, set: &Settings, store: Box<dyn SegmentStore>, there: &[(u64, u64)]) -> Recorder {
-    Recorder::start(options(limit, set.clone()), store, there, 50 * SEC, UNIX).expect("begun")
+fn start_recorder(
+    limit: u64,
+    settings: &Settings,
+    store: Box<dyn SegmentStore>,
+    existing: &[(u64, u64)],
+) -> Recorder {
+    Recorder::start(options(limit, settings.clone()), store, existing, 50 * SEC, UNIX).expect("begun")
 }
 
-/// Plays the steps and records them; gives the recording and what was recorded of the rest.
-fn record(steps: &[Step], set: &Settings, limit: u64) -> Vec<u8> {
-    let recorder = Rc::new(RefCell::new(begin(limit, set, Box::new(MemoryStore::default()), &[])));
-    play(steps, set, recorder.clone());
+/// Plays the steps and returns the recording.
+fn record(steps: &[Step], settings: &Settings, limit: u64) -> Vec<u8> {
+    let recorder =
+        Rc::new(RefCell::new(start_recorder(limit, settings, Box::new(MemoryStore::default()), &[])));
+    play(steps, settings, recorder.clone());
     let mut bytes = Vec::new();
     recorder.borrow().dump(&mut bytes).expect("written");
     assert!(bytes.len() as u64 <= limit, "{} of {limit}", bytes.len());
     bytes
 }
 
-fn play(steps: &[Step], set: &Settings, recorder: Rc<RefCell<Recorder>>) -> Checker {
+fn play(steps: &[Step], settings: &Settings, recorder: Rc<RefCell<Recorder>>) -> Checker {
     let watch = move |at: Micros, events: &[Event], actions: &[Action], sender: &Sender| {
         recorder
             .borrow_mut()
             .record_turn(at, UNIX + at - 50 * SEC, events, actions, sender)
             .expect("recorded");
     };
-    let mut world = Checker::observed(set.clone(), SEED, Some(Box::new(watch)));
+    let mut world = Checker::observed(settings.clone(), SEED, Some(Box::new(watch)));
     steps.iter().for_each(|s| world.step(s));
     world.advance(60 * SEC);
     world
@@ -59,16 +66,16 @@
     explainer.finish()
 }
 
-fn everything() -> Query {
+fn all_messages() -> Query {
     Query { from: Some(1), ..Query::default() }
 }
 
-/// No span is empty, none overlaps another, and none is missing between two.
-fn is_without_holes(c: &MessageTimeline) -> bool {
-    c.spans.iter().all(|s| s.from < s.to) && c.spans.windows(2).all(|w| w[0].to == w[1].from)
+/// Returns whether no span is empty and each begins where the previous one ends.
+fn is_contiguous(timeline: &MessageTimeline) -> bool {
+    timeline.spans.iter().all(|s| s.from < s.to) && timeline.spans.windows(2).all(|w| w[0].to == w[1].from)
 }
 
-/// Steps enough for a few hundred turns, the same each time.
+/// Returns steps for a few hundred turns, the same each time.
 fn long_steps() -> Vec<Step> {
     let mut steps = Vec::new();
     for n in 0..120u64 {
@@ -89,44 +96,44 @@
         rng_seed: proptest::test_runner::RngSeed::Fixed(17), ..ProptestConfig::default() })]
 
     #[test]
-    fn what_was_recorded_is_decided_again_bit_for_bit(
+    fn replay_repeats_the_recorded_decisions_bit_for_bit(
         steps in prop::collection::vec(step(), 1..100),
         slots in 1..9u32,
         may_send_notes in any::<bool>(),
         limit in 60_000..400_000u64,
     ) {
-        let set = Settings { slots, may_send_notes, senders: 9, ..settings() };
-        let bytes = record(&steps, &set, limit);
+        let settings = Settings { slots, may_send_notes, senders: 9, ..settings() };
+        let bytes = record(&steps, &settings, limit);
         let done = replay(&Recording::read(&bytes), &mut NoObserver);
         prop_assert!(done.is_equal() && done.damage.is_empty() && done.other_builds.is_empty(), "{done:?}");
         prop_assert!(done.turns > 0);
     }
 
     #[test]
-    fn a_changed_decision_is_found_at_its_turn(
+    fn changed_decision_is_found_at_its_turn(
         steps in prop::collection::vec(step(), 10..60),
         pick in any::<prop::sample::Index>(),
     ) {
-        let set = settings();
-        let bytes = record(&steps, &set, 1 << 20);
+        let settings = settings();
+        let bytes = record(&steps, &settings, 1 << 20);
         let recording = Recording::read(&bytes);
-        // The same recording with one action changed.
+        // Changes one action of the recording.
         let mut records: Vec<Record> = recording.segments[0].records().collect();
-        let with: Vec<usize> = (0..records.len())
+        let turns_with_actions: Vec<usize> = (0..records.len())
             .filter(|n| matches!(&records[*n], Record::Turn(t) if !t.actions.is_empty()))
             .collect();
-        prop_assume!(!with.is_empty());
-        let at = with[pick.index(with.len())];
+        prop_assume!(!turns_with_actions.is_empty());
+        let at = turns_with_actions[pick.index(turns_with_actions.len())];
         let Record::Turn(turn) = &mut records[at] else { unreachable!() };
-        let (number, place) = (turn.number, turn.actions.len() - 1);
-        turn.actions[place] = Action::Log("never said".into());
+        let (number, index) = (turn.number, turn.actions.len() - 1);
+        turn.actions[index] = Action::Log("changed action".into());
         let mut changed = MAGIC.to_vec();
         let header = Record::Header(Box::new(recording.segments[0].header.clone()));
         format::write_record(&header, &mut changed).expect("fits");
         records.iter().for_each(|r| format::write_record(r, &mut changed).expect("fits"));
         let found = replay(&Recording::read(&changed), &mut NoObserver).difference.expect("found");
-        prop_assert_eq!((found.turn, found.action_index), (number, place));
-        prop_assert_eq!(found.recorded, Some(Action::Log("never said".into())));
+        prop_assert_eq!((found.turn, found.action_index), (number, index));
+        prop_assert_eq!(found.recorded, Some(Action::Log("changed action".into())));
     }
 
     #[test]
@@ -134,11 +141,11 @@
         steps in prop::collection::vec(step(), 1..100),
         slots in 1..5u32,
     ) {
-        let set = Settings { slots, ..settings() };
-        let all = explain(&record(&steps, &set, 4 << 20), everything());
+        let settings = Settings { slots, ..settings() };
+        let all = explain(&record(&steps, &settings, 4 << 20), all_messages());
         for e in &all {
             prop_assert_eq!(e.held_by_spans, e.held_by_count);
-            prop_assert!(e.timelines.iter().all(is_without_holes));
+            prop_assert!(e.timelines.iter().all(is_contiguous));
             let held: Micros = e.timelines.iter().map(MessageTimeline::held).sum();
             prop_assert_eq!(held, e.held_by_spans);
             prop_assert!(e.timelines.iter().all(|c| c.end.is_some()), "all have ended");
@@ -147,52 +154,55 @@
 }
 
 #[test]
-fn a_recording_cut_at_any_byte_ends_clearly() {
+fn recording_truncated_at_any_byte_is_replayed_up_to_the_last_complete_record() {
     let bytes = record(&long_steps()[..60], &settings(), 1 << 20);
-    let whole = replay(&Recording::read(&bytes), &mut NoObserver);
-    assert!(whole.is_equal() && whole.damage.is_empty());
-    let mut last = 0;
-    for cut in 0..bytes.len() {
-        let done = replay(&Recording::read(&bytes[..cut]), &mut NoObserver);
-        assert!(done.difference.is_none() && done.state_differs.is_none(), "cut at {cut}: {done:?}");
-        // Turns up to the last whole record, never fewer than with a shorter cut, never more than there are.
-        assert!(done.turns >= last && done.turns <= whole.turns, "cut at {cut}");
+    let complete = replay(&Recording::read(&bytes), &mut NoObserver);
+    assert!(complete.is_equal() && complete.damage.is_empty());
+    let mut last_turns = 0;
+    for len in 0..bytes.len() {
+        let done = replay(&Recording::read(&bytes[..len]), &mut NoObserver);
+        assert!(done.difference.is_none() && done.state_differs.is_none(), "truncated at {len}: {done:?}");
+        // All turns up to the last complete record are replayed: never fewer than of a shorter part.
+        assert!(done.turns >= last_turns && done.turns <= complete.turns, "truncated at {len}");
         assert!(
-            done.turns < whole.turns && (cut == 0) == (done.segments == 0 && done.damage.is_empty())
-                || cut > 0
+            done.turns < complete.turns && (len == 0) == (done.segments == 0 && done.damage.is_empty())
+                || len > 0
         );
-        last = done.turns;
+        last_turns = done.turns;
     }
-    assert_eq!(last, whole.turns - 1, "all but the last whole record");
+    assert_eq!(last_turns, complete.turns - 1, "all but the last record");
 }
 
 #[test]
-fn a_spoilt_byte_anywhere_is_said_and_the_segments_behind_it_are_played() {
+fn damaged_byte_is_reported_and_the_segments_after_it_are_replayed() {
     let steps = long_steps();
     let steps: Vec<Step> = steps.iter().cycle().take(steps.len() * 3).cloned().collect();
     let bytes = record(&steps, &settings(), 120_000);
-    let whole = replay(&Recording::read(&bytes), &mut NoObserver);
-    assert!(whole.is_equal() && whole.segments >= 3, "{} segments", whole.segments);
-    let mut spoilt = bytes.clone();
+    let complete = replay(&Recording::read(&bytes), &mut NoObserver);
+    assert!(complete.is_equal() && complete.segments >= 3, "{} segments", complete.segments);
+    let mut damaged = bytes.clone();
     for at in (0..bytes.len()).step_by(211) {
-        spoilt[at] ^= 0x20;
-        let done = replay(&Recording::read(&spoilt), &mut NoObserver);
-        assert!(!done.damage.is_empty(), "byte {at} passed unseen");
+        damaged[at] ^= 0x20;
+        let done = replay(&Recording::read(&damaged), &mut NoObserver);
+        assert!(!done.damage.is_empty(), "byte {at}: the damage is not detected");
         assert!(done.difference.is_none(), "byte {at}: {done:?}");
-        // At most the segment that it lies in is lost.
-        assert!(done.segments + 1 >= whole.segments, "byte {at}: {} segments", done.segments);
-        spoilt[at] ^= 0x20;
+        // At most the segment with the damaged byte is lost.
+        assert!(done.segments + 1 >= complete.segments, "byte {at}: {} segments", done.segments);
+        damaged[at] ^= 0x20;
     }
 }
 
 #[test]
-fn a_ring_keeps_the_newest_turns_and_each_segment_plays_by_itself() {
-    let (set, steps) = (settings(), long_steps());
+fn ring_keeps_the_newest_turns_and_each_segment_can_be_replayed_alone() {
+    let (settings, steps) = (settings(), long_steps());
     let long: Vec<Step> = steps.iter().cycle().take(steps.len() * 6).cloned().collect();
-    let bytes = record(&long, &set, 60_000);
+    let bytes = record(&long, &settings, 60_000);
     let recording = Recording::read(&bytes);
     let first = &recording.segments[0].header;
-    assert!(first.segment > 0 && matches!(first.start, SegmentStart::State(_)), "the beginning gave way");
+    assert!(
+        first.segment > 0 && matches!(first.start, SegmentStart::State(_)),
+        "the first segments were removed"
+    );
     let done = replay(&recording, &mut NoObserver);
     assert!(done.is_equal(), "{done:?}");
     assert_eq!((done.segments, done.states), (recording.segments.len(), recording.segments.len() - 1));
@@ -201,23 +211,23 @@
         let alone = replay(&Recording::read(&bytes[s.offset..end]), &mut NoObserver);
         assert!(alone.is_equal() && alone.segments == 1, "segment {n}: {alone:?}");
     }
-    let all = explain(&bytes, everything());
-    assert!(all[0].timelines.iter().any(|c| c.from_before), "something was held when it begins");
+    let all = explain(&bytes, all_messages());
+    assert!(all[0].timelines.iter().any(|c| c.from_before), "a message was held at the start");
     assert_eq!(all[0].held_by_spans, all[0].held_by_count);
 }
 
 #[test]
-fn a_killed_process_leaves_whole_records_in_the_folder_and_the_next_goes_on_behind_it() {
-    let (set, folder) = (settings(), tempfile::tempdir().expect("a folder"));
+fn killed_process_leaves_complete_records_and_the_next_continues_after_them() {
+    let (settings, folder) = (settings(), tempfile::tempdir().expect("a folder"));
     let steps = long_steps();
     for run in 0..3 {
-        let (store, there) = FolderStore::open(folder.path()).expect("a folder");
-        assert_eq!(there.is_empty(), run == 0);
-        let mut recorder = begin(1 << 20, &set, Box::new(store), &there);
+        let (store, existing) = FolderStore::open(folder.path()).expect("a folder");
+        assert_eq!(existing.is_empty(), run == 0);
+        let mut recorder = start_recorder(1 << 20, &settings, Box::new(store), &existing);
         recorder.record_name(EndpointId(1), "s-1").expect("recorded");
         let recorder = Rc::new(RefCell::new(recorder));
-        play(&steps[..90], &set, recorder.clone());
-        // Killed: nothing is said to the recorder; the last record is torn.
+        play(&steps[..90], &settings, recorder.clone());
+        // A kill: the recorder is not closed, and the last record is incomplete.
         drop(recorder);
         let last = std::fs::read_dir(folder.path()).expect("read").flatten().map(|e| e.path()).max();
         let last = last.expect("a segment");
@@ -234,10 +244,10 @@
 }
 
 #[test]
-fn other_builds_are_named_and_their_states_are_not_guessed_at() {
+fn other_builds_are_reported_and_their_states_are_not_read() {
     let bytes = record(&long_steps(), &settings(), 120_000);
     let recording = Recording::read(&bytes);
-    // The beginning is kept: any build can play it. A state of another form is turned down.
+    // Any build can replay a recording from the start of its process. A state in another format is skipped.
     let mut other = Vec::new();
     for s in &recording.segments {
         let mut header = s.header.clone();
@@ -248,9 +258,9 @@
     }
     let done = replay(&Recording::read(&other), &mut NoObserver);
     assert_eq!(done.other_builds, [1]);
-    let begins_fresh = matches!(recording.segments[0].header.start, SegmentStart::Fresh { .. });
-    if begins_fresh {
-        assert!(done.is_equal(), "played on from the beginning: {done:?}");
+    let has_fresh_start = matches!(recording.segments[0].header.start, SegmentStart::Fresh { .. });
+    if has_fresh_start {
+        assert!(done.is_equal(), "replayed from the start: {done:?}");
     }
     let second = Recording::read(&other).segments[1].offset;
     let done = replay(&Recording::read(&other[second..]), &mut NoObserver);
@@ -263,7 +273,7 @@
 }
 
 #[test]
-fn garbage_is_no_recording_and_never_a_panic() {
+fn random_bytes_are_no_recording_and_cause_no_panic() {
     let mut rng = 1u64;
     for length in 0..400 {
         let mut bytes = if length % 3 == 0 { MAGIC.to_vec() } else { Vec::new() };
@@ -278,13 +288,13 @@
 }
 
 #[test]
-fn a_state_that_does_not_fit_the_limit_is_said() {
-    let began = Recorder::start(options(100, settings()), Box::new(MemoryStore::default()), &[], 0, UNIX);
-    let why = began.err().expect("too small").to_string();
+fn state_that_does_not_fit_into_the_limit_is_refused_with_the_reason() {
+    let started = Recorder::start(options(100, settings()), Box::new(MemoryStore::default()), &[], 0, UNIX);
+    let why = started.err().expect("too small").to_string();
     assert!(why.contains("needs a limit"), "{why}");
 }
 
-/// One destination with one endpoint; what is told is recorded.
+/// A recorded sender with one destination that has one endpoint.
 struct Bench {
     sender: Sender,
     recorder: Recorder,
@@ -294,15 +304,15 @@
 }
 
 impl Bench {
-    fn new(set: Settings) -> Self {
-        let recorder = begin(8 << 20, &set, Box::new(MemoryStore::default()), &[]);
-        let sender = Sender::new(set, SEED).expect("sound");
+    fn new(settings: Settings) -> Self {
+        let recorder = start_recorder(8 << 20, &settings, Box::new(MemoryStore::default()), &[]);
+        let sender = Sender::new(settings, SEED).expect("sound");
         let mut bench = Self { sender, recorder, now: 50 * SEC, unix: UNIX, next: 1 };
-        bench.tell(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
+        bench.handle(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
         bench
     }
 
-    fn tell(&mut self, events: Vec<Event>) -> Vec<Action> {
+    fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
         self.recorder.record_turn(self.now, self.unix, &events, &actions, &self.sender).expect("recorded");
@@ -311,22 +321,22 @@
 
     fn wait(&mut self, span: Micros) -> Vec<Action> {
         (self.now, self.unix) = (self.now + span, self.unix + span);
-        self.tell(vec![Event::Wake])
+        self.handle(vec![Event::Wake])
     }
 
-    fn take(&mut self, class: u32) -> u64 {
+    fn accept(&mut self, class: u32) -> u64 {
         let id = self.next;
         self.next += 1;
         let (dest, expires_in) = (DestinationId(1), 20 * SEC);
         let message =
             Message { id: MessageId(id), class, tenant: None, key: None, dest, is_retry: false, expires_in };
-        self.tell(vec![Event::Taken(message)]);
+        self.handle(vec![Event::Taken(message)]);
         id
     }
 
     fn end(&mut self, id: u64, attempt: u32, outcome: Outcome) {
         let (id, is_final) = (MessageId(id), outcome == Outcome::Served);
-        self.tell(vec![Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
+        self.handle(vec![Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
     fn explain(&self, question: Query) -> Explanation {
@@ -337,21 +347,21 @@
 
     fn spans(&self, id: u64) -> Vec<(MessageState, Micros)> {
         let e = self.explain(Query { message: Some(MessageId(id)), ..Query::default() });
-        e.timelines[0].spans.iter().map(|s| (s.at, s.to - s.from)).collect()
+        e.timelines[0].spans.iter().map(|s| (s.state, s.to - s.from)).collect()
     }
 }
 
 #[test]
-fn a_window_that_is_full_and_a_wait_that_was_told_are_named_in_turn() {
-    let mut b = Bench::new(settings());
-    let (first, second) = (b.take(common::IDEMPOTENT), b.take(common::IDEMPOTENT));
-    b.wait(200 * MS);
-    b.end(first, 0, Outcome::Full { wait: Some(SEC) });
-    b.wait(300 * MS);
+fn full_window_and_then_requested_wait_are_reported_in_order() {
+    let mut bench = Bench::new(settings());
+    let (first, second) = (bench.accept(common::IDEMPOTENT), bench.accept(common::IDEMPOTENT));
+    bench.wait(200 * MS);
+    bench.end(first, 0, Outcome::Full { wait: Some(SEC) });
+    bench.wait(300 * MS);
     for _ in 0..20 {
-        b.wait(100 * MS);
+        bench.wait(100 * MS);
     }
-    let spans = b.spans(second);
+    let spans = bench.spans(second);
     assert_eq!(spans[0], (MessageState::Held(Guard::Window), 200 * MS), "{spans:?}");
     let all: Vec<MessageState> = spans.iter().map(|s| s.0).collect();
     assert!(all.contains(&MessageState::Held(Guard::Wait)), "{spans:?}");
@@ -360,74 +370,75 @@
 }
 
 #[test]
-fn of_two_guards_that_hold_at_once_the_one_that_lets_go_last_is_named() {
-    let (soon, late) = (Hold::until(Guard::Again, 5), Hold::until(Guard::Wait, 9));
-    assert_eq!(soon.later(late), late);
-    assert_eq!(late.later(soon), late);
-    // What waits for an event may never let go.
-    assert_eq!(late.later(Hold::until_event(Guard::Window)).guard, Guard::Window);
-    let mut b = Bench::new(settings());
-    let id = b.take(common::IDEMPOTENT);
-    // The message pauses for 300 ms after a failed connection; the destination told to wait for two seconds.
-    let other = b.take(common::IDEMPOTENT);
-    b.end(id, 0, Outcome::ConnectFailed);
-    b.wait(SEC);
-    let out = b.sender.open_messages().into_iter().find(|o| o.3).map(|o| o.0.0);
-    if let Some(out) = out {
-        let attempt = u32::from(out == id);
-        b.end(out, attempt, Outcome::Full { wait: Some(2 * SEC) });
-        b.wait(10 * MS);
-        let held: Vec<Guard> = b.sender.holds().iter().map(|h| h.2.guard).collect();
+fn of_two_guards_that_hold_at_once_the_one_that_releases_last_is_reported() {
+    let (earlier, later) = (Hold::until(Guard::Again, 5), Hold::until(Guard::Wait, 9));
+    assert_eq!(earlier.later(later), later);
+    assert_eq!(later.later(earlier), later);
+    // A guard that waits for an event may never release.
+    assert_eq!(later.later(Hold::until_event(Guard::Window)).guard, Guard::Window);
+    let mut bench = Bench::new(settings());
+    let id = bench.accept(common::IDEMPOTENT);
+    // The message is paused for 300 ms after a failed connection; the destination requests a wait of two
+    // seconds.
+    let other = bench.accept(common::IDEMPOTENT);
+    bench.end(id, 0, Outcome::ConnectFailed);
+    bench.wait(SEC);
+    let in_flight = bench.sender.open_messages().into_iter().find(|o| o.3).map(|o| o.0.0);
+    if let Some(in_flight) = in_flight {
+        let attempt = u32::from(in_flight == id);
+        bench.end(in_flight, attempt, Outcome::Full { wait: Some(2 * SEC) });
+        bench.wait(10 * MS);
+        let held: Vec<Guard> = bench.sender.holds().iter().map(|h| h.2.guard).collect();
         assert!(held.iter().all(|g| *g == Guard::Wait), "{held:?} for {id} and {other}");
     }
 }
 
 #[test]
-fn a_message_that_is_never_sent_has_its_whole_time_explained() {
-    let mut b = Bench::new(settings());
-    // The list names its destination no more while it waits.
-    b.tell(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
-    let id = b.take(common::AT_MOST_ONCE);
+fn whole_time_of_a_message_that_is_never_sent_is_explained() {
+    let mut bench = Bench::new(settings());
+    // The destination leaves the endpoint list before the message is accepted.
+    bench.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    let id = bench.accept(common::AT_MOST_ONCE);
     for _ in 0..250 {
-        b.wait(100 * MS);
+        bench.wait(100 * MS);
     }
-    let e = b.explain(Query { message: Some(MessageId(id)), ..Query::default() });
-    let course = &e.timelines[0];
-    assert_eq!(course.end.as_deref(), Some("refused"));
-    assert!(course.spans.iter().all(|s| s.at == MessageState::Held(Guard::Drained)), "{course:?}");
-    assert!(course.held() >= 19 * SEC);
+    let e = bench.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+    let timeline = &e.timelines[0];
+    assert_eq!(timeline.end.as_deref(), Some("refused"));
+    assert!(timeline.spans.iter().all(|s| s.state == MessageState::Held(Guard::Drained)), "{timeline:?}");
+    assert!(timeline.held() >= 19 * SEC);
     assert_eq!((e.totals.len(), e.totals[0].guard), (1, Guard::Drained));
 }
 
 #[test]
-fn a_destination_that_leaves_the_list_while_messages_wait_is_named_from_then_on() {
-    let mut b = Bench::new(settings());
-    let (first, second) = (b.take(common::IDEMPOTENT), b.take(common::AT_MOST_ONCE));
-    b.wait(200 * MS);
-    b.tell(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
-    b.wait(300 * MS);
-    b.end(first, 0, Outcome::Served);
+fn destination_that_leaves_the_list_is_the_reported_guard_from_then_on() {
+    let mut bench = Bench::new(settings());
+    let (first, second) = (bench.accept(common::IDEMPOTENT), bench.accept(common::AT_MOST_ONCE));
+    bench.wait(200 * MS);
+    bench.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    bench.wait(300 * MS);
+    bench.end(first, 0, Outcome::Served);
     for _ in 0..250 {
-        b.wait(100 * MS);
+        bench.wait(100 * MS);
     }
-    let e = b.explain(Query { message: Some(MessageId(second)), ..Query::default() });
+    let e = bench.explain(Query { message: Some(MessageId(second)), ..Query::default() });
     let spans = &e.timelines[0].spans;
-    assert_eq!(spans[0].at, MessageState::Held(Guard::Window), "{spans:?}");
-    assert_eq!(spans[1].at, MessageState::Held(Guard::Drained), "{spans:?}");
+    assert_eq!(spans[0].state, MessageState::Held(Guard::Window), "{spans:?}");
+    assert_eq!(spans[1].state, MessageState::Held(Guard::Drained), "{spans:?}");
     assert_eq!(spans[1].from - spans[0].from, 200 * MS);
     assert!(spans[0].ended.contains("the list of endpoints changed"), "{}", spans[0].ended);
     assert_eq!(e.timelines[0].end.as_deref(), Some("refused"));
 }
 
 #[test]
-fn a_clock_that_steps_is_told_and_changes_no_span() {
-    let mut b = Bench::new(settings());
-    let id = b.take(common::IDEMPOTENT);
-    b.wait(SEC);
-    b.unix -= 3_600 * SEC;
-    b.wait(SEC);
-    b.end(id, 0, Outcome::Served);
-    let e = b.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+fn clock_step_is_reported_and_changes_no_span() {
+    let mut bench = Bench::new(settings());
+    let id = bench.accept(common::IDEMPOTENT);
+    bench.wait(SEC);
+    bench.unix -= 3_600 * SEC;
+    bench.wait(SEC);
+    bench.end(id, 0, Outcome::Served);
+    let e = bench.explain(Query { message: Some(MessageId(id)), ..Query::default() });
     assert_eq!(e.clock_steps.len(), 1);
     assert_eq!(e.clock_steps[0].1, -3_600_000_000);
     assert_eq!(e.timelines[0].spans.iter().map(|s| s.to - s.from).sum::<Micros>(), 2 * SEC);
@@ -435,27 +446,27 @@
 }
 
 #[test]
-fn a_destinations_cuts_have_their_causes_and_it_can_be_drawn() {
-    let mut b = Bench::new(settings());
+fn window_cuts_have_causes_and_are_drawn() {
+    let mut bench = Bench::new(settings());
     for _ in 0..6 {
-        let id = b.take(common::IDEMPOTENT);
-        b.wait(100 * MS);
-        b.end(id, 0, Outcome::Served);
+        let id = bench.accept(common::IDEMPOTENT);
+        bench.wait(100 * MS);
+        bench.end(id, 0, Outcome::Served);
     }
-    let id = b.take(common::IDEMPOTENT);
-    b.wait(100 * MS);
-    b.end(id, 0, Outcome::Full { wait: None });
-    b.wait(SEC);
-    let e = b.explain(Query { dest: Some(DestinationId(1)), ..Query::default() });
+    let id = bench.accept(common::IDEMPOTENT);
+    bench.wait(100 * MS);
+    bench.end(id, 0, Outcome::Full { wait: None });
+    bench.wait(SEC);
+    let e = bench.explain(Query { dest: Some(DestinationId(1)), ..Query::default() });
     assert_eq!(e.cuts.len(), 1, "{:?}", e.cuts);
-    assert!(e.cuts[0].cause.contains("no wait told") && e.cuts[0].to < e.cuts[0].from);
+    assert!(e.cuts[0].cause.contains("without a wait time") && e.cuts[0].to < e.cuts[0].from);
     let svg = plot::draw(&e, 1);
-    assert!(svg.starts_with("<svg") && svg.ends_with("</svg>\n") && svg.contains("no wait told"));
+    assert!(svg.starts_with("<svg") && svg.ends_with("</svg>\n") && svg.contains("without a wait time"));
     assert!(serde_json::to_string(&e).expect("json").contains("\"cuts\""));
 }
 
 #[test]
-fn ten_thousand_destinations_are_recorded_and_explained() {
+fn ten_thousand_destinations_can_be_recorded_and_explained() {
     struct Count(u64);
     impl ReplayObserver for Count {
         fn on_segment(&mut self, _: &format::Header, _: &Sender, _: bool) {}
@@ -463,26 +474,26 @@
             self.0 += sender.waiting_count() as u64;
         }
     }
-    let set = Settings { slots: 64, max_held: 20_000, ..settings() };
-    let mut b = Bench::new(set);
+    let settings = Settings { slots: 64, max_held: 20_000, ..settings() };
+    let mut bench = Bench::new(settings);
     let entries = (0..10_000).map(|n| common::entry(n, u64::from(n) + 1, 0, Phase::Live)).collect();
-    b.tell(vec![Event::List(ListUpdate::Whole(entries))]);
+    bench.handle(vec![Event::List(ListUpdate::Whole(entries))]);
     let taken = (0..2_000u64).map(|n| {
         let (dest, expires_in) = (DestinationId(1 + n * 5), 20 * SEC);
         let id = MessageId(1_000 + n);
         Event::Taken(Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in })
     });
-    b.tell(taken.collect());
+    bench.handle(taken.collect());
     for _ in 0..5 {
-        b.wait(100 * MS);
+        bench.wait(100 * MS);
     }
     let mut bytes = Vec::new();
-    b.recorder.dump(&mut bytes).expect("written");
+    bench.recorder.dump(&mut bytes).expect("written");
     assert!(bytes.len() <= 8 << 20);
     let mut count = Count(0);
     assert!(replay(&Recording::read(&bytes), &mut count).is_equal());
     assert!(count.0 > 5_000);
-    let e = b.explain(everything());
+    let e = bench.explain(all_messages());
     assert_eq!(e.held_by_spans, e.held_by_count);
     assert!(e.totals.iter().any(|t| t.guard == Guard::Slots && t.messages > 1_900), "{:?}", e.totals);
 }
--- a/crates/store/src/checkpoint.rs
+++ b/crates/store/src/checkpoint.rs
@@ -1,5 +1,5 @@
-//! The checkpoint of the index: the places of all keys, so that a start reads only a small part of a long log.
-//! The checkpoint is an optimization: the index can always be rebuilt from the log alone.
+//! The checkpoint of the index: the places of all keys, so that a start reads only a small part of a long
+//! log. The checkpoint is an optimization: the index can always be rebuilt from the log alone.
 //!
 //! It is written in steps while the index keeps changing. Replaying the log from the segment that the
 //! checkpoint names sets each key to its last place, no matter at which point an entry was written.
--- a/crates/store/src/compact.rs
+++ b/crates/store/src/compact.rs
@@ -63,8 +63,8 @@
                 Ok(frame) => frame,
                 Err(FrameError::Truncated) if bytes_read > 0 => break,
                 Err(error) => {
-                    // The frame was valid before. Other frames of the segment may be needed, so the segment is
-                    // kept.
+                    // The frame was valid before. Other frames of the segment may be needed, so the segment
+                    // is kept.
                     let damage = invalid_frame(segment, u64::from(offset) + bytes_read as u64, error);
                     self.compaction_error = Some(damage.clone());
                     return Err(damage.into());
--- a/crates/store/src/plan.rs
+++ b/crates/store/src/plan.rs
@@ -1,5 +1,5 @@
-//! The decisions of the store: which writes to admit, when a segment is full, and when and how fast to compact
-//! the log.
+//! The decisions of the store: which writes to admit, when a segment is full, and when and how fast to
+//! compact the log.
 
 use crate::format::{HEADER_LEN, MAX_SEGMENT_LEN};
 use std::ops::RangeInclusive;
@@ -7,8 +7,8 @@
 /// What a write survives once it is durable.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Durability {
-    /// Every write survives the end of the process, in whatever way it ends. A loss of power may lose the last
-    /// writes.
+    /// Every write survives the end of the process, in whatever way it ends. A loss of power may lose the
+    /// last writes.
     #[default]
     Process,
     /// Synced writes survive a loss of power. Callers wait for the sync before they acknowledge anything.
@@ -97,8 +97,8 @@
     }
 }
 
-/// The bytes that one step of compaction reads, checks and copies: well under two milliseconds, even on a slow
-/// core.
+/// The bytes that one step of compaction reads, checks and copies: well under two milliseconds, even on a
+/// slow core.
 const DEFAULT_STEP_BYTES: usize = 64 << 10;
 /// The smallest limit with checkpoints: below it, reading the whole log takes less than a tenth of a second.
 const MIN_LIMIT_FOR_CHECKPOINTS: u64 = 256 << 20;
@@ -167,8 +167,8 @@
         usage.used_bytes + added + 2 * BLOCK <= self.limit_bytes
     }
 
-    /// Returns whether a new segment must be started before this number of bytes is added to a segment of this
-    /// length.
+    /// Returns whether a new segment must be started before this number of bytes is added to a segment of
+    /// this length.
     pub fn should_roll(&self, len: u64, added: u64) -> bool {
         len > HEADER_LEN as u64 && len + added > self.segment_len
     }
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -1,10 +1,10 @@
 //! Interprets the bytes of a folder. Bytes that a crash can leave behind are dropped and reported; any other
 //! invalid bytes are an error with their position.
 //!
-//! A crash of the process leaves complete writes and one torn write, at the end of the last segment. A loss of
-//! power may also leave holes in the part that was not synced. Each frame contains the length up to which its
-//! segment was durable when the frame was written (`durable_len`). Invalid bytes before that point of a later
-//! valid frame were durable before, so they are damage and not the result of a crash.
+//! A crash of the process leaves complete writes and one torn write, at the end of the last segment. A loss
+//! of power may also leave holes in the part that was not synced. Each frame contains the length up to which
+//! its segment was durable when the frame was written (`durable_len`). Invalid bytes before that point of a
+//! later valid frame were durable before, so they are damage and not the result of a crash.
 
 use crate::error::Corruption;
 use crate::format::{
@@ -69,15 +69,15 @@
 pub struct Order {
     /// The segments that make up the log, oldest first: number, file length and header.
     pub log: Vec<(u32, u64, Header)>,
-    /// Segments below a gap in the numbers, which must have been dropped. The log's start has to confirm this.
+    /// Segments below a gap in the numbers, which must have been dropped. The log's start has to confirm
+    /// this.
     pub below_gap: Vec<u32>,
 }
 
 /// Checks the headers against one another and orders the segments.
 ///
-/// # Errors
-/// A header is invalid or belongs to another file or store, a segment is missing, or a segment is shorter than
-/// the next one declares.
+/// # Errors A header is invalid or belongs to another file or store, a segment is missing, or a segment is
+/// shorter than the next one declares.
 pub fn order(mut found: Vec<SegmentFile>) -> Result<Order, Corruption> {
     found.sort_by_key(|f| f.number);
     let mut log: Vec<(u32, u64, Header)> = Vec::new();
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -486,8 +486,8 @@
         let active = &self.active;
         let end = Point { len: active.written_len, checksum: active.checksum, seq: self.next_seq };
         let header = self.header_after(end);
-        // If creating the segment fails, its file may still have got its final name, and its header says where
-        // the active segment ends. Nothing may be appended to the active segment after that.
+        // If creating the segment fails, its file may still have got its final name, and its header says
+        // where the active segment ends. Nothing may be appended to the active segment after that.
         self.must_roll = true;
         let new_segment = create_segment(&*self.disk, &self.options, header, &[])?;
         self.activate(new_segment, end);
@@ -515,9 +515,9 @@
         self.remove_obsolete();
     }
 
-    /// Repairs the log after a torn write that could not be cut off, or after a failed sync: writes everything
-    /// after the last trusted point again, in a new segment. The old segment is no longer trusted beyond that
-    /// point.
+    /// Repairs the log after a torn write that could not be cut off, or after a failed sync: writes
+    /// everything after the last trusted point again, in a new segment. The old segment is no longer trusted
+    /// beyond that point.
     fn repair(&mut self) -> Result<(), Error> {
         let Some(trusted) = self.untrusted_from else { return Ok(()) };
         let active = &self.active;
