--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -136,14 +136,19 @@
 
 #[test]
 fn bundle_counts_as_one_call() {
-    let settings = settings();
-    let mut rig = Rig::new(settings.clone(), 2, 1);
+    let module_settings = settings();
+    let mut rig = Rig::new(module_settings.clone(), 2, 1);
     rig.submit_many(8);
     let first_action = rig.actions.len();
     rig.end_all(Outcome::Served);
     let new_actions: Vec<Action> = rig.actions[first_action..].iter().map(|(_, a)| a.clone()).collect();
-    let options =
-        Options { limit_bytes: 1 << 20, sender: "a".into(), classes: vec![], settings: settings, seed: 7 };
+    let options = Options {
+        limit_bytes: 1 << 20,
+        sender: "a".into(),
+        classes: vec![],
+        settings: module_settings,
+        seed: 7,
+    };
     let mut recorder =
         Recorder::start(options, Box::new(MemoryStore::default()), &[], rig.now, UNIX).expect("begun");
     let list = Event::List(ListUpdate::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -162,7 +162,8 @@
     for len in 0..bytes.len() {
         let done = replay(&Recording::read(&bytes[..len]), &mut NoObserver);
         assert!(done.difference.is_none() && done.state_differs.is_none(), "truncated at {len}: {done:?}");
-        // All turns up to the last complete record are replayed: never fewer than of a shorter part.
+        // All turns up to the last complete record are replayed: never fewer than from a shorter part, and
+        // never more than were recorded.
         assert!(done.turns >= last_turns && done.turns <= complete.turns, "truncated at {len}");
         assert!(
             done.turns < complete.turns && (len == 0) == (done.segments == 0 && done.damage.is_empty())
--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -1,6 +1,6 @@
-//! What the store costs, beside what it replaces (one file, written anew whole when it is full) and beside an
-//! embedded store from the registry, in one run: messages a second, the longest pause, bytes written, the
-//! next start.
+//! Compares the store with its predecessor (one file that is rewritten when it is full) and with an embedded
+//! store from the registry, in one run: messages per second, the longest pause, the bytes written, and the
+//! time of the next start.
 //!
 //! `cargo run --release -p notchpoint-store --example compare -- [STATE_MB [MESSAGES [FOLDER]]]`
 
@@ -17,41 +17,41 @@
 
 type Failure = Box<dyn Error>;
 
-const BODY: usize = 1_000;
+const BODY_LEN: usize = 1_000;
 const T: Table = Table(1);
 
-/// What each does for a message: take it on, note an attempt, end it.
+/// A store under test, with the operations for a message: accept it, record an attempt, and end it.
 trait Journal {
-    fn take(&mut self, id: u64, body: &[u8]) -> Result<(), Failure>;
+    fn accept(&mut self, id: u64, body: &[u8]) -> Result<(), Failure>;
     fn attempt(&mut self, id: u64) -> Result<(), Failure>;
     fn end(&mut self, id: u64) -> Result<(), Failure>;
-    /// All that was promised is safe.
-    fn settle(&mut self) -> Result<(), Failure> {
+    /// Makes everything acknowledged durable.
+    fn sync(&mut self) -> Result<(), Failure> {
         Ok(())
     }
 }
 
-fn key(id: u64, what: u8) -> [u8; 9] {
-    let mut key = [what; 9];
+fn key(id: u64, kind: u8) -> [u8; 9] {
+    let mut key = [kind; 9];
     key[..8].copy_from_slice(&id.to_be_bytes());
     key
 }
 
 struct Segmented {
     store: Store,
-    power: bool,
+    is_power: bool,
 }
 
 impl Segmented {
-    fn open(folder: &Path, state: u64, durability: Durability) -> Result<Self, Failure> {
+    fn open(folder: &Path, state_bytes: u64, durability: Durability) -> Result<Self, Failure> {
         let disk = Rc::new(Folder(folder.to_owned()));
-        let options = Options { durability, ..Options::new(1, state * 5 / 2 + (4 << 20)) };
-        Ok(Self { store: Store::open(disk, options)?.0, power: durability == Durability::Power })
+        let options = Options { durability, ..Options::new(1, state_bytes * 5 / 2 + (4 << 20)) };
+        Ok(Self { store: Store::open(disk, options)?.0, is_power: durability == Durability::Power })
     }
 }
 
 impl Journal for Segmented {
-    fn take(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
+    fn accept(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
         let mut batch = Batch::default();
         batch.put(T, &key(id, b'T'), body);
         self.store.apply(&batch, WriteKind::New)?;
@@ -72,15 +72,15 @@
         Ok(())
     }
 
-    fn settle(&mut self) -> Result<(), Failure> {
-        if self.power {
+    fn sync(&mut self) -> Result<(), Failure> {
+        if self.is_power {
             self.store.sync_now()?;
         }
         Ok(())
     }
 }
 
-/// One file that is written anew whole when it is full, as builds before 0.3 did.
+/// One file that is rewritten completely when it is full, as in builds before 0.3.
 struct OneFile {
     disk: Folder,
     file: Box<dyn notchpoint_seam::File>,
@@ -90,10 +90,10 @@
 }
 
 impl OneFile {
-    fn open(folder: &Path, state: u64) -> Result<Self, Failure> {
+    fn open(folder: &Path, state_bytes: u64) -> Result<Self, Failure> {
         let disk = Folder(folder.to_owned());
         let file = disk.append("journal")?;
-        Ok(Self { disk, file, open: BTreeMap::new(), size: 0, limit: state * 5 / 2 + (4 << 20) })
+        Ok(Self { disk, file, open: BTreeMap::new(), size: 0, limit: state_bytes * 5 / 2 + (4 << 20) })
     }
 
     fn record(to: &mut Vec<u8>, kind: u8, id: u64, rest: &[u8]) {
@@ -108,12 +108,12 @@
     fn append(&mut self, kind: u8, id: u64, rest: &[u8]) -> Result<(), Failure> {
         let mut bytes = Vec::new();
         Self::record(&mut bytes, kind, id, rest);
-        let weight: u64 = self.open.len() as u64 * (BODY as u64 + 60);
-        if self.size + weight > self.limit {
+        let rewritten_len: u64 = self.open.len() as u64 * (BODY_LEN as u64 + 60);
+        if self.size + rewritten_len > self.limit {
             let mut all = Vec::new();
-            for (id, (body, tried)) in &self.open {
+            for (id, (body, is_attempted)) in &self.open {
                 Self::record(&mut all, b'T', *id, body);
-                if *tried {
+                if *is_attempted {
                     Self::record(&mut all, b'A', *id, &[0; 20]);
                 }
             }
@@ -130,7 +130,7 @@
 }
 
 impl Journal for OneFile {
-    fn take(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
+    fn accept(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
         self.append(b'T', id, body)?;
         self.open.insert(id, (body.to_vec(), false));
         Ok(())
@@ -147,44 +147,44 @@
     }
 }
 
-/// A state that redb fills in seconds.
-const REDB_MOST: u64 = 100_000_000;
+/// The maximum state in bytes that redb fills within seconds.
+const MAX_REDB_STATE: u64 = 100_000_000;
 
-const REDB: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("messages");
+const REDB_TABLE: TableDefinition<'_, &[u8], &[u8]> = TableDefinition::new("messages");
 
-/// A B-tree file of copied pages; a transaction for each step.
-struct Tree {
+/// A copy-on-write B-tree file, with a transaction for each operation.
+struct RedbStore {
     db: Database,
     durability: redb::Durability,
 }
 
-impl Tree {
-    fn step(
+impl RedbStore {
+    fn transaction(
         &self,
-        act: impl FnOnce(&mut redb::Table<'_, &[u8], &[u8]>) -> Result<(), Failure>,
+        operation: impl FnOnce(&mut redb::Table<'_, &[u8], &[u8]>) -> Result<(), Failure>,
     ) -> Result<(), Failure> {
         let mut tx = self.db.begin_write()?;
         tx.set_durability(self.durability)?;
         {
-            let mut table = tx.open_table(REDB)?;
-            act(&mut table)?;
+            let mut table = tx.open_table(REDB_TABLE)?;
+            operation(&mut table)?;
         }
         tx.commit()?;
         Ok(())
     }
 }
 
-impl Journal for Tree {
-    fn take(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
-        self.step(|t| Ok(t.insert(&key(id, b'T')[..], body).map(drop)?))
+impl Journal for RedbStore {
+    fn accept(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
+        self.transaction(|t| Ok(t.insert(&key(id, b'T')[..], body).map(drop)?))
     }
 
     fn attempt(&mut self, id: u64) -> Result<(), Failure> {
-        self.step(|t| Ok(t.insert(&key(id, b'A')[..], &[0u8; 17][..]).map(drop)?))
+        self.transaction(|t| Ok(t.insert(&key(id, b'A')[..], &[0u8; 17][..]).map(drop)?))
     }
 
     fn end(&mut self, id: u64) -> Result<(), Failure> {
-        self.step(|t| {
+        self.transaction(|t| {
             t.remove(&key(id, b'T')[..])?;
             t.remove(&key(id, b'A')[..])?;
             Ok(())
@@ -192,68 +192,69 @@
     }
 }
 
-/// Bytes that this process handed to the system to be written.
-fn handed() -> u64 {
+/// Returns the bytes that this process passed to write calls.
+fn bytes_written() -> u64 {
     let text = std::fs::read_to_string("/proc/self/io").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("wchar: "));
     line.and_then(|n| n.trim().parse().ok()).unwrap_or(0)
 }
 
-fn resident_mb() -> f64 {
+fn max_resident_mb() -> f64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmHWM:"));
     line.and_then(|l| l.trim().trim_end_matches(" kB").parse::<f64>().ok()).unwrap_or(0.0) / 1024.0
 }
 
-/// Fills the state, then so many messages come and go, the oldest first. `group` share one settling.
+/// Fills the state, then accepts and ends this number of messages, the oldest first. A sync follows each
+/// group of `group` messages.
 fn run(name: &str, journal: &mut dyn Journal, state: u64, messages: u64, group: u64) -> Result<(), Failure> {
-    let body = vec![7u8; BODY];
-    let open = (state / BODY as u64).max(1);
+    let body = vec![7u8; BODY_LEN];
+    let open = (state / BODY_LEN as u64).max(1);
     let mut queue = VecDeque::new();
     for id in 0..open {
-        journal.take(id, &body)?;
+        journal.accept(id, &body)?;
         queue.push_back(id);
     }
-    journal.settle()?;
+    journal.sync()?;
     let mut pauses = Histogram::<u64>::new_with_bounds(1, 600_000_000, 3)?;
-    let (before, begun) = (handed(), Instant::now());
+    let (before, started) = (bytes_written(), Instant::now());
     for n in 0..messages {
         let at = Instant::now();
-        journal.take(open + n, &body)?;
+        journal.accept(open + n, &body)?;
         journal.attempt(open + n)?;
         if let Some(old) = queue.pop_front() {
             journal.end(old)?;
         }
         queue.push_back(open + n);
         if n % group == group - 1 {
-            journal.settle()?;
+            journal.sync()?;
         }
         pauses.saturating_record((at.elapsed().as_nanos() as u64 / 1_000).max(1));
     }
-    let took = begun.elapsed().as_secs_f64();
-    let given = messages * (BODY as u64 + 17 + 3 * 9);
+    let elapsed = started.elapsed().as_secs_f64();
+    let payload_bytes = messages * (BODY_LEN as u64 + 17 + 3 * 9);
     println!(
         "{name:<34} {:>9.0} msg/s   p50 {:>6} us  p99 {:>6} us  longest {:>9.2} ms   {:>5.2} x written",
-        messages as f64 / took,
+        messages as f64 / elapsed,
         pauses.value_at_quantile(0.5),
         pauses.value_at_quantile(0.99),
         pauses.max() as f64 / 1_000.0,
-        (handed() - before) as f64 / given as f64
+        (bytes_written() - before) as f64 / payload_bytes as f64
     );
     Ok(())
 }
 
-/// The next start, in a process of its own, whose memory is its own.
+/// Measures the next start, in a separate process so that its memory use is measured alone.
 fn recover(folder: &Path, state: u64) -> Result<(), Failure> {
-    let begun = Instant::now();
+    let started = Instant::now();
     let store = Segmented::open(folder, state, Durability::Process)?.store;
-    let took: Duration = begun.elapsed();
+    let elapsed: Duration = started.elapsed();
     let s = store.stats();
     println!(
-        "next start: {} keys, {:.0} MB of log in {took:.2?}, {:.0} MB resident at most",
+        "next start: {} keys, {:.0} MB of log in {elapsed:.2?}, {:.0} MB resident at peak",
         s.key_count,
         s.log_bytes as f64 / 1e6,
-        resident_mb()
+        max_resident_mb()
     );
     Ok(())
 }
@@ -264,20 +265,20 @@
         let folder = args.get(1).ok_or("recover FOLDER STATE")?;
         return recover(Path::new(folder), args.get(2).ok_or("recover FOLDER STATE")?.parse()?);
     }
-    let number = |n: usize, usual: u64| args.get(n).map_or(Ok(usual), |a| a.parse::<u64>());
+    let number = |n: usize, default: u64| args.get(n).map_or(Ok(default), |a| a.parse::<u64>());
     let (state, messages) = (number(0, 3)? * 1_000_000, number(1, 20_000)?);
-    let place = args.get(2).map_or_else(std::env::temp_dir, PathBuf::from);
+    let base = args.get(2).map_or_else(std::env::temp_dir, PathBuf::from);
     println!(
-        "{} MB in force, bodies of {BODY} bytes, {messages} messages taken, tried and ended",
+        "{} MB in force, bodies of {BODY_LEN} bytes, {messages} messages accepted, attempted and ended",
         state / 1_000_000
     );
     let folder = |name: &str| -> Result<PathBuf, Failure> {
-        let path = place.join(format!("compare-{}-{name}", std::process::id()));
+        let path = base.join(format!("compare-{}-{name}", std::process::id()));
         std::fs::create_dir_all(&path)?;
         Ok(path)
     };
     let (one, seg, power, tree) = (folder("one")?, folder("seg")?, folder("power")?, folder("tree")?);
-    run("one file, written anew (before)", &mut OneFile::open(&one, state)?, state, messages, 1)?;
+    run("one file, rewritten (before 0.3)", &mut OneFile::open(&one, state)?, state, messages, 1)?;
     {
         let mut journal = Segmented::open(&seg, state, Durability::Process)?;
         run("store, process", &mut journal, state, messages, 1)?;
@@ -287,7 +288,7 @@
     std::process::Command::new(exe).arg("recover").arg(&seg).arg(state.to_string()).status()?;
     let some = messages.min(2_000);
     run(
-        "store, power, a sync for each",
+        "store, power, a sync for each message",
         &mut Segmented::open(&power, state, Durability::Power)?,
         state,
         some,
@@ -295,23 +296,23 @@
     )?;
     std::fs::remove_dir_all(&power)?;
     run(
-        "store, power, a sync for 32",
-        &mut Segmented::open(&power_again(&power)?, state, Durability::Power)?,
+        "store, power, a sync for 32 messages",
+        &mut Segmented::open(&recreate_folder(&power)?, state, Durability::Power)?,
         state,
         some,
         32,
     )?;
-    if state > REDB_MOST {
-        println!("(redb is left out: it would fill that state for minutes)");
+    if state > MAX_REDB_STATE {
+        println!("(redb is left out: filling this state would take minutes)");
     } else {
-        let fast = Tree { db: Database::create(tree.join("db"))?, durability: redb::Durability::None };
+        let fast = RedbStore { db: Database::create(tree.join("db"))?, durability: redb::Durability::None };
         run("redb, no durability", &mut { fast }, state, messages, 1)?;
         let synced =
-            Tree { db: Database::create(tree.join("db2"))?, durability: redb::Durability::Immediate };
-        run("redb, a sync for each step", &mut { synced }, state.min(3_000_000), some.min(500), 1)?;
+            RedbStore { db: Database::create(tree.join("db2"))?, durability: redb::Durability::Immediate };
+        run("redb, a sync for each operation", &mut { synced }, state.min(3_000_000), some.min(500), 1)?;
         let read = Database::open(tree.join("db2"))?;
-        let keys = read.begin_write()?.open_table(REDB)?.iter()?.count();
-        println!("({keys} keys in the last)");
+        let keys = read.begin_write()?.open_table(REDB_TABLE)?.iter()?.count();
+        println!("({keys} keys in the last store)");
     }
     for f in [one, seg, power, tree] {
         std::fs::remove_dir_all(f)?;
@@ -319,7 +320,7 @@
     Ok(())
 }
 
-fn power_again(folder: &Path) -> Result<PathBuf, Failure> {
+fn recreate_folder(folder: &Path) -> Result<PathBuf, Failure> {
     std::fs::create_dir_all(folder)?;
     Ok(folder.to_owned())
 }
