--- a/crates/recorder/src/fleet.rs
+++ b/crates/recorder/src/fleet.rs
@@ -20,7 +20,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct DestinationCounts {
     /// Messages accepted.
-    pub taken: u64,
+    #[serde(rename = "taken")]
+    pub accepted: u64,
     /// Calls started. A bundle is one call.
     pub calls: u64,
     /// Messages in the started calls.
@@ -56,7 +57,8 @@
     /// Watches and fetches that failed or were interrupted.
     pub unavailable: u64,
     /// Complete lists received.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub full_lists: u64,
     /// Changes of the list received.
     pub changes: u64,
     /// Entries in the lists and changes.
@@ -80,7 +82,8 @@
     #[serde(rename = "part")]
     pub partial: u64,
     /// Changes to the whole share.
-    pub whole: u64,
+    #[serde(rename = "whole")]
+    pub full: u64,
     /// Probes of the zone.
     #[serde(rename = "tries")]
     pub probes: u64,
@@ -181,7 +184,7 @@
                 process.messages.insert(m.id, m.dest);
                 let attempts = if let Event::Resumed { attempts, .. } = event { *attempts } else { 0 };
                 process.attempts.insert(m.id, attempts);
-                self.count_cell(second, m.dest, |c| c.taken += 1);
+                self.count_cell(second, m.dest, |c| c.accepted += 1);
             }
             Event::Ended { id, attempt, outcome, is_final, .. } => {
                 if let Some((dest, true)) = process.calls.remove(&(*id, *attempt)) {
@@ -209,7 +212,7 @@
                 let counts = self.shared.entry(second).or_default();
                 match update {
                     ListUpdate::Unavailable => counts.unavailable += 1,
-                    ListUpdate::Whole(_) => counts.whole += 1,
+                    ListUpdate::Whole(_) => counts.full_lists += 1,
                     ListUpdate::Changes(_) => counts.changes += 1,
                     ListUpdate::Restored(_) => return,
                 }
@@ -233,7 +236,7 @@
             _ if is_probe => &mut counts.probes,
             s if s <= 0.0 => &mut counts.evacuated,
             s if s < 1.0 => &mut counts.partial,
-            _ => &mut counts.whole,
+            _ => &mut counts.full,
         };
         *count += 1;
     }
@@ -345,7 +348,7 @@
                 "{:>4} {:>5} {:>6} {:>6} {:>8} {:>6} {:>6} {:>5} {:>6} {:>5} {:>5} {:>6} {:>6} {:>6} {:>7}",
                 s - first,
                 d.0,
-                c.taken,
+                c.accepted,
                 c.calls,
                 c.messages,
                 c.served,
@@ -372,7 +375,7 @@
                 s - first,
                 c.list_requests,
                 c.unavailable,
-                c.whole,
+                c.full_lists,
                 c.changes,
                 c.entries,
                 c.notes,
@@ -394,7 +397,7 @@
                 s - first,
                 z.evacuated,
                 z.partial,
-                z.whole,
+                z.full,
                 z.probes
             );
         }
--- a/crates/recorder/src/replay.rs
+++ b/crates/recorder/src/replay.rs
@@ -78,7 +78,7 @@
                 "it begins with a state in the format of another build, and the recording no longer has the \
                  turns before it: only a build with that format can replay it"
             ),
-            Self::InvalidState(why) => write!(f, "its initial state or settings are invalid: {why}"),
+            Self::InvalidState(reason) => write!(f, "its initial state or settings are invalid: {reason}"),
         }
     }
 }
@@ -147,8 +147,8 @@
         };
         let mut sender = match sender {
             Ok(sender) => sender,
-            Err(why) => {
-                report.skipped.push((header.run, header.segment, why));
+            Err(reason) => {
+                report.skipped.push((header.run, header.segment, reason));
                 continue;
             }
         };
--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -74,7 +74,7 @@
 fn sums(fleet: &FleetCounts) -> DestinationCounts {
     fleet.by_destination().fold(DestinationCounts::default(), |mut sum, (_, dest, c)| {
         assert_eq!(dest, DestinationId(1));
-        sum.taken += c.taken;
+        sum.accepted += c.accepted;
         sum.calls += c.calls;
         sum.messages += c.messages;
         sum.served += c.served;
@@ -91,16 +91,16 @@
     let mut fleet = FleetCounts::default();
     assert_eq!(fleet.add_recording(&recording("a", 0)), []);
     let one = sums(&fleet);
-    assert_eq!((one.taken, one.served), (5, 3));
+    assert_eq!((one.accepted, one.served), (5, 3));
     assert!(one.full >= 1 && one.unconnected >= 1, "{one:?}");
     assert_eq!(one.ended, 2, "the refused message and the one that failed to connect have ended");
     // Another sender with a Unix clock half a second ahead: the counts fall into the same seconds.
     assert_eq!(fleet.add_recording(&recording("b", SEC / 2)), []);
     let both = sums(&fleet);
-    assert_eq!((both.taken, both.calls, both.served, both.ended), (10, 2 * one.calls, 6, 4));
+    assert_eq!((both.accepted, both.calls, both.served, both.ended), (10, 2 * one.calls, 6, 4));
     assert_eq!((fleet.senders(), both.senders.len()), (2, 2));
     let zones: Vec<_> =
-        fleet.by_zone().map(|(_, zone, z)| (zone, z.evacuated, z.partial, z.whole, z.probes)).collect();
+        fleet.by_zone().map(|(_, zone, z)| (zone, z.evacuated, z.partial, z.full, z.probes)).collect();
     let senders = u64::from(fleet.senders());
     assert_eq!(zones, [(3, senders, senders, senders, senders)]);
     let notes_received: u64 = fleet.shared().map(|(_, c)| c.notes_received).sum();
@@ -108,28 +108,28 @@
     let entries: u64 = fleet.shared().map(|(_, c)| c.entries).sum();
     assert_eq!((notes_received, failed, entries), (2, 2, 4));
     let first = fleet.by_destination().next().expect("a cell");
-    assert_eq!((first.0, first.2.taken), (UNIX / 1_000_000, 2), "both in the first second");
+    assert_eq!((first.0, first.2.accepted), (UNIX / 1_000_000, 2), "both in the first second");
     assert!(fleet.text(None).starts_with("2 senders, from Unix second 1700000000 on\n"));
     assert!(!fleet.text(Some(DestinationId(9))).contains("    1      2"), "only the selected destination");
 }
 
 #[test]
 fn truncated_recording_is_counted_up_to_the_damage_which_is_reported() {
-    let whole = recording("a", 0);
-    for cut in (1..whole.len()).step_by(7) {
+    let complete = recording("a", 0);
+    for len in (1..complete.len()).step_by(7) {
         let mut fleet = FleetCounts::default();
-        let damage = fleet.add_recording(&whole[..cut]);
+        let damage = fleet.add_recording(&complete[..len]);
         if fleet.senders() == 0 {
             assert!(
                 matches!(damage[..], [Damage::Truncated { .. } | Damage::NoSegment { .. }]),
-                "{cut}: {damage:?}"
+                "{len}: {damage:?}"
             );
         }
         assert_eq!(fleet.add_recording(&recording("b", 0)), [], "other recordings are still read");
         assert!(sums(&fleet).served >= 3);
     }
     let mut fleet = FleetCounts::default();
-    assert_eq!(fleet.add_recording(&whole[..whole.len() - 3]).len(), 1, "the position is reported");
+    assert_eq!(fleet.add_recording(&complete[..complete.len() - 3]).len(), 1, "the position is reported");
     assert_eq!(fleet.add_recording(b"no recording at all"), [Damage::NoSegment { offset: 0 }]);
     assert_eq!(fleet.senders(), 1);
 }
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -61,8 +61,8 @@
 
 fn explain(bytes: &[u8], question: Query) -> Vec<Explanation> {
     let mut explainer = Explainer::new(question);
-    let done = replay(&Recording::read(bytes), &mut explainer);
-    assert!(done.is_equal(), "{done:?}");
+    let report = replay(&Recording::read(bytes), &mut explainer);
+    assert!(report.is_equal(), "{report:?}");
     explainer.finish()
 }
 
@@ -104,9 +104,9 @@
     ) {
         let settings = Settings { slots, may_send_notes, senders: 9, ..settings() };
         let bytes = record(&steps, &settings, limit);
-        let done = replay(&Recording::read(&bytes), &mut NoObserver);
-        prop_assert!(done.is_equal() && done.damage.is_empty() && done.other_builds.is_empty(), "{done:?}");
-        prop_assert!(done.turns > 0);
+        let report = replay(&Recording::read(&bytes), &mut NoObserver);
+        prop_assert!(report.is_equal() && report.damage.is_empty() && report.other_builds.is_empty(), "{report:?}");
+        prop_assert!(report.turns > 0);
     }
 
     #[test]
@@ -160,16 +160,19 @@
     assert!(complete.is_equal() && complete.damage.is_empty());
     let mut last_turns = 0;
     for len in 0..bytes.len() {
-        let done = replay(&Recording::read(&bytes[..len]), &mut NoObserver);
-        assert!(done.difference.is_none() && done.state_differs.is_none(), "truncated at {len}: {done:?}");
+        let report = replay(&Recording::read(&bytes[..len]), &mut NoObserver);
+        assert!(
+            report.difference.is_none() && report.state_differs.is_none(),
+            "truncated at {len}: {report:?}"
+        );
         // All turns up to the last complete record are replayed: never fewer than from a shorter part, and
         // never more than were recorded.
-        assert!(done.turns >= last_turns && done.turns <= complete.turns, "truncated at {len}");
+        assert!(report.turns >= last_turns && report.turns <= complete.turns, "truncated at {len}");
         assert!(
-            done.turns < complete.turns && (len == 0) == (done.segments == 0 && done.damage.is_empty())
+            report.turns < complete.turns && (len == 0) == (report.segments == 0 && report.damage.is_empty())
                 || len > 0
         );
-        last_turns = done.turns;
+        last_turns = report.turns;
     }
     assert_eq!(last_turns, complete.turns - 1, "all but the last record");
 }
@@ -184,11 +187,11 @@
     let mut damaged = bytes.clone();
     for at in (0..bytes.len()).step_by(211) {
         damaged[at] ^= 0x20;
-        let done = replay(&Recording::read(&damaged), &mut NoObserver);
-        assert!(!done.damage.is_empty(), "byte {at}: the damage is not detected");
-        assert!(done.difference.is_none(), "byte {at}: {done:?}");
+        let report = replay(&Recording::read(&damaged), &mut NoObserver);
+        assert!(!report.damage.is_empty(), "byte {at}: the damage is not detected");
+        assert!(report.difference.is_none(), "byte {at}: {report:?}");
         // At most the segment with the damaged byte is lost.
-        assert!(done.segments + 1 >= complete.segments, "byte {at}: {} segments", done.segments);
+        assert!(report.segments + 1 >= complete.segments, "byte {at}: {} segments", report.segments);
         damaged[at] ^= 0x20;
     }
 }
@@ -204,9 +207,9 @@
         first.segment > 0 && matches!(first.start, SegmentStart::State(_)),
         "the first segments were removed"
     );
-    let done = replay(&recording, &mut NoObserver);
-    assert!(done.is_equal(), "{done:?}");
-    assert_eq!((done.segments, done.states), (recording.segments.len(), recording.segments.len() - 1));
+    let report = replay(&recording, &mut NoObserver);
+    assert!(report.is_equal(), "{report:?}");
+    assert_eq!((report.segments, report.states), (recording.segments.len(), recording.segments.len() - 1));
     for (n, s) in recording.segments.iter().enumerate() {
         let end = recording.segments.get(n + 1).map_or(bytes.len(), |s| s.offset);
         let alone = replay(&Recording::read(&bytes[s.offset..end]), &mut NoObserver);
@@ -236,11 +239,11 @@
         std::fs::write(&last, &bytes[..bytes.len() - 3]).expect("written");
     }
     let bytes = load(folder.path()).expect("read");
-    let done = replay(&Recording::read(&bytes), &mut NoObserver);
-    assert!(done.difference.is_none() && done.skipped.is_empty(), "{done:?}");
-    assert_eq!((done.segments, done.damage.len()), (3, 3));
+    let report = replay(&Recording::read(&bytes), &mut NoObserver);
+    assert!(report.difference.is_none() && report.skipped.is_empty(), "{report:?}");
+    assert_eq!((report.segments, report.damage.len()), (3, 3));
     assert!(
-        done.damage.iter().all(|d| matches!(d, Damage::Truncated { .. } | Damage::ChecksumMismatch { .. }))
+        report.damage.iter().all(|d| matches!(d, Damage::Truncated { .. } | Damage::ChecksumMismatch { .. }))
     );
 }
 
@@ -257,16 +260,16 @@
         format::write_record(&Record::Header(Box::new(header)), &mut other).expect("fits");
         s.records().for_each(|r| format::write_record(&r, &mut other).expect("fits"));
     }
-    let done = replay(&Recording::read(&other), &mut NoObserver);
-    assert_eq!(done.other_builds, [1]);
+    let report = replay(&Recording::read(&other), &mut NoObserver);
+    assert_eq!(report.other_builds, [1]);
     let has_fresh_start = matches!(recording.segments[0].header.start, SegmentStart::Fresh { .. });
     if has_fresh_start {
-        assert!(done.is_equal(), "replayed from the start: {done:?}");
+        assert!(report.is_equal(), "replayed from the start: {report:?}");
     }
     let second = Recording::read(&other).segments[1].offset;
-    let done = replay(&Recording::read(&other[second..]), &mut NoObserver);
-    assert!(done.skipped.iter().all(|s| s.2 == SkipReason::UnsupportedState));
-    assert_eq!((done.skipped.len(), done.turns), (recording.segments.len() - 1, 0));
+    let report = replay(&Recording::read(&other[second..]), &mut NoObserver);
+    assert!(report.skipped.iter().all(|s| s.2 == SkipReason::UnsupportedState));
+    assert_eq!((report.skipped.len(), report.turns), (recording.segments.len() - 1, 0));
     let mut versions = bytes.clone();
     versions[7] = 9;
     let found = Recording::read(&versions).damage;
@@ -282,17 +285,17 @@
             rng = rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
             bytes.push((rng >> 56) as u8);
         }
-        let done = replay(&Recording::read(&bytes), &mut NoObserver);
-        assert_eq!(done.turns, 0);
-        assert!(bytes.is_empty() || !done.damage.is_empty());
+        let report = replay(&Recording::read(&bytes), &mut NoObserver);
+        assert_eq!(report.turns, 0);
+        assert!(bytes.is_empty() || !report.damage.is_empty());
     }
 }
 
 #[test]
 fn state_that_does_not_fit_into_the_limit_is_refused_with_the_reason() {
     let started = Recorder::start(options(100, settings()), Box::new(MemoryStore::default()), &[], 0, UNIX);
-    let why = started.err().expect("too small").to_string();
-    assert!(why.contains("needs a limit"), "{why}");
+    let reason = started.err().expect("too small").to_string();
+    assert!(reason.contains("needs a limit"), "{reason}");
 }
 
 /// A recorded sender with one destination that has one endpoint.
@@ -479,12 +482,12 @@
     let mut bench = Bench::new(settings);
     let entries = (0..10_000).map(|n| common::entry(n, u64::from(n) + 1, 0, Phase::Live)).collect();
     bench.handle(vec![Event::List(ListUpdate::Whole(entries))]);
-    let taken = (0..2_000u64).map(|n| {
+    let accepted = (0..2_000u64).map(|n| {
         let (dest, expires_in) = (DestinationId(1 + n * 5), 20 * SEC);
         let id = MessageId(1_000 + n);
         Event::Taken(Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in })
     });
-    bench.handle(taken.collect());
+    bench.handle(accepted.collect());
     for _ in 0..5 {
         bench.wait(100 * MS);
     }
--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -286,12 +286,12 @@
     }
     let exe = std::env::current_exe()?;
     std::process::Command::new(exe).arg("recover").arg(&seg).arg(state.to_string()).status()?;
-    let some = messages.min(2_000);
+    let synced_messages = messages.min(2_000);
     run(
         "store, power, a sync for each message",
         &mut Segmented::open(&power, state, Durability::Power)?,
         state,
-        some,
+        synced_messages,
         1,
     )?;
     std::fs::remove_dir_all(&power)?;
@@ -299,7 +299,7 @@
         "store, power, a sync for 32 messages",
         &mut Segmented::open(&recreate_folder(&power)?, state, Durability::Power)?,
         state,
-        some,
+        synced_messages,
         32,
     )?;
     if state > MAX_REDB_STATE {
@@ -309,7 +309,13 @@
         run("redb, no durability", &mut { fast }, state, messages, 1)?;
         let synced =
             RedbStore { db: Database::create(tree.join("db2"))?, durability: redb::Durability::Immediate };
-        run("redb, a sync for each operation", &mut { synced }, state.min(3_000_000), some.min(500), 1)?;
+        run(
+            "redb, a sync for each operation",
+            &mut { synced },
+            state.min(3_000_000),
+            synced_messages.min(500),
+            1,
+        )?;
         let read = Database::open(tree.join("db2"))?;
         let keys = read.begin_write()?.open_table(REDB_TABLE)?.iter()?.count();
         println!("({keys} keys in the last store)");
--- a/crates/store/tests/bytes.rs
+++ b/crates/store/tests/bytes.rs
@@ -31,12 +31,12 @@
             // Segments covered by a checkpoint are not read at the start, so their damage is found by a read.
             let found = match read_map(&store) {
                 Ok(found) => found,
-                Err(Error::Corrupt(why)) => return StartResult::Corrupt(why),
+                Err(Error::Corrupt(reason)) => return StartResult::Corrupt(reason),
                 Err(e) => panic!("{e}"),
             };
             StartResult::Recovered(maps.iter().rposition(|m| *m == found).expect("an earlier state"))
         }
-        Err(Error::Corrupt(why)) => StartResult::Corrupt(why),
+        Err(Error::Corrupt(reason)) => StartResult::Corrupt(reason),
         Err(e) => panic!("{e}"),
     }
 }
@@ -55,8 +55,11 @@
                     assert!(n + 1 == maps.len() || *name == last, "{name} truncated at {len}: state {n}")
                 }
                 // Without the record that drops a segment, that segment is missing.
-                StartResult::Corrupt(why) => {
-                    assert!(why.file.ends_with(".log") && name != "index", "{name} truncated at {len}: {why}")
+                StartResult::Corrupt(reason) => {
+                    assert!(
+                        reason.file.ends_with(".log") && name != "index",
+                        "{name} truncated at {len}: {reason}"
+                    )
                 }
             }
         }
@@ -84,14 +87,14 @@
                     );
                     torn_tails += 1;
                 }
-                StartResult::Corrupt(why) => {
-                    assert!(segments.contains(&&why.file), "{name}, byte {at}: {why}");
+                StartResult::Corrupt(reason) => {
+                    assert!(segments.contains(&&reason.file), "{name}, byte {at}: {reason}");
                     refused += 1;
                 }
             }
         }
     }
-    assert!(refused > 30 * torn_tails, "{refused} refused, {torn_tails} taken for a torn tail");
+    assert!(refused > 30 * torn_tails, "{refused} refused, {torn_tails} recovered as a torn tail");
 }
 
 #[test]
@@ -99,7 +102,7 @@
     let (files, maps) = store();
     let segments: Vec<String> = files.keys().filter(|f| f.ends_with(".log")).cloned().collect();
     let refused = |files: &BTreeMap<String, Vec<u8>>| match open(files, &maps) {
-        StartResult::Corrupt(why) => why.to_string(),
+        StartResult::Corrupt(reason) => reason.to_string(),
         StartResult::Recovered(n) => panic!("state {n}"),
     };
     for name in &segments[..segments.len() - 1] {
@@ -147,8 +150,8 @@
         let sum = crc32c::crc32c(&b[..60]);
         b[60..64].copy_from_slice(&sum.to_le_bytes());
     });
-    let StartResult::Corrupt(why) = open(&files, &maps) else { panic!("opened") };
-    assert_eq!((&why.expected[..], &why.found[..]), ("version 1 or older", "version 2"));
+    let StartResult::Corrupt(reason) = open(&files, &maps) else { panic!("opened") };
+    assert_eq!((&reason.expected[..], &reason.found[..]), ("version 1 or older", "version 2"));
 }
 
 #[test]
