--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -105,7 +105,10 @@
         let settings = Settings { slots, may_send_notes, senders: 9, ..settings() };
         let bytes = record(&steps, &settings, limit);
         let report = replay(&Recording::read(&bytes), &mut NoObserver);
-        prop_assert!(report.is_equal() && report.damage.is_empty() && report.other_builds.is_empty(), "{report:?}");
+        prop_assert!(
+            report.is_equal() && report.damage.is_empty() && report.other_builds.is_empty(),
+            "{report:?}"
+        );
         prop_assert!(report.turns > 0);
     }
 
