--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -409,7 +409,7 @@
                 _ => {
                     r.open_breaker(self.now, false, 0);
                     silent.push(c.route);
-                    self.actions.push(Action::Log(format!("destination {} paused: no answer", c.route.0.0)));
+                    self.actions.push(Action::Log(format!("destination {} held back: silent", c.route.0.0)));
                 }
             }
         }
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -206,7 +206,7 @@
                     r.paused_until = r.paused_until.max(now + backoff);
                 }
                 r.refusals += 1;
-                opened_by = was_probe.then_some("a probe was refused");
+                opened_by = was_probe.then_some("refuses all");
             }
             TimedOut | Reset | ConnectFailed => {
                 e.idle_since.retain(|_| self.settings.connections_reported);
@@ -220,7 +220,7 @@
                 r.failures += u32::from(is_failure);
                 r.last_failure = now;
                 let opens = r.failures >= OPEN_FAILURES || !matches!(r.breaker, Breaker::Closed);
-                opened_by = (is_failure && opens).then_some("failed calls");
+                opened_by = (is_failure && opens).then_some("calls fail");
             }
             NotSent => r.paused_until = r.paused_until.max(now + local_backoff),
             Spoilt | Cancelled | Moot => {}
@@ -235,7 +235,7 @@
         match (outcome, opened_by) {
             (Served, _) => r.outage_report = None,
             (_, Some(reason)) if !was_open => {
-                self.log(route.0, &format!("paused: {reason}"));
+                self.log(route.0, &format!("held back: {reason}"));
                 self.send_note(route, Report::Down);
             }
             (Full { .. }, _) if is_overwhelmed => self.send_note(route, Report::Full),
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -456,7 +456,8 @@
         /// The endpoint.
         endpoint: EndpointId,
     },
-    /// Writes a log line for operators.
+    /// Writes a log line for operators. Recordings hold the text and a replay compares it, so a
+    /// changed text makes earlier recordings differ.
     Log(String),
 }
 
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -19,7 +19,7 @@
     let in_flight = rig.in_flight.len();
     // No call is answered. Long before any time-out the breaker opens, and only probes are sent.
     rig.advance(5 * SEC);
-    assert!(rig.log_has("no answer"));
+    assert!(rig.log_has("silent"));
     assert!(
         rig.in_flight.len() <= in_flight + 5,
         "{} more calls to a hung destination",
@@ -55,7 +55,7 @@
     assert!(before <= 2, "limited by the window");
     // No call is answered or times out: the next probe is sent once the last one is overdue.
     rig.advance(60 * SEC);
-    assert!(rig.log_has("no answer"));
+    assert!(rig.log_has("silent"));
     assert!(rig.in_flight.len() >= before + 3, "{} in flight after {before}", rig.in_flight.len());
 }
 
@@ -361,7 +361,7 @@
         }
     }
     assert_eq!(dropped, 1);
-    assert!(!rig.log_has("paused"));
+    assert!(!rig.log_has("held back"));
     rig.submit_many(20);
     assert!(rig.in_flight.len() >= 3, "the window was not cut");
 }
@@ -380,7 +380,7 @@
         assert_eq!(rig.attempts[&id], sent + 1, "sent again within 150 ms");
     }
     assert_eq!(rig.attempts[&id], before + 40);
-    assert!(rig.answer_count(id) == 0 && !rig.log_has("paused"));
+    assert!(rig.answer_count(id) == 0 && !rig.log_has("held back"));
     rig.end(id, Outcome::Served);
     let next = rig.submit(AT_MOST_ONCE);
     assert!(rig.is_in_flight(next), "the next message is not held");
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -302,7 +302,7 @@
         rig.end_all(Outcome::ConnectFailed);
         rig.advance(100 * MS);
     }
-    assert!(rig.log_has("paused"), "it has detected the outage");
+    assert!(rig.log_has("held back"), "it has detected the outage");
     rig.end_all(Outcome::ConnectFailed);
     receive_note(&mut rig, 3, &up);
     let mut sent = rig.in_flight.len();
@@ -338,7 +338,7 @@
         // The destination has returned and is in slow start. The next call is answered late.
         rig.advance_until_sent();
         rig.advance(1_200 * MS);
-        assert!(rig.log_has("no answer"), "the breaker is open again");
+        assert!(rig.log_has("silent"), "the breaker is open again");
         if by_note {
             receive_note(&mut rig, 3, &up);
         }
@@ -421,7 +421,7 @@
     rig.advance(2 * SEC);
     let lost = rig.submit(AT_MOST_ONCE);
     rig.advance(800 * MS);
-    assert!(rig.is_in_flight(lost) && !rig.log_has("no answer"), "the breaker is closed");
+    assert!(rig.is_in_flight(lost) && !rig.log_has("silent"), "the breaker is closed");
     rig.end(lost, Outcome::TimedOut);
     rig.submit_many(1);
     rig.end_all(Outcome::Served);
--- a/crates/policy/tests/rate.rs
+++ b/crates/policy/tests/rate.rs
@@ -123,5 +123,5 @@
     }
     let view = &rig.sender.route_views(None)[0];
     assert!(view.window >= before, "{} of {before}", view.window);
-    assert!(!rig.log_has("paused"));
+    assert!(!rig.log_has("held back"));
 }
