--- a/crates/rehearsal/src/arrivals.rs
+++ b/crates/rehearsal/src/arrivals.rs
@@ -1,4 +1,5 @@
-//! When what is asked for: the same for a scenario and a seed, whatever becomes of it.
+//! Generates the arrivals of a run. They depend only on scenario and seed, not on what happens to the
+//! messages.
 
 use crate::client::mix;
 use crate::scenario::{Scenario, Traffic};
@@ -8,30 +9,30 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Something that is asked for.
+/// An order that a client creates.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Arrival {
-    /// When.
+    /// When the order is created.
     pub at: Micros,
-    /// Class, by position.
+    /// Index of the class.
     pub class: usize,
-    /// Tenant, by position.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Destination, counted from 0.
+    /// Index of the destination.
     pub destination: usize,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub body: usize,
-    /// It is over its tenant's allowance.
+    /// Whether it exceeds its tenant's allowance.
     pub over_share: bool,
 }
 
-/// All arrivals of a run, in the order of time.
-pub fn arrivals(s: &Scenario, seed: u64) -> Vec<Arrival> {
+/// Returns all arrivals of a run in the order of time.
+pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
-    for (n, t) in s.traffic.iter().enumerate() {
-        traffic(s, t.get_ref(), mix(seed, 1_000 + n as u64), &mut all);
+    for (n, t) in scenario.traffic.iter().enumerate() {
+        add_traffic(scenario, t.get_ref(), mix(seed, 1_000 + n as u64), &mut all);
     }
-    all.extend(s.trace.iter().map(|t| Arrival {
+    all.extend(scenario.trace.iter().map(|t| Arrival {
         at: (t.at_s * 1e6) as Micros,
         class: t.class,
         tenant: t.tenant,
@@ -40,17 +41,17 @@
         over_share: false,
     }));
     all.sort_by_key(|a| a.at);
-    share(s, &mut all);
+    mark_over_share(scenario, &mut all);
     all
 }
 
-fn traffic(s: &Scenario, t: &Traffic, seed: u64, all: &mut Vec<Arrival>) {
+fn add_traffic(scenario: &Scenario, t: &Traffic, seed: u64, all: &mut Vec<Arrival>) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let class = s.class.iter().position(|c| c.get_ref().name == t.class).unwrap_or(0);
-    let named = |name: &String| s.tenant.iter().position(|x| x.get_ref().name == *name);
+    let class = scenario.class.iter().position(|c| c.get_ref().name == t.class).unwrap_or(0);
+    let named = |name: &String| scenario.tenant.iter().position(|x| x.get_ref().name == *name);
     let tenant = t.tenant.as_ref().and_then(named).unwrap_or(0);
-    let to = s.select(None, t.partner.as_deref(), t.destination);
-    let (from, until) = (t.from_s, t.to_s.unwrap_or(s.duration_s));
+    let to = scenario.select(None, t.partner.as_deref(), t.destination);
+    let (from, until) = (t.from_s, t.to_s.unwrap_or(scenario.duration_s));
     let mut add = |at: f64, random: &mut Pcg64Mcg| {
         let destination = to[random.random_range(0..to.len())];
         let at = (at * 1e6) as Micros;
@@ -69,20 +70,21 @@
     }
 }
 
-/// Marks what is over its tenant's allowance, counted over the second before.
-fn share(s: &Scenario, all: &mut [Arrival]) {
-    let mut lately: BTreeMap<usize, VecDeque<Micros>> = BTreeMap::new();
-    for a in all {
-        let Some(allowance) = s.tenant.get(a.tenant).and_then(|t| t.get_ref().allowance_per_s) else {
+/// Marks arrivals that exceed their tenant's allowance, counted over the preceding second.
+fn mark_over_share(scenario: &Scenario, all: &mut [Arrival]) {
+    let mut recent: BTreeMap<usize, VecDeque<Micros>> = BTreeMap::new();
+    for arrival in all {
+        let Some(allowance) = scenario.tenant.get(arrival.tenant).and_then(|t| t.get_ref().allowance_per_s)
+        else {
             continue;
         };
-        let seen = lately.entry(a.tenant).or_default();
-        while seen.front().is_some_and(|&t| t + 1_000_000 <= a.at) {
+        let seen = recent.entry(arrival.tenant).or_default();
+        while seen.front().is_some_and(|&t| t + 1_000_000 <= arrival.at) {
             seen.pop_front();
         }
-        a.over_share = seen.len() as f64 >= allowance;
-        if !a.over_share {
-            seen.push_back(a.at);
+        arrival.over_share = seen.len() as f64 >= allowance;
+        if !arrival.over_share {
+            seen.push_back(arrival.at);
         }
     }
 }
--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -1,9 +1,9 @@
-//! The rules, checked on what was seen beside the senders. It knows the protocol, and nothing of how a sender
-//! decides: no line of it reads a sender's state.
+//! Checks the rules against the observations of a run. The checker knows the protocol but not how senders
+//! decide: it never reads a sender's state.
 
-use crate::book::Message;
-use crate::run::Outcome;
-use crate::scenario::{Do, Event};
+use crate::observations::Message;
+use crate::run::RunResult;
+use crate::scenario::{Event, EventKind};
 use notchpoint_emulator::{CallRecord, Micros};
 use serde::Serialize;
 use std::collections::{BTreeMap, BTreeSet};
@@ -11,52 +11,55 @@
 
 const MS: Micros = 1_000;
 const SEC: Micros = 1_000_000;
-/// A message that was taken on has ended so long after its time is up.
-const LATE: Micros = 300 * MS;
-/// Each limit is so much longer on sockets.
-const SLACK: Micros = 50 * MS;
-/// A sender that is ready again has so long for what came due while it was away.
-const CATCH_UP: Micros = 1_500 * MS;
-/// Where copies are kept: a silence, what it takes to agree on it, and to reach who may have forgotten.
-const TAKEOVER: Micros = 4 * SEC;
-/// What discovery has to tell counts as told so long after it could, whether or not it arrived.
-const TOLD: Micros = 6 * SEC;
-/// Calls that come so soon after a wait was told, or a drain, are let through.
-const GRACE: Micros = 100 * MS;
-/// An answer that crosses its message's end on the way is nobody's fault.
-const CROSSING: Micros = 50 * MS;
-/// Clients that send what nobody should are owed an error or a close.
-const OWED: Micros = 3 * SEC;
+/// Tolerance after the deadline within which an accepted message must have ended.
+const END_TOLERANCE: Micros = 300 * MS;
+/// Tolerance added to each limit for runs on real sockets.
+const SOCKET_TOLERANCE: Micros = 50 * MS;
+/// Time that a sender has after it is ready again to complete what came due while it was unavailable.
+const CATCH_UP_TIME: Micros = 1_500 * MS;
+/// Time of a takeover by a replica: to detect that the owner is silent, to agree on it, and to reach the
+/// other replicas.
+const TAKEOVER_TIME: Micros = 4 * SEC;
+/// Time after which a list change counts as received once discovery was able to send it, whether or not it
+/// arrived.
+const LIST_PROPAGATION_TIME: Micros = 6 * SEC;
+/// Time after a requested wait or a drain in which calls that were already in flight are permitted.
+const IN_FLIGHT_GRACE: Micros = 100 * MS;
+/// Time within which an answer and the end of its message may cross without being a breach.
+const ANSWER_CROSSING_TIME: Micros = 50 * MS;
+/// Time within which a malformed request must receive an error or a close.
+const BAD_CLIENT_TIMEOUT: Micros = 3 * SEC;
 
-/// A rule.
+/// A rule that senders must keep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Rule {
-    /// What was taken on is delivered, or ended by a notice in time.
+    /// Every accepted message is delivered, or ended by a notice in time.
     NothingMissing,
-    /// What must not be repeated takes effect once at most.
+    /// A message that must not be repeated takes effect at most once.
     NothingTwice,
-    /// A message that was delivered, or ended, is not ended again.
+    /// A message that was delivered or ended is not ended again.
     OneFinalAnswer,
-    /// Nothing is sent to an endpoint that drains or has gone.
+    /// No calls are sent to an endpoint that is draining or removed.
     DrainsKept,
-    /// A destination that comes back is not pushed over.
+    /// A destination that restarts cold is not overloaded.
     ReturningNotPushed,
-    /// Nothing is sent while a wait that was told runs.
+    /// No calls are sent during a wait that the destination requested.
     WaitsHeeded,
-    /// No more attempts than are allowed, and no second copy.
+    /// A message has no more attempts than permitted, and no two at once.
     AttemptLimit,
-    /// A sender's calls to one destination stay under three quarters of its slots, and all under its slots.
+    /// A sender's concurrent calls to one destination stay within three quarters of its slots, and all of
+    /// them within its slots.
     OwnCap,
-    /// A sender does not end, hang or outgrow its folder.
+    /// A sender does not crash, hang or exceed the size limit of its folder.
     StaysUp,
-    /// Clients that send what nobody should get an error or a close.
+    /// Malformed requests receive an error or a close.
     BadClients,
-    /// What is sent can be read, belongs where it goes, and was handed in.
+    /// Calls and notices are well-formed, go to the right destination, and belong to submitted messages.
     Protocol,
 }
 
-/// All rules, in their order.
+/// All rules in their order.
 pub const RULES: [Rule; 11] = [
     Rule::NothingMissing,
     Rule::NothingTwice,
@@ -71,16 +74,16 @@
     Rule::Protocol,
 ];
 
-/// A rule that was broken.
+/// A breach of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 pub struct Breach {
-    /// When, in microseconds.
+    /// Time of the breach in microseconds.
     pub at: Micros,
-    /// Which rule.
+    /// The rule.
     pub rule: Rule,
-    /// The message, by its `X-Request-ID`, where it is about one.
+    /// The `X-Request-ID` of the message concerned, if any.
     pub message: Option<String>,
-    /// What either side saw.
+    /// What each side observed.
     pub what: String,
 }
 
@@ -91,21 +94,21 @@
     }
 }
 
-/// Every breach, in the order of time.
-pub fn check(o: &Outcome) -> Vec<Breach> {
-    let mut c = Checker { o, found: Vec::new() };
-    c.messages();
-    c.effects();
-    c.drains();
-    c.calls();
-    c.processes();
-    c.found.sort();
-    c.found
+/// Returns all breaches in the order of time.
+pub fn check(result: &RunResult) -> Vec<Breach> {
+    let mut checker = Checker { result, breaches: Vec::new() };
+    checker.check_messages();
+    checker.check_effects();
+    checker.check_drains();
+    checker.check_calls();
+    checker.check_processes();
+    checker.breaches.sort();
+    checker.breaches
 }
 
 struct Checker<'a> {
-    o: &'a Outcome,
-    found: Vec<Breach>,
+    result: &'a RunResult,
+    breaches: Vec<Breach>,
 }
 
 fn seconds(t: Micros) -> String {
@@ -113,256 +116,304 @@
 }
 
 impl Checker<'_> {
-    fn say(&mut self, at: Micros, rule: Rule, message: Option<u64>, what: String) {
+    fn report(&mut self, at: Micros, rule: Rule, message: Option<u64>, details: String) {
         let message = message.map(|id| format!("{id:016x}"));
-        self.found.push(Breach { at, rule, message, what });
+        self.breaches.push(Breach { at, rule, message, what: details });
     }
 
-    fn messages(&mut self) {
-        let book = self.o.book.clone();
-        for (&id, m) in book.messages.borrow().iter() {
-            let taken = m.answered.filter(|(_, status)| matches!(status, 200 | 202));
-            if let Some((taken, _)) = taken.filter(|_| m.forsaken.is_none()) {
-                self.ends(id, m, taken);
+    fn check_messages(&mut self) {
+        let observations = self.result.observations.clone();
+        for (&id, message) in observations.messages.borrow().iter() {
+            let accepted = message.answered.filter(|(_, status)| matches!(status, 200 | 202));
+            if let Some((accepted, _)) = accepted.filter(|_| message.abandoned_at.is_none()) {
+                self.check_end(id, message, accepted);
             }
-            self.one_answer(id, m);
+            self.check_single_answer(id, message);
         }
     }
 
-    fn ends(&mut self, id: u64, m: &Message, taken: Micros) {
-        let ended = m.delivered.into_iter().chain(m.notices.iter().map(|n| n.at)).min();
-        // Handed to a process that was stopped, it was read only after that, and its time counts from there:
-        // no socket tells when bytes came.
-        let unread =
-            self.frozen(m.sender).find(|f| (f.0..f.1).contains(&m.handed)).map_or(0, |f| f.1 - m.handed);
-        let due = self.excused(m.sender, m.deadline + LATE + SLACK + unread);
-        if due >= self.o.end || ended.is_some_and(|e| e <= due) {
+    fn check_end(&mut self, id: u64, message: &Message, accepted: Micros) {
+        let ended = message.delivered.into_iter().chain(message.notices.iter().map(|n| n.at)).min();
+        // A stopped process reads a request only after it resumes, and the deadline counts from then on: a
+        // socket does not report when bytes arrived.
+        let unread_time = self
+            .freeze_intervals(message.sender)
+            .find(|f| (f.0..f.1).contains(&message.submitted_at))
+            .map_or(0, |f| f.1 - message.submitted_at);
+        let due = self
+            .extend_limit(message.sender, message.deadline + END_TOLERANCE + SOCKET_TOLERANCE + unread_time);
+        if due >= self.result.end || ended.is_some_and(|e| e <= due) {
             return;
         }
-        let (client, calls) = (seconds(taken), self.seen(id));
-        let got = ended.map_or("nothing".to_owned(), |e| format!("its end only at {}", seconds(e)));
-        let what = format!(
-            "client: taken on by sender {} at {client}, to end by {}; platform: {got}; partner: {calls}",
-            m.sender,
-            seconds(m.deadline + LATE)
+        let (client, calls) = (seconds(accepted), self.describe_calls(id));
+        let end = ended.map_or("no end".to_owned(), |e| format!("its end only at {}", seconds(e)));
+        let details = format!(
+            "client: taken on by sender {} at {client}, to end by {}; platform: {end}; partner: {calls}",
+            message.sender,
+            seconds(message.deadline + END_TOLERANCE)
         );
-        self.say(due, Rule::NothingMissing, Some(id), what);
+        self.report(due, Rule::NothingMissing, Some(id), details);
     }
 
-    /// A limit on a notice, moved on where its sender was away.
-    fn excused(&self, sender: usize, due: Micros) -> Micros {
-        let lives = self.o.book.lives.borrow();
+    /// Extends the time limit of a notice by the periods in which its sender was unavailable.
+    fn extend_limit(&self, sender: usize, due: Micros) -> Micros {
+        let lifetimes = self.result.observations.lifetimes.borrow();
         let mut due = due;
-        for pair in lives[sender].windows(2) {
-            let (Some(away), back) = (pair[0].told.or(pair[0].ended), pair[1].ready) else { continue };
-            let until = back.map_or(Micros::MAX, |b| b + CATCH_UP);
-            if (away..until).contains(&due) {
+        for pair in lifetimes[sender].windows(2) {
+            let (Some(stopped_at), back) = (pair[0].stop_requested.or(pair[0].ended), pair[1].ready) else {
+                continue;
+            };
+            let until = back.map_or(Micros::MAX, |b| b + CATCH_UP_TIME);
+            if (stopped_at..until).contains(&due) {
                 due = until;
             }
         }
-        // One that is cut off the network can tell nobody either.
-        for (at, until) in self.cuts(sender) {
-            if (at..until + CATCH_UP).contains(&due) {
-                due = until + CATCH_UP;
+        // A sender that is cut off the network cannot send notices either.
+        for (at, until) in self.cut_intervals(sender) {
+            if (at..until + CATCH_UP_TIME).contains(&due) {
+                due = until + CATCH_UP_TIME;
             }
         }
-        // Where copies are kept another one ends it, once it is sure that this one is gone, and can be.
-        if self.o.scenario.senders.copies > 0 {
-            for (at, until) in self.troubles() {
-                if (at..until + TAKEOVER).contains(&due) {
-                    due = until + TAKEOVER;
+        // With replication, another sender ends the message once it is certain that the owner has failed.
+        // During a fault it may be unable to establish that.
+        if self.result.scenario.senders.copies > 0 {
+            for (at, until) in self.sender_fault_intervals() {
+                if (at..until + TAKEOVER_TIME).contains(&due) {
+                    due = until + TAKEOVER_TIME;
                 }
             }
         }
         due
     }
 
-    /// From when to when something was wrong among the senders.
-    fn troubles(&self) -> Vec<(Micros, Micros)> {
+    /// Returns the intervals of all faults that affect senders or the links between them.
+    fn sender_fault_intervals(&self) -> Vec<(Micros, Micros)> {
         let micros = |s: f64| (s * 1e6) as Micros;
-        let events = self.o.scenario.event.iter().map(|e| e.get_ref());
+        let events = self.result.scenario.event.iter().map(|e| e.get_ref());
         let of_senders = |e: &&Event| {
-            let cut = e.what == Do::Cut && e.sender.is_some();
-            let whole = matches!(e.what, Do::Kill | Do::Restart | Do::Lose | Do::Freeze | Do::DiskFull);
-            cut || whole || matches!(e.what, Do::Part | Do::SlowLink)
+            let cut = e.kind == EventKind::Cut && e.sender.is_some();
+            let whole = matches!(
+                e.kind,
+                EventKind::Kill
+                    | EventKind::Restart
+                    | EventKind::Lose
+                    | EventKind::Freeze
+                    | EventKind::DiskFull
+            );
+            cut || whole || matches!(e.kind, EventKind::Part | EventKind::SlowLink)
         };
-        let span = |e: &Event| e.for_s.unwrap_or(1.0) + if e.what == Do::Restart { 3.7 } else { 0.0 };
+        let span = |e: &Event| e.for_s.unwrap_or(1.0) + if e.kind == EventKind::Restart { 3.7 } else { 0.0 };
         let mut all: Vec<_> =
             events.filter(of_senders).map(|e| (micros(e.at_s), micros(e.at_s + span(e)))).collect();
         all.sort_unstable();
         all
     }
 
-    /// Whether, of what befell senders that keep copies, something may have kept one from hearing what
-    /// another did with a message between two moments.
-    fn apart_between(&self, from: Micros, to: Micros) -> bool {
-        let copies = self.o.scenario.senders.copies > 0;
-        copies && self.troubles().iter().any(|&(at, until)| at <= to && until + TAKEOVER >= from)
+    /// Returns whether, with replication, a fault may have prevented one sender from learning what another
+    /// did with a message between two times.
+    fn may_be_partitioned(&self, from: Micros, to: Micros) -> bool {
+        let copies = self.result.scenario.senders.copies > 0;
+        copies
+            && self
+                .sender_fault_intervals()
+                .iter()
+                .any(|&(at, until)| at <= to && until + TAKEOVER_TIME >= from)
     }
 
-    /// From when to when a sender's process is stopped.
-    fn frozen(&self, sender: usize) -> impl Iterator<Item = (Micros, Micros)> {
-        let events = self.o.scenario.event.iter().map(|e| e.get_ref());
-        let frozen = events.filter(move |e| e.what == Do::Freeze && e.sender == Some(sender));
+    /// Returns the intervals in which a sender's process is stopped.
+    fn freeze_intervals(&self, sender: usize) -> impl Iterator<Item = (Micros, Micros)> {
+        let events = self.result.scenario.event.iter().map(|e| e.get_ref());
+        let freezes = events.filter(move |e| e.kind == EventKind::Freeze && e.sender == Some(sender));
         let micros = |s: f64| (s * 1e6) as Micros;
-        frozen.map(move |e| (micros(e.at_s), micros(e.at_s + e.for_s.unwrap_or(0.0))))
+        freezes.map(move |e| (micros(e.at_s), micros(e.at_s + e.for_s.unwrap_or(0.0))))
     }
 
-    /// From when to when a sender is cut off the network.
-    fn cuts(&self, sender: usize) -> Vec<(Micros, Micros)> {
-        let events = self.o.scenario.event.iter().map(|e| e.get_ref());
-        let cut = events.filter(|e| e.what == Do::Cut && e.sender == Some(sender));
+    /// Returns the intervals in which a sender is cut off the network.
+    fn cut_intervals(&self, sender: usize) -> Vec<(Micros, Micros)> {
+        let events = self.result.scenario.event.iter().map(|e| e.get_ref());
+        let cut = events.filter(|e| e.kind == EventKind::Cut && e.sender == Some(sender));
         let micros = |s: f64| (s * 1e6) as Micros;
         cut.map(|e| (micros(e.at_s), micros(e.at_s + e.for_s.unwrap_or(0.0)))).collect()
     }
 
-    /// What the partner saw of a message.
-    fn seen(&self, id: u64) -> String {
+    /// Describes the calls for a message that partners received.
+    fn describe_calls(&self, id: u64) -> String {
         let mut all = Vec::new();
-        for (d, ledger) in self.o.ledgers.iter().enumerate() {
-            for c in ledger.calls.iter().filter(|c| c.messages.contains(&id)) {
-                let end = match (c.answer, c.caller_gone_at) {
+        for (destination, ledger) in self.result.ledgers.iter().enumerate() {
+            for call in ledger.calls.iter().filter(|call| call.messages.contains(&id)) {
+                let end = match (call.answer, call.caller_gone_at) {
                     (Some((t, status)), _) => format!("answered {status} at {}", seconds(t)),
-                    (None, Some(t)) => format!("its caller gone at {}", seconds(t)),
+                    (None, Some(t)) => format!("its caller closed at {}", seconds(t)),
                     _ => "never answered".to_owned(),
                 };
-                all.push(format!("call to {d}/{} at {}, {end}", c.endpoint, seconds(c.received_at)));
+                all.push(format!(
+                    "call to {destination}/{} at {}, {end}",
+                    call.endpoint,
+                    seconds(call.received_at)
+                ));
             }
         }
         if all.is_empty() { "no call".to_owned() } else { all.join("; ") }
     }
 
-    fn one_answer(&mut self, id: u64, m: &Message) {
-        let Some(first) = m.notices.first() else { return };
-        // What was written into a cut network nobody heard.
-        let heard = !self.blind().contains(&self.o.book.orders.borrow()[m.order].destination);
-        if let Some(delivered) = m.delivered.filter(|_| heard && !m.crossed)
-            && let Some(n) = m.notices.iter().find(|n| n.at > delivered + CROSSING)
+    fn check_single_answer(&mut self, id: u64, message: &Message) {
+        let Some(first) = message.notices.first() else { return };
+        // An answer that was written during a network cut did not arrive.
+        let was_received = !self
+            .unobservable_destinations()
+            .contains(&self.result.observations.orders.borrow()[message.order].destination);
+        if let Some(delivered) = message.delivered.filter(|_| was_received && !message.is_answer_crossed)
+            && let Some(notice) =
+                message.notices.iter().find(|notice| notice.at > delivered + ANSWER_CROSSING_TIME)
         {
-            // A process that ended between the two cannot know, unless it had the answer long before.
-            if !self.died_between(m.sender, delivered, n.at) && !self.apart_between(m.handed, n.at) {
-                let what = format!(
+            // A process that ended between the two events cannot know of the delivery, unless it had the
+            // answer well before its end.
+            if !self.process_ended_between(message.sender, delivered, notice.at)
+                && !self.may_be_partitioned(message.submitted_at, notice.at)
+            {
+                let details = format!(
                     "partner: delivered at {}; platform: ended as {} at {}",
                     seconds(delivered),
-                    n.verdict,
-                    seconds(n.at)
+                    notice.verdict,
+                    seconds(notice.at)
                 );
-                self.say(n.at, Rule::OneFinalAnswer, Some(id), what);
+                self.report(notice.at, Rule::OneFinalAnswer, Some(id), details);
             }
         }
-        for n in &m.notices[1..] {
-            let known = first.acknowledged.is_some_and(|t| n.at > t + CROSSING);
-            let again = known && !self.died_between(m.sender, first.at, n.at);
-            let apart = self.apart_between(m.handed, n.at);
-            if (n.verdict != first.verdict || again) && !apart {
-                let what = format!(
+        for notice in &message.notices[1..] {
+            let was_acknowledged = first.acknowledged.is_some_and(|t| notice.at > t + ANSWER_CROSSING_TIME);
+            let was_repeated =
+                was_acknowledged && !self.process_ended_between(message.sender, first.at, notice.at);
+            let is_partitioned = self.may_be_partitioned(message.submitted_at, notice.at);
+            if (notice.verdict != first.verdict || was_repeated) && !is_partitioned {
+                let details = format!(
                     "platform: ended as {} at {}, and as {} at {}",
                     first.verdict,
                     seconds(first.at),
-                    n.verdict,
-                    seconds(n.at)
+                    notice.verdict,
+                    seconds(notice.at)
                 );
-                self.say(n.at, Rule::OneFinalAnswer, Some(id), what);
+                self.report(notice.at, Rule::OneFinalAnswer, Some(id), details);
                 break;
             }
         }
     }
 
-    fn died_between(&self, sender: usize, from: Micros, to: Micros) -> bool {
-        let lives = self.o.book.lives.borrow();
-        lives[sender].iter().any(|l| l.ended.is_some_and(|t| t + CROSSING >= from && t <= to))
+    fn process_ended_between(&self, sender: usize, from: Micros, to: Micros) -> bool {
+        let lifetimes = self.result.observations.lifetimes.borrow();
+        lifetimes[sender].iter().any(|l| l.ended.is_some_and(|t| t + ANSWER_CROSSING_TIME >= from && t <= to))
     }
 
-    fn effects(&mut self) {
-        let book = self.o.book.clone();
-        let (messages, orders) = (book.messages.borrow(), book.orders.borrow());
-        // What a client has given up on counts for nothing.
+    fn check_effects(&mut self) {
+        let observations = self.result.observations.clone();
+        let (messages, orders) = (observations.messages.borrow(), observations.orders.borrow());
+        // Messages whose client stopped waiting do not count.
         let mut ran: BTreeMap<usize, Vec<(Micros, u64, usize, usize)>> = BTreeMap::new();
-        for (d, ledger) in self.o.ledgers.iter().enumerate() {
-            for e in ledger.effects.iter().filter(|e| !e.is_duplicate) {
-                let Some(m) = messages.get(&e.message).filter(|m| m.forsaken.is_none()) else { continue };
-                let class = self.o.scenario.class[orders[m.order].class].get_ref();
+        for (destination, ledger) in self.result.ledgers.iter().enumerate() {
+            for effect in ledger.effects.iter().filter(|effect| !effect.is_duplicate) {
+                let Some(message) =
+                    messages.get(&effect.message).filter(|message| message.abandoned_at.is_none())
+                else {
+                    continue;
+                };
+                let class = self.result.scenario.class[orders[message.order].class].get_ref();
                 if class.effect != "idempotent" {
-                    ran.entry(m.order).or_default().push((e.at, e.message, d, e.endpoint));
+                    ran.entry(message.order).or_default().push((
+                        effect.at,
+                        effect.message,
+                        destination,
+                        effect.endpoint,
+                    ));
                 }
             }
         }
         for (order, all) in ran.iter().filter(|(_, all)| all.len() > 1) {
             let times: Vec<String> = all
                 .iter()
-                .map(|(at, id, d, n)| format!("{id:016x} at {} at {d}/{n}", seconds(*at)))
+                .map(|(at, id, destination, endpoint)| {
+                    format!("{id:016x} at {} at {destination}/{endpoint}", seconds(*at))
+                })
                 .collect();
-            let class = &self.o.scenario.class[orders[*order].class].get_ref().name;
-            let calls = self.seen(all[1].1);
-            let what = format!(
+            let class = &self.result.scenario.class[orders[*order].class].get_ref().name;
+            let calls = self.describe_calls(all[1].1);
+            let details = format!(
                 "order {order} of class {class} ran {} times: {}; {calls}",
                 all.len(),
                 times.join(", ")
             );
-            self.say(all[1].0, Rule::NothingTwice, Some(all[1].1), what);
+            self.report(all[1].0, Rule::NothingTwice, Some(all[1].1), details);
         }
     }
 
-    /// The life of a sender's process at a moment, counted from 1.
-    fn life(&self, sender: usize, at: Micros) -> u32 {
-        let lives = self.o.book.lives.borrow();
-        lives[sender].iter().filter(|l| l.started <= at).count().max(1) as u32
+    /// Returns the number of a sender's process lifetime at a given time, counted from 1.
+    fn lifetime_at(&self, sender: usize, at: Micros) -> u32 {
+        let lifetimes = self.result.observations.lifetimes.borrow();
+        lifetimes[sender].iter().filter(|l| l.started <= at).count().max(1) as u32
     }
 
-    /// When discovery could first tell what there was to tell from `at` on.
-    fn could_tell(&self, at: Micros) -> Micros {
-        let mut outages = self.o.book.outages.borrow().clone();
+    /// Returns the earliest time at or after `at` at which discovery was able to send changes.
+    fn discovery_available_from(&self, at: Micros) -> Micros {
+        let mut outages = self.result.observations.outages.borrow().clone();
         outages.sort_unstable();
         outages.iter().fold(at, |at, &(from, until)| if (from..until).contains(&at) { until } else { at })
     }
 
-    fn drains(&mut self) {
-        let book = self.o.book.clone();
-        let listed = book.listed.borrow();
+    fn check_drains(&mut self) {
+        let observations = self.result.observations.clone();
+        let listed = observations.list_changes.borrow();
         for change in listed.iter().filter(|c| c.closed) {
-            let (d, n) = change.endpoint;
-            let later: Vec<&CallRecord> = self.o.ledgers[d]
+            let (destination, endpoint) = change.endpoint;
+            let later: Vec<&CallRecord> = self.result.ledgers[destination]
                 .calls
                 .iter()
-                .filter(|c| c.endpoint == n && c.first_byte_at > change.at)
+                .filter(|c| c.endpoint == endpoint && c.first_byte_at > change.at)
                 .collect();
             for call in later {
-                let life = self.life(call.sender, call.first_byte_at);
-                let started =
-                    book.lives.borrow()[call.sender].get(life as usize - 1).map_or(0, |l| l.started);
-                // What was told into a cut network arrived nowhere.
-                let cuts = self.cuts(call.sender);
-                let heard = |t: Micros| !cuts.iter().any(|(from, until)| (*from..*until).contains(&t));
-                let told =
-                    change.told.iter().filter(|(s, l, t)| *s == call.sender && *l == life && heard(*t));
-                let told = told
+                let lifetime = self.lifetime_at(call.sender, call.first_byte_at);
+                let started = observations.lifetimes.borrow()[call.sender]
+                    .get(lifetime as usize - 1)
+                    .map_or(0, |l| l.started);
+                // A change that was sent during a network cut did not arrive.
+                let cut_intervals = self.cut_intervals(call.sender);
+                let was_received =
+                    |t: Micros| !cut_intervals.iter().any(|(from, until)| (*from..*until).contains(&t));
+                let notified_at = change
+                    .notified
+                    .iter()
+                    .filter(|(s, l, t)| *s == call.sender && *l == lifetime && was_received(*t));
+                let notified_at = notified_at
                     .map(|t| t.2)
                     .min()
                     .unwrap_or(Micros::MAX)
-                    .min(self.could_tell(change.at.max(started)) + TOLD);
-                if call.first_byte_at > told + GRACE + SLACK {
-                    let what = format!(
-                        "platform: revision {} closed {d}/{n} at {}, told sender {} at {}; partner: a call \
-                         began at {}",
+                    .min(self.discovery_available_from(change.at.max(started)) + LIST_PROPAGATION_TIME);
+                if call.first_byte_at > notified_at + IN_FLIGHT_GRACE + SOCKET_TOLERANCE {
+                    let details = format!(
+                        "platform: revision {} closed {destination}/{endpoint} at {}, told sender {} \
+                         at {}; partner: a call began at {}",
                         change.revision,
                         seconds(change.at),
                         call.sender,
-                        seconds(told),
+                        seconds(notified_at),
                         seconds(call.first_byte_at)
                     );
-                    self.say(call.first_byte_at, Rule::DrainsKept, call.messages.first().copied(), what);
+                    self.report(
+                        call.first_byte_at,
+                        Rule::DrainsKept,
+                        call.messages.first().copied(),
+                        details,
+                    );
                     break;
                 }
             }
         }
     }
 
-    fn calls(&mut self) {
-        let o = self.o;
-        let s = &o.scenario;
-        let blind = self.blind();
+    fn check_calls(&mut self) {
+        let result = self.result;
+        let scenario = &result.scenario;
+        let unobservable_destinations = self.unobservable_destinations();
         let mut attempts: BTreeMap<u64, u32> = BTreeMap::new();
-        for (d, ledger) in o.ledgers.iter().enumerate() {
+        for (destination, ledger) in result.ledgers.iter().enumerate() {
             for (at, endpoint) in &ledger.overload_failures {
                 let from: BTreeSet<usize> = ledger
                     .calls
@@ -370,158 +421,188 @@
                     .filter(|c| c.received_at <= *at && c.received_at + 2 * SEC > *at)
                     .map(|c| c.sender)
                     .collect();
-                let what =
-                    format!("partner: {d}/{endpoint} fell over while cold, with calls of senders {from:?}");
-                self.say(*at, Rule::ReturningNotPushed, None, what);
+                let details = format!(
+                    "partner: {destination}/{endpoint} failed from overload while cold; calls from senders \
+                     {from:?}"
+                );
+                self.report(*at, Rule::ReturningNotPushed, None, details);
             }
             for call in &ledger.calls {
                 call.messages.iter().for_each(|id| *attempts.entry(*id).or_default() += 1);
             }
-            self.waits(d, &ledger.calls);
-            if !s.senders.parallel_tries && !blind.contains(&d) {
-                self.copies(d, &ledger.calls);
+            self.check_waits(destination, &ledger.calls);
+            if !scenario.senders.parallel_tries && !unobservable_destinations.contains(&destination) {
+                self.check_parallel_attempts(destination, &ledger.calls);
             }
         }
-        let most = s.senders.max_attempts;
-        for (id, n) in attempts.into_iter().filter(|(_, n)| *n > most) {
-            let what = format!("partner: {n} calls, where {most} are allowed: {}", self.seen(id));
-            self.say(0, Rule::AttemptLimit, Some(id), what);
+        let limit = scenario.senders.max_attempts;
+        for (id, n) in attempts.into_iter().filter(|(_, n)| *n > limit) {
+            let details =
+                format!("partner: {n} calls, but at most {limit} are permitted: {}", self.describe_calls(id));
+            self.report(0, Rule::AttemptLimit, Some(id), details);
         }
-        self.caps(&blind);
+        self.check_slot_limits(&unobservable_destinations);
     }
 
-    /// Destinations whose machines cannot see that a caller has gone.
-    fn blind(&self) -> BTreeSet<usize> {
-        let s = &self.o.scenario;
-        let cut: Vec<_> = s.event.iter().map(|e| e.get_ref()).filter(|e| e.what == Do::Cut).collect();
+    /// Returns the destinations that cannot detect a caller's close because of a network cut.
+    fn unobservable_destinations(&self) -> BTreeSet<usize> {
+        let scenario = &self.result.scenario;
+        let cut: Vec<_> =
+            scenario.event.iter().map(|e| e.get_ref()).filter(|e| e.kind == EventKind::Cut).collect();
         if cut.iter().any(|e| e.sender.is_some()) {
-            return (0..self.o.ledgers.len()).collect();
+            return (0..self.result.ledgers.len()).collect();
         }
-        cut.iter().flat_map(|e| s.select(e.hall.as_deref(), e.partner.as_deref(), e.destination)).collect()
+        cut.iter()
+            .flat_map(|e| scenario.select(e.zone.as_deref(), e.partner.as_deref(), e.destination))
+            .collect()
     }
 
-    fn waits(&mut self, d: usize, calls: &[CallRecord]) {
-        let (partner, _) = self.o.scenario.destinations()[d];
-        let apart = self.o.scenario.partner[partner].get_ref().apart;
-        // By sender and route: from when on, until when, in which life.
-        let mut told: Vec<(Micros, Micros, usize, usize, u32)> = Vec::new();
-        for c in calls {
-            if let (Some((at, 429)), Some(wait)) = (c.answer, c.retry_after) {
-                told.push((at, at + wait, c.sender, c.endpoint, self.life(c.sender, at)));
+    fn check_waits(&mut self, destination: usize, calls: &[CallRecord]) {
+        let (partner, _) = self.result.scenario.destinations()[destination];
+        let per_endpoint = self.result.scenario.partner[partner].get_ref().per_endpoint;
+        // Requested waits: start, end, sender, endpoint and lifetime number of the sender.
+        let mut waits: Vec<(Micros, Micros, usize, usize, u32)> = Vec::new();
+        for call in calls {
+            if let (Some((at, 429)), Some(wait)) = (call.answer, call.retry_after) {
+                waits.push((at, at + wait, call.sender, call.endpoint, self.lifetime_at(call.sender, at)));
             }
         }
-        told.sort_unstable();
-        let longest = told.iter().map(|t| t.1 - t.0).max().unwrap_or(0);
-        for c in calls {
-            let from = told.partition_point(|t| t.0 + longest < c.received_at);
-            let life = self.life(c.sender, c.received_at);
-            let broken = told[from..].iter().take_while(|t| t.0 + GRACE + SLACK < c.received_at).find(|t| {
-                c.received_at < t.1 && t.2 == c.sender && t.4 == life && (!apart || t.3 == c.endpoint)
-            });
+        waits.sort_unstable();
+        let longest = waits.iter().map(|t| t.1 - t.0).max().unwrap_or(0);
+        for call in calls {
+            let from = waits.partition_point(|t| t.0 + longest < call.received_at);
+            let lifetime = self.lifetime_at(call.sender, call.received_at);
+            let broken = waits[from..]
+                .iter()
+                .take_while(|t| t.0 + IN_FLIGHT_GRACE + SOCKET_TOLERANCE < call.received_at)
+                .find(|t| {
+                    call.received_at < t.1
+                        && t.2 == call.sender
+                        && t.4 == lifetime
+                        && (!per_endpoint || t.3 == call.endpoint)
+                });
             if let Some(t) = broken {
-                let what = format!(
-                    "partner: told sender {} at {} to wait until {}, and got a call at {}",
-                    c.sender,
+                let details = format!(
+                    "partner: told sender {} at {} to wait until {}, but received a call at {}",
+                    call.sender,
                     seconds(t.0),
                     seconds(t.1),
-                    seconds(c.received_at)
+                    seconds(call.received_at)
                 );
-                self.say(c.received_at, Rule::WaitsHeeded, c.messages.first().copied(), what);
+                self.report(call.received_at, Rule::WaitsHeeded, call.messages.first().copied(), details);
             }
         }
     }
 
-    /// From when to when a call was out.
-    fn out(&self, c: &CallRecord) -> (Micros, Micros) {
-        let ends = c.answer.filter(|a| a.1 != 0).map(|a| a.0).into_iter().chain(c.caller_gone_at).min();
-        (c.received_at, ends.or(c.answer.map(|a| a.0)).unwrap_or(self.o.end))
+    /// Returns the interval in which a call was in flight.
+    fn call_interval(&self, call: &CallRecord) -> (Micros, Micros) {
+        let ends = call.answer.filter(|a| a.1 != 0).map(|a| a.0).into_iter().chain(call.caller_gone_at).min();
+        (call.received_at, ends.or(call.answer.map(|a| a.0)).unwrap_or(self.result.end))
     }
 
-    fn copies(&mut self, d: usize, calls: &[CallRecord]) {
+    fn check_parallel_attempts(&mut self, destination: usize, calls: &[CallRecord]) {
         let mut last: BTreeMap<u64, (Micros, usize)> = BTreeMap::new();
-        for c in calls {
-            let (at, until) = self.out(c);
-            for id in &c.messages {
-                // Two senders that do not hear each other cannot know; what must not be repeated is held to
-                // more by another rule.
-                let apart = self.apart_between(at, at);
-                if let Some((busy, n)) = last.get(id).filter(|(busy, _)| *busy > at && !apart) {
-                    let what = format!(
-                        "partner: {d}/{} got a call at {} while one to {d}/{n} was out until {}",
-                        c.endpoint,
+        for call in calls {
+            let (at, until) = self.call_interval(call);
+            for id in &call.messages {
+                // Two senders that are partitioned cannot know of each other's calls. `NothingTwice` covers
+                // messages that must not be repeated.
+                let is_partitioned = self.may_be_partitioned(at, at);
+                if let Some((busy, endpoint)) = last.get(id).filter(|(busy, _)| *busy > at && !is_partitioned)
+                {
+                    let details = format!(
+                        "partner: {destination}/{} received a call at {} while one to \
+                         {destination}/{endpoint} was in flight until {}",
+                        call.endpoint,
                         seconds(at),
                         seconds(*busy)
                     );
-                    self.say(at, Rule::AttemptLimit, Some(*id), what);
+                    self.report(at, Rule::AttemptLimit, Some(*id), details);
                 }
-                last.insert(*id, (until, c.endpoint));
+                last.insert(*id, (until, call.endpoint));
             }
         }
     }
 
-    fn caps(&mut self, blind: &BTreeSet<usize>) {
-        let slots = self.o.scenario.senders.slots;
-        let most = (f64::from(slots) * 0.75).floor().max(1.0) as i64;
+    fn check_slot_limits(&mut self, unobservable_destinations: &BTreeSet<usize>) {
+        let slots = self.result.scenario.senders.slots;
+        let limit = (f64::from(slots) * 0.75).floor().max(1.0) as i64;
         let mut steps: Vec<(Micros, i64, usize, usize)> = Vec::new();
-        for (d, ledger) in self.o.ledgers.iter().enumerate().filter(|(d, _)| !blind.contains(d)) {
-            for c in &ledger.calls {
-                let (from, to) = self.out(c);
+        for (destination, ledger) in self
+            .result
+            .ledgers
+            .iter()
+            .enumerate()
+            .filter(|(destination, _)| !unobservable_destinations.contains(destination))
+        {
+            for call in &ledger.calls {
+                let (from, to) = self.call_interval(call);
                 if to > from {
-                    steps.extend([(from, 1, c.sender, d), (to, -1, c.sender, d)]);
+                    steps.extend([(from, 1, call.sender, destination), (to, -1, call.sender, destination)]);
                 }
             }
         }
-        // Ends before beginnings of the same moment.
+        // At equal times the sort puts ends before starts.
         steps.sort_unstable();
-        let mut by_dest: BTreeMap<(usize, usize), i64> = BTreeMap::new();
+        let mut by_destination: BTreeMap<(usize, usize), i64> = BTreeMap::new();
         let mut by_sender: BTreeMap<usize, i64> = BTreeMap::new();
-        let mut said = BTreeSet::new();
-        for (at, step, sender, d) in steps {
-            let here = by_dest.entry((sender, d)).or_default();
+        let mut reported = BTreeSet::new();
+        for (at, step, sender, destination) in steps {
+            let here = by_destination.entry((sender, destination)).or_default();
             *here += step;
             let all = by_sender.entry(sender).or_default();
             *all += step;
-            let what = if *here > most {
-                format!("partner {d}: {here} calls of sender {sender} are out, where {most} may be")
+            let details = if *here > limit {
+                format!(
+                    "partner {destination}: {here} calls of sender {sender} are in flight, but at most \
+                     {limit} are permitted"
+                )
             } else if *all > i64::from(slots) {
-                format!("partners: {all} calls of sender {sender} are out, where it has {slots} slots")
+                format!("partners: {all} calls of sender {sender} are in flight, but it has {slots} slots")
             } else {
                 continue;
             };
-            if said.insert((sender, d)) {
-                self.say(at, Rule::OwnCap, None, what);
+            if reported.insert((sender, destination)) {
+                self.report(at, Rule::OwnCap, None, details);
             }
         }
     }
 
-    fn processes(&mut self) {
-        let book = self.o.book.clone();
-        for (n, lives) in book.lives.borrow().iter().enumerate() {
-            for l in lives {
-                // One that finds no room for its first row does not start; whoever runs it tries again.
-                let no_room = |why: &String| {
-                    let full = self.o.scenario.event.iter().any(|e| e.get_ref().what == Do::DiskFull);
+    fn check_processes(&mut self) {
+        let observations = self.result.observations.clone();
+        for (sender, lifetimes) in observations.lifetimes.borrow().iter().enumerate() {
+            for lifetime in lifetimes {
+                // A sender with a full disk cannot write its first record and does not start. The supervisor
+                // retries.
+                let is_disk_full_error = |why: &String| {
+                    let full =
+                        self.result.scenario.event.iter().any(|e| e.get_ref().kind == EventKind::DiskFull);
                     full && why.contains("no storage space")
                 };
-                if let Some(why) = l.crashed.as_ref().filter(|w| !no_room(w)) {
-                    let at = l.ended.unwrap_or(l.started);
-                    self.say(at, Rule::StaysUp, None, format!("sender {n} {why}"));
+                if let Some(why) = lifetime.crashed.as_ref().filter(|w| !is_disk_full_error(w)) {
+                    let at = lifetime.ended.unwrap_or(lifetime.started);
+                    self.report(at, Rule::StaysUp, None, format!("sender {sender} {why}"));
                 }
             }
         }
-        for b in book.bad.borrow().iter() {
-            let away =
-                self.excused(b.sender, b.at) != b.at || self.excused(b.sender, b.at + OWED) != b.at + OWED;
-            let fine =
-                b.got.is_some_and(|(t, status)| !(200..300).contains(&status) && t <= b.at + OWED + SLACK);
-            if !fine && !away {
-                let what = format!("a client that sent {} to sender {} got {:?}", b.kind, b.sender, b.got);
-                self.say(b.at + OWED, Rule::BadClients, None, what);
+        for request in observations.bad_requests.borrow().iter() {
+            let was_unavailable = self.extend_limit(request.sender, request.at) != request.at
+                || self.extend_limit(request.sender, request.at + BAD_CLIENT_TIMEOUT)
+                    != request.at + BAD_CLIENT_TIMEOUT;
+            let was_answered = request.response.is_some_and(|(t, status)| {
+                !(200..300).contains(&status) && t <= request.at + BAD_CLIENT_TIMEOUT + SOCKET_TOLERANCE
+            });
+            if !was_answered && !was_unavailable {
+                let details = format!(
+                    "a client that sent {} to sender {} received {:?}",
+                    request.kind, request.sender, request.response
+                );
+                self.report(request.at + BAD_CLIENT_TIMEOUT, Rule::BadClients, None, details);
             }
         }
-        for (at, what) in book.odd.borrow().iter() {
-            let rule = if what.contains("folder held") { Rule::StaysUp } else { Rule::Protocol };
-            self.say(*at, rule, None, what.clone());
+        for (at, details) in observations.anomalies.borrow().iter() {
+            let rule = if details.contains("folder held") { Rule::StaysUp } else { Rule::Protocol };
+            self.report(*at, rule, None, details.clone());
         }
     }
 }
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -1,7 +1,7 @@
-//! Clients, as the protocol has them: they hand messages in at their own pace, whatever becomes of them, wait
-//! 400 ms for an answer, and come again after a refusal. And some that send what nobody should.
+//! Emulated clients that follow the protocol: they submit messages at their own rate, regardless of the
+//! results, wait 400 ms for an answer, and resubmit after a refusal. Some clients send malformed requests.
 
-use crate::book::{Bad, Book, Message};
+use crate::observations::{BadRequest, Message, Observations};
 use crate::scenario::Scenario;
 use crate::wire::Wire;
 use notchpoint_emulator::Micros;
@@ -14,41 +14,41 @@
 use std::time::Duration;
 use tokio::time::{sleep, sleep_until, timeout, timeout_at};
 
-/// A client waits so long for an answer.
-const PATIENCE: Duration = Duration::from_millis(400);
-/// After a refusal that tells nothing of when to come back.
-const COME_BACK: Micros = 500_000;
-/// After an answer that never came.
-const AGAIN: Micros = 100_000;
-/// With less time left nobody hands anything in.
-const LEAST: Micros = 50_000;
-/// Connections that stand idle to one sender at most.
-const IDLE: usize = 64;
-/// What is owed an error or a close gets one in this time.
-const OWED: Duration = Duration::from_secs(3);
+/// Time that a client waits for an answer.
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Delay before resubmitting after a refusal without `Retry-After`.
+const DEFAULT_RETRY_DELAY: Micros = 500_000;
+/// Delay before resubmitting when no answer came.
+const NO_ANSWER_RETRY_DELAY: Micros = 100_000;
+/// Clients do not submit messages with less remaining time than this.
+const MIN_REMAINING_TIME: Micros = 50_000;
+/// Maximum number of idle connections to one sender.
+const MAX_IDLE_CONNECTIONS: usize = 64;
+/// Time within which a malformed request must receive an error or a close.
+const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// What came of a hand-in.
+/// The result of a submission.
 enum Answer {
-    Taken,
+    Accepted,
     Refused(Micros),
     Failed,
-    /// No answer; whether it was taken on nobody knows.
-    Nothing,
+    /// No answer: it is unknown whether the message was accepted.
+    NoAnswer,
 }
 
-/// All clients.
+/// All clients of a run.
 pub struct Clients {
     net: Rc<dyn Network>,
     senders: Vec<SocketAddr>,
     scenario: Rc<Scenario>,
     seed: u64,
-    book: Rc<Book>,
+    observations: Rc<Observations>,
     idle: RefCell<Vec<Vec<Wire>>>,
-    /// What has been taken on: its order, and how often that was handed in.
-    taken: RefCell<BTreeMap<u64, (usize, u32, usize)>>,
+    /// Accepted messages by ID: order, attempt number and body size.
+    accepted: RefCell<BTreeMap<u64, (usize, u32, usize)>>,
 }
 
-/// A number that looks like chance, from two (splitmix64).
+/// Mixes two numbers into a pseudorandom one (splitmix64).
 pub fn mix(a: u64, b: u64) -> u64 {
     let mut z = a.wrapping_add(b.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_add(0x9e37_79b9_7f4a_7c15);
     z = (z ^ (z >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
@@ -57,48 +57,49 @@
 }
 
 impl Clients {
-    /// Clients of these senders.
+    /// Creates clients of these senders.
     pub fn new(
         net: Rc<dyn Network>,
         senders: Vec<SocketAddr>,
         scenario: Rc<Scenario>,
         seed: u64,
-        book: Rc<Book>,
+        observations: Rc<Observations>,
     ) -> Rc<Self> {
         let idle = RefCell::new(senders.iter().map(|_| Vec::new()).collect());
-        Rc::new(Self { net, senders, scenario, seed, book, idle, taken: RefCell::default() })
+        Rc::new(Self { net, senders, scenario, seed, observations, idle, accepted: RefCell::default() })
     }
 
-    /// An order from when it is asked for, over all its hand-ins, until it is taken on or its client gives
-    /// up.
-    pub async fn ask(self: Rc<Self>, order: usize, body: usize) {
-        self.hand_in_from(order, 0, body, "0").await;
+    /// Submits an order, repeatedly if necessary, until it is accepted or the client gives up.
+    pub async fn submit_order(self: Rc<Self>, order: usize, body: usize) {
+        self.submit_until_accepted(order, 0, body, "0").await;
     }
 
-    /// A notice said that a message was turned away after all.
+    /// Handles a notice that an accepted message was bounced: resubmits it after the given delay.
     pub fn bounced(self: &Rc<Self>, id: u64, wait: Micros) {
-        let Some((order, tries, body)) = self.taken.borrow_mut().remove(&id) else { return };
+        let Some((order, attempt, body)) = self.accepted.borrow_mut().remove(&id) else { return };
         let clients = self.clone();
         tokio::task::spawn_local(async move {
-            let wait = if wait > 0 { wait } else { COME_BACK };
+            let wait = if wait > 0 { wait } else { DEFAULT_RETRY_DELAY };
             sleep(Duration::from_micros(wait)).await;
-            clients.hand_in_from(order, tries + 1, body, "1").await;
+            clients.submit_until_accepted(order, attempt + 1, body, "1").await;
         });
     }
 
-    async fn hand_in_from(&self, order: usize, mut tries: u32, body: usize, mut mark: &str) {
-        let (class, asked) = {
-            let o = &self.book.orders.borrow()[order];
-            (o.class, o.asked)
+    async fn submit_until_accepted(&self, order: usize, mut attempt: u32, body: usize, mut mark: &str) {
+        let (class, requested_at) = {
+            let entry = &self.observations.orders.borrow()[order];
+            (entry.class, entry.requested_at)
         };
-        let deadline = asked + (self.scenario.class[class].get_ref().deadline_s * 1e6) as Micros;
-        while tries <= self.scenario.senders.client_retries && self.book.now() + LEAST < deadline {
-            let id = mix(self.seed, mix(order as u64, u64::from(tries)));
-            // The front deals connections out in turn.
-            let sender = (mix(self.seed ^ 1, order as u64) as usize + tries as usize) % self.senders.len();
-            let wait = match self.hand_in(id, order, sender, deadline, body, mark).await {
-                Answer::Taken => {
-                    self.taken.borrow_mut().insert(id, (order, tries, body));
+        let deadline = requested_at + (self.scenario.class[class].get_ref().deadline_s * 1e6) as Micros;
+        while attempt <= self.scenario.senders.client_retries
+            && self.observations.now() + MIN_REMAINING_TIME < deadline
+        {
+            let id = mix(self.seed, mix(order as u64, u64::from(attempt)));
+            // The front assigns connections to senders in turn.
+            let sender = (mix(self.seed ^ 1, order as u64) as usize + attempt as usize) % self.senders.len();
+            let wait = match self.submit(id, order, sender, deadline, body, mark).await {
+                Answer::Accepted => {
+                    self.accepted.borrow_mut().insert(id, (order, attempt, body));
                     return;
                 }
                 Answer::Failed => return,
@@ -106,17 +107,17 @@
                     mark = "1";
                     wait
                 }
-                Answer::Nothing => {
+                Answer::NoAnswer => {
                     mark = "again";
-                    AGAIN
+                    NO_ANSWER_RETRY_DELAY
                 }
             };
             sleep(Duration::from_micros(wait)).await;
-            tries += 1;
+            attempt += 1;
         }
     }
 
-    async fn hand_in(
+    async fn submit(
         &self,
         id: u64,
         order: usize,
@@ -125,57 +126,60 @@
         body: usize,
         mark: &str,
     ) -> Answer {
-        let until = tokio::time::Instant::now() + PATIENCE;
+        let until = tokio::time::Instant::now() + ANSWER_TIMEOUT;
         loop {
-            let kept = self.idle.borrow_mut()[sender].pop();
-            let reused = kept.is_some();
-            let mut wire = match kept {
-                Some(wire) if !wire.is_quiet() => continue,
+            let reused_wire = self.idle.borrow_mut()[sender].pop();
+            let reused = reused_wire.is_some();
+            let mut wire = match reused_wire {
+                Some(wire) if !wire.has_no_unread_data() => continue,
                 Some(wire) => wire,
                 None => match timeout_at(until, self.net.connect(self.senders[sender])).await {
                     Ok(Ok(stream)) => Wire::new(stream),
-                    _ => return Answer::Nothing,
+                    _ => return Answer::NoAnswer,
                 },
             };
             let request = self.request(id, order, sender, deadline, body, mark);
             let exchange = async {
                 wire.write(&request).await?;
-                wire.answer().await
+                wire.read_answer().await
             };
             match timeout_at(until, exchange).await {
                 Ok(Ok(answer)) => {
-                    let now = self.book.now();
-                    self.book.log(format_args!("status {id:016x} {}", answer.status));
-                    if let Some(m) = self.book.messages.borrow_mut().get_mut(&id) {
+                    let now = self.observations.now();
+                    self.observations.log(format_args!("status {id:016x} {}", answer.status));
+                    if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
                         m.answered.get_or_insert((now, answer.status));
                     }
                     let mut idle = self.idle.borrow_mut();
-                    if !answer.closes() && idle[sender].len() < IDLE {
+                    if !answer.closes() && idle[sender].len() < MAX_IDLE_CONNECTIONS {
                         idle[sender].push(wire);
                     }
                     return match answer.status {
-                        200 | 202 => Answer::Taken,
+                        200 | 202 => Answer::Accepted,
                         429 | 503 => {
-                            let told = answer.header("retry-after").parse::<f64>().ok();
-                            Answer::Refused(told.map_or(COME_BACK, |s| (s.clamp(0.0, 60.0) * 1e6) as Micros))
+                            let retry_after = answer.header("retry-after").parse::<f64>().ok();
+                            Answer::Refused(
+                                retry_after
+                                    .map_or(DEFAULT_RETRY_DELAY, |s| (s.clamp(0.0, 60.0) * 1e6) as Micros),
+                            )
                         }
                         _ => Answer::Failed,
                     };
                 }
-                // Its end crossed the request: it goes out once more on a new connection.
+                // The close of a reused connection crossed the request, which is sent again on a new one.
                 Ok(Err(_)) if reused => {}
                 _ => {
-                    self.book.log(format_args!("forsaken {id:016x}"));
-                    if let Some(m) = self.book.messages.borrow_mut().get_mut(&id) {
-                        m.forsaken = Some(self.book.now());
+                    self.observations.log(format_args!("forsaken {id:016x}"));
+                    if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
+                        m.abandoned_at = Some(self.observations.now());
                     }
-                    return Answer::Nothing;
+                    return Answer::NoAnswer;
                 }
             }
         }
     }
 
-    /// Writes a message down, and what is sent for it.
+    /// Records a message and returns the bytes of its request.
     fn request(
         &self,
         id: u64,
@@ -185,34 +189,34 @@
         body: usize,
         mark: &str,
     ) -> Vec<u8> {
-        let now = self.book.now();
-        let mut orders = self.book.orders.borrow_mut();
-        let o = &mut orders[order];
-        let life = self.book.life(sender);
-        let mut messages = self.book.messages.borrow_mut();
+        let now = self.observations.now();
+        let mut orders = self.observations.orders.borrow_mut();
+        let order_entry = &mut orders[order];
+        let lifetime = self.observations.lifetime(sender);
+        let mut messages = self.observations.messages.borrow_mut();
         if messages.get(&id).is_none() {
-            o.handed += 1;
-            self.book.log(format_args!("hand-in {id:016x} of order {order} to {sender}"));
+            order_entry.submissions += 1;
+            self.observations.log(format_args!("hand-in {id:016x} of order {order} to {sender}"));
         }
         messages.insert(
             id,
             Message {
                 order,
                 sender,
-                life,
-                handed: now,
+                lifetime,
+                submitted_at: now,
                 deadline,
                 answered: None,
-                forsaken: None,
+                abandoned_at: None,
                 delivered: None,
-                crossed: false,
+                is_answer_crossed: false,
                 notices: Vec::new(),
             },
         );
-        let s = &self.scenario;
-        let class = &s.class[o.class].get_ref().name;
-        let tenant = s.tenant.get(o.tenant).map_or("", |t| t.get_ref().name.as_str());
-        let (dest, ms) = (o.destination + 1, deadline.saturating_sub(now) / 1_000);
+        let scenario = &self.scenario;
+        let class = &scenario.class[order_entry.class].get_ref().name;
+        let tenant = scenario.tenant.get(order_entry.tenant).map_or("", |t| t.get_ref().name.as_str());
+        let (dest, ms) = (order_entry.destination + 1, deadline.saturating_sub(now) / 1_000);
         let mut text = format!(
             "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: {id:016x}\r\n\
              X-Priority-Class: {class}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout-Ms: {ms}\r\n\
@@ -223,50 +227,51 @@
         text
     }
 
-    /// Waits until a sender answers that it is up; false if it never does.
-    pub async fn up(&self, sender: usize, patience: Duration) -> bool {
-        let ask = async {
+    /// Waits until a sender reports that it is up. Returns false after `patience`.
+    pub async fn wait_until_ready(&self, sender: usize, patience: Duration) -> bool {
+        let poll = async {
             loop {
-                if self.is_up(sender).await.is_ok_and(|status| status == 200) {
+                if self.fetch_up_status(sender).await.is_ok_and(|status| status == 200) {
                     return;
                 }
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(patience, ask).await.is_ok()
+        timeout(patience, poll).await.is_ok()
     }
 
-    async fn is_up(&self, sender: usize) -> io::Result<u16> {
+    async fn fetch_up_status(&self, sender: usize) -> io::Result<u16> {
         let mut wire = Wire::new(self.net.connect(self.senders[sender]).await?);
         wire.write(b"GET /up HTTP/1.1\r\nHost: api.internal\r\nConnection: close\r\n\r\n").await?;
-        Ok(wire.answer().await?.status)
+        Ok(wire.read_answer().await?.status)
     }
 
-    /// One client that sends what nobody should.
-    pub async fn misbehave(self: Rc<Self>, number: usize, at: Micros) {
-        sleep_until(self.book.at(at)).await;
+    /// Sends one malformed request and records its answer.
+    pub async fn send_bad_request(self: Rc<Self>, number: usize, at: Micros) {
+        sleep_until(self.observations.instant_at(at)).await;
         let sender = number % self.senders.len();
-        let (kind, bytes) = self.nonsense(number);
-        let place = {
-            let mut bad = self.book.bad.borrow_mut();
-            bad.push(Bad { kind, sender, at: self.book.now(), got: None });
+        let (kind, bytes) = self.malformed_request(number);
+        let index = {
+            let mut bad = self.observations.bad_requests.borrow_mut();
+            bad.push(BadRequest { kind, sender, at: self.observations.now(), response: None });
             bad.len() - 1
         };
-        let talk = async {
+        let exchange = async {
             let Ok(stream) = self.net.connect(self.senders[sender]).await else { return 0 };
             let mut wire = Wire::new(stream);
             if wire.write(&bytes).await.is_err() {
                 return 0;
             }
-            wire.answer().await.map_or(0, |a| a.status)
+            wire.read_answer().await.map_or(0, |a| a.status)
         };
-        let got = timeout(OWED + PATIENCE, talk).await.ok();
-        self.book.log(format_args!("bad {kind} {got:?}"));
-        self.book.bad.borrow_mut()[place].got = got.map(|status| (self.book.now(), status));
+        let response = timeout(BAD_CLIENT_TIMEOUT + ANSWER_TIMEOUT, exchange).await.ok();
+        self.observations.log(format_args!("bad {kind} {response:?}"));
+        self.observations.bad_requests.borrow_mut()[index].response =
+            response.map(|status| (self.observations.now(), status));
     }
 
-    /// What the n-th such client sends.
-    fn nonsense(&self, n: usize) -> (&'static str, Vec<u8>) {
+    /// Returns the kind and the bytes of the n-th malformed request.
+    fn malformed_request(&self, number: usize) -> (&'static str, Vec<u8>) {
         let class = &self.scenario.class[0].get_ref().name;
         let head = |headers: &str| {
             format!("POST /{class} HTTP/1.1\r\nHost: x\r\nX-Priority-Class: {class}\r\n{headers}")
@@ -291,7 +296,7 @@
                 head(&format!("{h}Content-Length: 0\r\n\r\n"))
             }),
         ];
-        let n = n % kinds.len();
-        kinds.into_iter().nth(n).unwrap_or_default()
+        let number = number % kinds.len();
+        kinds.into_iter().nth(number).unwrap_or_default()
     }
 }
--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -1,4 +1,4 @@
-//! Two builds, or two settings, on the same seeds: the difference, and how much of it is chance.
+//! Compares two builds or two settings on the same seeds and estimates the error of the difference.
 
 use serde::Serialize;
 use std::collections::BTreeMap;
@@ -7,54 +7,54 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One side: a program that plays, and what it plays.
+/// One side of a comparison: a program and the scenario that it runs.
 #[derive(Clone, Debug)]
 pub struct Side {
-    /// A `notchpoint-rehearse`.
+    /// Path of a `notchpoint-rehearse` program.
     pub program: PathBuf,
-    /// A scenario.
+    /// Path of the scenario.
     pub file: PathBuf,
 }
 
-/// What came out.
+/// Result of a comparison.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Compared {
-    /// Seeds played on both sides.
+pub struct Comparison {
+    /// Number of seeds run on both sides.
     pub seeds: u64,
-    /// Worth kept on average, by side.
+    /// Mean share of worth kept, by side.
     pub kept: [f64; 2],
     /// Standard deviation over the seeds, by side.
     pub spread: [f64; 2],
-    /// Seeds on which a rule was broken, by side.
+    /// Number of seeds in which a rule was broken, by side.
     pub broken: [u64; 2],
-    /// The second side less the first, seed by seed: its average.
+    /// Mean over the seeds of the second side minus the first.
     pub difference: f64,
-    /// The standard error of that average: under twice this it may be chance.
+    /// Standard error of that mean. A difference below twice this error may be chance.
     pub error: f64,
 }
 
-/// By seed and side: worth kept, and whether a rule was broken.
-type Played = BTreeMap<(u64, usize), (f64, bool)>;
+/// By seed and side: share of worth kept, and whether a rule was broken.
+type SeedResults = BTreeMap<(u64, usize), (f64, bool)>;
 
-/// Plays seeds `from..from + many` on both sides.
+/// Runs the seeds `from..from + count` on both sides.
 ///
 /// # Errors
-/// One of them cannot be played.
-pub fn compare(sides: &[Side; 2], from: u64, many: u64, jobs: usize) -> Result<Compared, String> {
+/// Fails if a seed cannot be run.
+pub fn compare(sides: &[Side; 2], from: u64, count: u64, jobs: usize) -> Result<Comparison, String> {
     let next = AtomicU64::new(0);
-    let done: Mutex<Result<Played, String>> = Mutex::new(Ok(Played::new()));
+    let done: Mutex<Result<SeedResults, String>> = Mutex::new(Ok(SeedResults::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 loop {
                     let n = next.fetch_add(1, Ordering::Relaxed);
                     let (seed, side) = (from + n / 2, (n % 2) as usize);
-                    if seed >= from + many {
+                    if seed >= from + count {
                         return;
                     }
-                    let played = play(&sides[side].program, &sides[side].file, seed);
+                    let run_result = run_seed(&sides[side].program, &sides[side].file, seed);
                     let Ok(mut done) = done.lock() else { return };
-                    match (played, done.as_mut()) {
+                    match (run_result, done.as_mut()) {
                         (Ok(p), Ok(all)) => drop(all.insert((seed, side), p)),
                         (Err(why), Ok(_)) => *done = Err(why),
                         _ => return,
@@ -67,13 +67,13 @@
     let side = |k: usize| all.iter().filter(move |((_, s), _)| *s == k).map(|(_, v)| *v);
     let kept: Vec<Vec<f64>> = (0..2).map(|k| side(k).map(|v| v.0).collect()).collect();
     let differences: Vec<f64> = kept[0].iter().zip(&kept[1]).map(|(a, b)| b - a).collect();
-    Ok(Compared {
+    Ok(Comparison {
         seeds: differences.len() as u64,
         kept: [mean(&kept[0]), mean(&kept[1])],
-        spread: [spread(&kept[0]), spread(&kept[1])],
+        spread: [standard_deviation(&kept[0]), standard_deviation(&kept[1])],
         broken: [side(0).filter(|v| v.1).count() as u64, side(1).filter(|v| v.1).count() as u64],
         difference: mean(&differences),
-        error: spread(&differences) / (differences.len().max(1) as f64).sqrt(),
+        error: standard_deviation(&differences) / (differences.len().max(1) as f64).sqrt(),
     })
 }
 
@@ -81,13 +81,15 @@
     all.iter().sum::<f64>() / all.len().max(1) as f64
 }
 
-fn spread(all: &[f64]) -> f64 {
-    let m = mean(all);
-    (all.iter().map(|x| (x - m) * (x - m)).sum::<f64>() / all.len().saturating_sub(1).max(1) as f64).sqrt()
+fn standard_deviation(all: &[f64]) -> f64 {
+    let average = mean(all);
+    (all.iter().map(|x| (x - average) * (x - average)).sum::<f64>()
+        / all.len().saturating_sub(1).max(1) as f64)
+        .sqrt()
 }
 
-/// Worth kept, and whether a rule was broken.
-fn play(program: &Path, file: &Path, seed: u64) -> Result<(f64, bool), String> {
+/// Runs one seed. Returns the share of worth kept and whether a rule was broken.
+fn run_seed(program: &Path, file: &Path, seed: u64) -> Result<(f64, bool), String> {
     let name = program.display();
     let run =
         Command::new(program).arg("run").arg(file).args(["--seed", &seed.to_string(), "--json"]).output();
@@ -99,8 +101,9 @@
             String::from_utf8_lossy(&out.stderr)
         ));
     }
-    let told: serde_json::Value = serde_json::from_slice(&out.stdout).map_err(|e| format!("{name}: {e}"))?;
+    let report: serde_json::Value =
+        serde_json::from_slice(&out.stdout).map_err(|e| format!("{name}: {e}"))?;
     let kept =
-        told["score"]["kept"].as_f64().ok_or_else(|| format!("{name}: its report has no score.kept"))?;
+        report["score"]["kept"].as_f64().ok_or_else(|| format!("{name}: its report has no score.kept"))?;
     Ok((kept, out.status.code() == Some(1)))
 }
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -1,29 +1,29 @@
-//! The first look: a real sender on loopback, emulated partners, both classes of traffic, and a hall that
-//! goes silent.
+//! The demo: a real sender on loopback sockets, emulated partners, two classes of traffic, and a zone that
+//! stops responding.
 
 use crate::checker::check;
 use crate::live::Live;
-use crate::run::{Play, run_live};
+use crate::run::{Runner, run_live};
 use crate::{report, scenario, score};
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// What is played.
+/// Text of the demo scenario.
 const SCENARIO: &str = include_str!("../../../rehearsals/demo.toml");
 
-/// Plays it, shows what happens, and leaves report and configuration in `folder`. Gives whether all rules
-/// were kept.
+/// Runs the demo, prints its progress, and leaves report and configuration in `folder`. Returns whether all
+/// rules were kept.
 ///
 /// # Errors
-/// What could not be built or written.
+/// Returns a description of what could not be set up or written.
 pub fn demo(command: Vec<PathBuf>, folder: &Path) -> Result<bool, String> {
     let scenario = scenario::parse(SCENARIO, "demo.toml", PathBuf::new()).map_err(|e| e.to_string())?;
     let scenario = Rc::new(scenario);
-    let place = Live::new(scenario.senders.count, command, folder)?;
-    let at = crate::hosts::Hosts::address(&place, crate::hosts::Who::Sender(0));
+    let hosts = Live::new(scenario.senders.count, command, folder)?;
+    let at = crate::hosts::Hosts::address(&hosts, crate::hosts::Role::Sender(0));
     println!("One real sender listens on {at}. Partners, clients and discovery are emulated on loopback.");
-    println!("While this runs, hand in a message of your own:\n");
+    println!("While this runs, you can submit a message of your own:\n");
     println!(
         "  curl -i http://{at}/update -H 'X-Request-ID: 00000000000000aa' -H 'X-Priority-Class: update' \\"
     );
@@ -32,58 +32,66 @@
         "{:>5}  {:<8} {:>6} {:>6} {:>9} {:>8} {:>8}",
         "s", "partner", "asked", "held", "delivered", "calls", "refused"
     );
-    let outcome = run_live(&scenario, scenario.seed, place, true, look)?;
-    let breaches = check(&outcome);
-    let score = score::score(&outcome, breaches.len());
+    let result = run_live(&scenario, scenario.seed, hosts, true, print_progress)?;
+    let breaches = check(&result);
+    let score = score::score(&result, breaches.len());
     let page = folder.join("report.html");
-    let text = report::html(&outcome, &score, &breaches, None)?;
+    let text = report::html(&result, &score, &breaches, None)?;
     std::fs::write(&page, text).map_err(|e| format!("{}: {e}", page.display()))?;
-    println!("\n{}", report::text(&outcome, &score, &breaches));
+    println!("\n{}", report::text(&result, &score, &breaches));
     println!("report with plots:            {}", page.display());
     println!("the sender's configuration:   {}", folder.join("n0/config.json").display());
     println!("its log and its state folder: {}", folder.join("n0").display());
     Ok(breaches.is_empty())
 }
 
-/// Prints what each partner has had so far, every second second.
-fn look(play: &Play) {
-    let book = play.book();
-    let second = book.now() / 1_000_000;
+/// Prints the counts of each partner every two seconds.
+fn print_progress(runner: &Runner) {
+    let observations = runner.observations();
+    let second = observations.now() / 1_000_000;
     if second % 2 == 1 {
         return;
     }
-    let s = play.scenario();
-    let destinations = s.destinations();
-    // By partner: asked for, held, delivered.
+    let scenario = runner.scenario();
+    let destinations = scenario.destinations();
+    // By partner: submitted, held, delivered.
     let mut counts: BTreeMap<usize, [usize; 3]> = BTreeMap::new();
-    let orders = book.orders.borrow();
-    for m in book.messages.borrow().values() {
-        let partner = destinations[orders[m.order].destination].0;
-        let c = counts.entry(partner).or_default();
-        let taken = m.answered.is_some_and(|a| matches!(a.1, 200 | 202));
-        c[0] += 1;
-        c[1] += usize::from(taken && m.delivered.is_none() && m.notices.is_empty());
-        c[2] += usize::from(m.delivered.is_some());
+    let orders = observations.orders.borrow();
+    for message in observations.messages.borrow().values() {
+        let partner = destinations[orders[message.order].destination].0;
+        let partner_counts = counts.entry(partner).or_default();
+        let is_accepted = message.answered.is_some_and(|a| matches!(a.1, 200 | 202));
+        partner_counts[0] += 1;
+        partner_counts[1] +=
+            usize::from(is_accepted && message.delivered.is_none() && message.notices.is_empty());
+        partner_counts[2] += usize::from(message.delivered.is_some());
     }
-    for e in s.event.iter().map(|e| e.get_ref()).filter(|e| (e.at_s as u64).abs_diff(second) < 2) {
-        if e.at_s as u64 <= second {
+    for event in scenario
+        .event
+        .iter()
+        .map(|event| event.get_ref())
+        .filter(|event| (event.at_s as u64).abs_diff(second) < 2)
+    {
+        if event.at_s as u64 <= second {
             println!(
                 "       -- {:?} {} --",
-                e.what,
-                e.hall.as_deref().or(e.partner.as_deref()).unwrap_or("")
+                event.kind,
+                event.zone.as_deref().or(event.partner.as_deref()).unwrap_or("")
             );
         }
     }
-    for (n, p) in s.partner.iter().enumerate() {
+    for (n, partner_spec) in scenario.partner.iter().enumerate() {
         let [asked, held, delivered] = counts.get(&n).copied().unwrap_or_default();
         let (mut calls, mut refused) = (0, 0);
-        for (shell, _) in play.shells().iter().zip(&destinations).filter(|(_, d)| d.0 == n) {
-            let model = shell.model();
+        for (emulated, _) in
+            runner.emulated_destinations().iter().zip(&destinations).filter(|(_, d)| d.0 == n)
+        {
+            let model = emulated.model();
             let all = &model.ledger().calls;
             calls += all.len();
-            refused += all.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
+            refused += all.iter().filter(|call| matches!(call.answer, Some((_, 429 | 503)))).count();
         }
-        let name = &p.get_ref().name;
+        let name = &partner_spec.get_ref().name;
         println!("{second:>5}  {name:<8} {asked:>6} {held:>6} {delivered:>9} {calls:>8} {refused:>8}");
     }
 }
--- a/crates/rehearsal/src/endpoint.rs
+++ b/crates/rehearsal/src/endpoint.rs
@@ -1,6 +1,7 @@
-//! A partner's endpoints on the wire: a thin shell round the model, the same on any world's network.
+//! Serves a partner's endpoints over HTTP. It connects the emulator's model to the network and is the same
+//! in every environment.
 
-use crate::book::Book;
+use crate::observations::Observations;
 use crate::scenario::Scenario;
 use crate::wire::{Message, Wire};
 use notchpoint_emulator::partner::IncomingMessage;
@@ -18,59 +19,68 @@
 use tokio::task::{AbortHandle, JoinSet};
 use tokio::time::{sleep, sleep_until, timeout};
 
-/// Between two bytes of an answer that trickles.
-const TRICKLE: Duration = Duration::from_millis(20);
-/// Bytes of an answer after which its status is plain: `HTTP/1.1 200 `.
-const FIRST_LINE: usize = 13;
-/// A caller that closes so soon after an answer had not read it: its patience ended in that moment.
-const CROSSING: Micros = 2_000;
-/// Noise in place of an answer.
-const NOISE: &[u8] = b"\x16\x03\x01\x00\xa5 not an answer at all\r\n\r\n";
+/// Interval between two bytes of a trickling answer.
+const TRICKLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of bytes of an answer after which its status is known: `HTTP/1.1 200 `.
+const STATUS_LINE_BYTES: usize = 13;
+/// A caller that closes within this time after an answer has not read it: its time-out elapsed at the same
+/// time.
+const CROSSING_TIME: Micros = 2_000;
+/// Bytes that are sent in place of an answer.
+const GARBAGE_ANSWER: &[u8] = b"\x16\x03\x01\x00\xa5 not an answer at all\r\n\r\n";
 
-/// A destination with its endpoints.
-pub struct Shell {
-    /// Its number, counted from 0 over all partners.
+/// An emulated destination with its endpoints.
+pub struct EmulatedDestination {
+    /// Index of the destination over all partners.
     pub destination: usize,
     model: RefCell<Partner>,
     waiting: RefCell<BTreeMap<CallId, oneshot::Sender<Reply>>>,
-    news: Notify,
-    sites: RefCell<Vec<Site>>,
-    /// Classes by position: their names, and how long repeats are dropped.
+    model_changed: Notify,
+    endpoint_states: RefCell<Vec<EndpointState>>,
+    /// Name and deduplication window of each class.
     classes: Vec<(String, Option<Micros>)>,
-    book: Rc<Book>,
+    observations: Rc<Observations>,
 }
 
-/// Where an endpoint stands.
-struct Site {
+/// The network state of an endpoint.
+struct EndpointState {
     net: Rc<dyn Network>,
     at: SocketAddr,
-    /// Its server, while it is up.
+    /// The task that serves it, while it is up.
     server: Option<AbortHandle>,
-    /// It has left for good.
-    left: bool,
-    /// Until then it says nothing.
-    silent: Micros,
+    /// Whether it was removed permanently.
+    has_left: bool,
+    /// Time until which it sends no answers.
+    silent_until: Micros,
 }
 
-impl Shell {
-    /// A shell round a model that has no endpoints yet.
-    pub fn new(destination: usize, model: Partner, s: &Scenario, book: Rc<Book>) -> Rc<Self> {
-        let memory =
+impl EmulatedDestination {
+    /// Creates a destination for a model that has no endpoints yet.
+    pub fn new(destination: usize, model: Partner, s: &Scenario, observations: Rc<Observations>) -> Rc<Self> {
+        let dedup_window =
             |c: &crate::scenario::Class| (c.effect == "deduplicated").then_some((c.memory_s * 1e6) as Micros);
-        let classes = s.class.iter().map(|c| (c.get_ref().name.clone(), memory(c.get_ref()))).collect();
-        let (waiting, news, sites) = Default::default();
-        Rc::new(Self { destination, model: RefCell::new(model), waiting, news, sites, classes, book })
+        let classes = s.class.iter().map(|c| (c.get_ref().name.clone(), dedup_window(c.get_ref()))).collect();
+        let (waiting, model_changed, endpoint_states) = Default::default();
+        Rc::new(Self {
+            destination,
+            model: RefCell::new(model),
+            waiting,
+            model_changed,
+            endpoint_states,
+            classes,
+            observations,
+        })
     }
 
-    /// The model, to look at.
+    /// Returns the model.
     pub fn model(&self) -> std::cell::Ref<'_, Partner> {
         self.model.borrow()
     }
 
-    /// One more endpoint, which listens from now on; gives its number and its address.
+    /// Adds an endpoint, which starts to listen. Returns its number and address.
     ///
     /// # Errors
-    /// The address cannot be had.
+    /// Fails if the address cannot be bound.
     pub fn add(
         self: &Rc<Self>,
         net: Rc<dyn Network>,
@@ -80,111 +90,126 @@
         let at = listener.local_addr()?;
         let endpoint = self.model.borrow_mut().add_endpoint();
         let server = Some(tokio::task::spawn_local(self.clone().serve(endpoint, listener)).abort_handle());
-        self.sites.borrow_mut().push(Site { net, at, server, left: false, silent: 0 });
+        self.endpoint_states.borrow_mut().push(EndpointState {
+            net,
+            at,
+            server,
+            has_left: false,
+            silent_until: 0,
+        });
         Ok((endpoint, at))
     }
 
-    /// Endpoints that have not left.
+    /// Returns the endpoints that have not been removed.
     pub fn endpoints(&self) -> Vec<usize> {
-        self.sites.borrow().iter().enumerate().filter(|(_, s)| !s.left).map(|(n, _)| n).collect()
+        self.endpoint_states
+            .borrow()
+            .iter()
+            .enumerate()
+            .filter(|(_, s)| !s.has_left)
+            .map(|(n, _)| n)
+            .collect()
     }
 
-    /// Does what the scenario says.
+    /// Applies a change of the scenario to an endpoint.
     pub fn change(self: &Rc<Self>, endpoint: usize, change: Change) {
         let mut done = Vec::new();
-        self.model.borrow_mut().apply_change(self.book.now(), endpoint, change, &mut done);
-        self.settle(done);
-        self.news.notify_one();
+        self.model.borrow_mut().apply_change(self.observations.now(), endpoint, change, &mut done);
+        self.apply_results(done);
+        self.model_changed.notify_one();
     }
 
-    /// An endpoint says nothing for so long, as a process does that hangs. What comes is held by its system.
+    /// Makes an endpoint unresponsive for a time, as a hanging process is. Incoming data stays in the
+    /// system's buffers.
     pub fn silence(self: &Rc<Self>, endpoint: usize, span: Micros) {
-        self.sites.borrow_mut()[endpoint].silent = self.book.now() + span;
+        self.endpoint_states.borrow_mut()[endpoint].silent_until = self.observations.now() + span;
         self.change(endpoint, Change::Pause(span));
     }
 
-    /// An endpoint ends, for good.
-    pub fn leave(self: &Rc<Self>, endpoint: usize) {
-        self.sites.borrow_mut()[endpoint].left = true;
+    /// Removes an endpoint permanently.
+    pub fn remove(self: &Rc<Self>, endpoint: usize) {
+        self.endpoint_states.borrow_mut()[endpoint].has_left = true;
         self.change(endpoint, Change::Die);
     }
 
-    async fn audible(&self, endpoint: usize) {
+    async fn wait_while_silent(&self, endpoint: usize) {
         loop {
-            let until = self.sites.borrow()[endpoint].silent;
-            if until <= self.book.now() {
+            let until = self.endpoint_states.borrow()[endpoint].silent_until;
+            if until <= self.observations.now() {
                 return;
             }
-            sleep_until(self.book.at(until)).await;
+            sleep_until(self.observations.instant_at(until)).await;
         }
     }
 
-    /// Hands answers out, and has the servers of those endpoints run that are up: the model alone knows when
-    /// one falls over.
-    fn settle(self: &Rc<Self>, done: Vec<Completion>) {
-        for d in done {
-            if let Some(waits) = self.waiting.borrow_mut().remove(&d.call) {
-                let _ = waits.send(d.reply);
+    /// Passes replies on to the waiting connections, and starts or stops endpoint servers as the model
+    /// requires. Only the model knows when an endpoint fails.
+    fn apply_results(self: &Rc<Self>, done: Vec<Completion>) {
+        for completion in done {
+            if let Some(waiter) = self.waiting.borrow_mut().remove(&completion.call) {
+                let _ = waiter.send(completion.reply);
             }
         }
         let model = self.model.borrow();
-        for (endpoint, site) in self.sites.borrow_mut().iter_mut().enumerate() {
-            match (model.is_up(endpoint), site.server.is_some()) {
-                (true, false) if !site.left => match site.net.listen(site.at) {
+        for (endpoint, state) in self.endpoint_states.borrow_mut().iter_mut().enumerate() {
+            match (model.is_up(endpoint), state.server.is_some()) {
+                (true, false) if !state.has_left => match state.net.listen(state.at) {
                     Ok(listener) => {
-                        self.book.log(format_args!("up {}/{endpoint}", self.destination));
+                        self.observations.log(format_args!("up {}/{endpoint}", self.destination));
                         let server = tokio::task::spawn_local(self.clone().serve(endpoint, listener));
-                        site.server = Some(server.abort_handle());
+                        state.server = Some(server.abort_handle());
                     }
-                    Err(e) => self.book.odd(format!("endpoint {}/{endpoint}: {e}", self.destination)),
+                    Err(e) => self
+                        .observations
+                        .record_anomaly(format!("endpoint {}/{endpoint}: {e}", self.destination)),
                 },
                 (false, true) => {
-                    self.book.log(format_args!("down {}/{endpoint}", self.destination));
-                    site.server.take().inspect(AbortHandle::abort);
+                    self.observations.log(format_args!("down {}/{endpoint}", self.destination));
+                    state.server.take().inspect(AbortHandle::abort);
                 }
                 _ => {}
             }
         }
     }
 
-    /// Moves the model's time; never ends.
-    pub async fn drive(self: Rc<Self>) {
+    /// Advances the model's time. Never returns.
+    pub async fn run_model(self: Rc<Self>) {
         loop {
             let wake = self.model.borrow().next_wake();
             let alarm = async {
                 match wake {
-                    Some(at) => sleep_until(self.book.at(at)).await,
+                    Some(at) => sleep_until(self.observations.instant_at(at)).await,
                     None => pending().await,
                 }
             };
             tokio::select! {
                 biased;
-                () = self.news.notified() => {}
+                () = self.model_changed.notified() => {}
                 () = alarm => {}
             }
             let mut done = Vec::new();
             let effects = {
                 let mut model = self.model.borrow_mut();
                 let before = model.ledger().effects.len();
-                model.poll(self.book.now(), &mut done);
+                model.poll(self.observations.now(), &mut done);
                 model.ledger().effects[before..].to_vec()
             };
-            for e in effects {
-                let what = if e.is_duplicate { "repeat" } else { "effect" };
-                let late = if e.abandoned { " abandoned" } else { "" };
-                self.book.log(format_args!(
-                    "{what} {:016x} at {}/{}{late}",
-                    e.message, self.destination, e.endpoint
+            for effect in effects {
+                let kind = if effect.is_duplicate { "repeat" } else { "effect" };
+                let late = if effect.abandoned { " abandoned" } else { "" };
+                self.observations.log(format_args!(
+                    "{kind} {:016x} at {}/{}{late}",
+                    effect.message, self.destination, effect.endpoint
                 ));
             }
-            self.settle(done);
+            self.apply_results(done);
         }
     }
 
-    /// Serves one endpoint until it is dropped; its connections end with it.
+    /// Serves one endpoint until the future is dropped, which closes its connections.
     pub async fn serve(self: Rc<Self>, endpoint: usize, listener: Rc<dyn Listener>) {
         let mut connections = JoinSet::new();
-        let most = self.model.borrow().spec().connections as usize;
+        let max_connections = self.model.borrow().spec().connections as usize;
         loop {
             tokio::select! {
                 biased;
@@ -194,7 +219,7 @@
                         sleep(Duration::from_millis(10)).await;
                         continue;
                     };
-                    if connections.len() < most {
+                    if connections.len() < max_connections {
                         connections.spawn_local(self.clone().connection(endpoint, stream));
                     }
                 }
@@ -207,78 +232,86 @@
         let idle = Duration::from_secs_f64(self.model.borrow().spec().idle_s);
         let mut answered: Option<(Micros, Vec<u64>)> = None;
         loop {
-            let request = match timeout(idle, wire.request()).await {
+            let request = match timeout(idle, wire.read_request()).await {
                 Ok(Ok(Some(request))) => request,
                 Ok(Err(e)) if e.kind() == std::io::ErrorKind::InvalidData => {
-                    self.book
-                        .odd(format!("destination {}: a request that cannot be read: {e}", self.destination));
+                    self.observations.record_anomaly(format!(
+                        "destination {}: a request that cannot be read: {e}",
+                        self.destination
+                    ));
                     return;
                 }
                 ended => {
                     if let (Ok(_), Some((at, ids))) = (ended, answered)
-                        && self.book.now() <= at + CROSSING
+                        && self.observations.now() <= at + CROSSING_TIME
                     {
-                        self.book.crossed(&ids);
+                        self.observations.record_crossed(&ids);
                     }
                     return;
                 }
             };
-            let Some(ids) = ids(&request) else {
-                self.book.odd(format!("destination {}: a request that makes no sense", self.destination));
-                let _ = wire.write(&plain(400, "")).await;
+            let Some(ids) = parse_message_ids(&request) else {
+                self.observations.record_anomaly(format!(
+                    "destination {}: a request that makes no sense",
+                    self.destination
+                ));
+                let _ = wire.write(&empty_response(400, "")).await;
                 continue;
             };
-            let Some((sender, messages)) = self.known(&ids) else {
-                let _ = wire.write(&plain(400, "")).await;
+            let Some((sender, messages)) = self.resolve_messages(&ids) else {
+                let _ = wire.write(&empty_response(400, "")).await;
                 continue;
             };
             let (reply, call) = self.call(endpoint, sender, &request, messages);
             let reply = async {
                 let reply = reply.await.unwrap_or(Reply::Reset);
-                self.audible(endpoint).await;
+                self.wait_while_silent(endpoint).await;
                 reply
             };
             let reply = tokio::select! {
                 biased;
                 reply = reply => reply,
-                () = wire.ended() => {
-                    self.book.log(format_args!("gone {:?}", call.0));
-                    self.model.borrow_mut().abandon_call(self.book.now(), call);
+                () = wire.wait_closed() => {
+                    self.observations.log(format_args!("gone {:?}", call.0));
+                    self.model.borrow_mut().abandon_call(self.observations.now(), call);
                     self.waiting.borrow_mut().remove(&call);
                     return;
                 }
             };
-            if !self.answer(&mut wire, &ids, reply).await || request.closes() {
+            if !self.write_answer(&mut wire, &ids, reply).await || request.closes() {
                 return;
             }
-            answered = Some((self.book.now(), ids));
+            answered = Some((self.observations.now(), ids));
         }
     }
 
-    /// The messages of a call as the model sees them, and whose they are.
-    fn known(&self, ids: &[u64]) -> Option<(usize, Vec<IncomingMessage>)> {
-        let (messages, orders) = (self.book.messages.borrow(), self.book.orders.borrow());
+    /// Looks up the messages of a call for the model. Returns the sender they were submitted to and the
+    /// messages, or None if one is unknown.
+    fn resolve_messages(&self, ids: &[u64]) -> Option<(usize, Vec<IncomingMessage>)> {
+        let (messages, orders) = (self.observations.messages.borrow(), self.observations.orders.borrow());
         let mut found = Vec::new();
         let mut sender = 0;
         for id in ids {
-            let Some(m) = messages.get(id) else {
-                if self.book.strangers.get() {
+            let Some(message) = messages.get(id) else {
+                if self.observations.allows_unknown_messages.get() {
                     let (class, dedup_window) = self.classes[0].clone();
                     found.push(IncomingMessage { id: *id, class, dedup_window, dedup_key: *id });
                     continue;
                 }
                 drop(messages);
-                self.book.odd(format!("message {id:016x} was called and never handed in"));
+                self.observations.record_anomaly(format!("message {id:016x} was called and never handed in"));
                 return None;
             };
-            let order = &orders[m.order];
+            let order = &orders[message.order];
             if order.destination != self.destination {
-                let (to, is) = (self.destination, order.destination);
-                self.book.odd(format!("message {id:016x} went to destination {to} and belongs to {is}"));
+                let (to, expected) = (self.destination, order.destination);
+                self.observations.record_anomaly(format!(
+                    "message {id:016x} went to destination {to} and belongs to {expected}"
+                ));
             }
             let (class, dedup_window) = self.classes[order.class].clone();
-            found.push(IncomingMessage { id: *id, class, dedup_window, dedup_key: m.order as u64 });
-            sender = m.sender;
+            found.push(IncomingMessage { id: *id, class, dedup_window, dedup_key: message.order as u64 });
+            sender = message.sender;
         }
         Some((sender, found))
     }
@@ -290,103 +323,105 @@
         request: &Message,
         messages: Vec<IncomingMessage>,
     ) -> (oneshot::Receiver<Reply>, CallId) {
-        let now = self.book.now();
-        let first = request.first.map_or(now, |t| self.book.time(t));
-        let (tell, told) = oneshot::channel();
+        let now = self.observations.now();
+        let first_byte_at = request.first_byte_at.map_or(now, |t| self.observations.time_of(t));
+        let (reply_sender, reply_receiver) = oneshot::channel();
         let mut done = Vec::new();
         let ids: Vec<String> = messages.iter().map(|m| format!("{:016x}", m.id)).collect();
-        let call = self.model.borrow_mut().receive_call(now, first, endpoint, sender, messages, &mut done);
-        let (d, ids) = (self.destination, ids.join(","));
-        self.book.log(format_args!("call {} to {d}/{endpoint} from {sender} with {ids}", call.0));
-        self.waiting.borrow_mut().insert(call, tell);
-        self.settle(done);
-        self.news.notify_one();
-        (told, call)
+        let call =
+            self.model.borrow_mut().receive_call(now, first_byte_at, endpoint, sender, messages, &mut done);
+        let (destination, ids) = (self.destination, ids.join(","));
+        self.observations
+            .log(format_args!("call {} to {destination}/{endpoint} from {sender} with {ids}", call.0));
+        self.waiting.borrow_mut().insert(call, reply_sender);
+        self.apply_results(done);
+        self.model_changed.notify_one();
+        (reply_receiver, call)
     }
 
-    /// Writes what is answered; false where the connection is of no further use.
-    async fn answer(&self, wire: &mut Wire, ids: &[u64], reply: Reply) -> bool {
-        self.book.log(format_args!("answer {:016x} {reply:?}", ids[0]));
+    /// Writes an answer. Returns false if the connection cannot be used any more.
+    async fn write_answer(&self, wire: &mut Wire, ids: &[u64], reply: Reply) -> bool {
+        self.observations.log(format_args!("answer {:016x} {reply:?}", ids[0]));
         let mut text = Vec::new();
         let mut done: &[u64] = &[];
         let each: Vec<u64>;
         match reply {
             Reply::Status(200, _) => {
-                (text, done) = (plain(200, ""), ids);
+                (text, done) = (empty_response(200, ""), ids);
             }
             Reply::Status(status, wait) => {
                 let wait =
                     wait.map(|w| format!("Retry-After: {:.6}\r\n", w as f64 / 1e6)).unwrap_or_default();
-                text = plain(status, &wait);
+                text = empty_response(status, &wait);
             }
-            Reply::Each(words) => {
+            Reply::Each(results) => {
                 let mut body = String::new();
-                for (id, word) in &words {
-                    let word = if *word == MessageResult::Done { "done" } else { "failed" };
-                    let _ = write!(body, "{id:016x} {word}\r\n");
+                for (id, result) in &results {
+                    let result = if *result == MessageResult::Done { "done" } else { "failed" };
+                    let _ = write!(body, "{id:016x} {result}\r\n");
                 }
                 text =
                     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-                each = words.iter().filter(|w| w.1 == MessageResult::Done).map(|w| w.0).collect();
+                each = results.iter().filter(|r| r.1 == MessageResult::Done).map(|r| r.0).collect();
                 done = &each;
             }
             Reply::Silent => {
-                wire.ended().await;
+                wire.wait_closed().await;
                 return false;
             }
             Reply::Reset => return false,
-            Reply::Spoilt => text.extend_from_slice(NOISE),
-            // Of a single message the first line settles it; of several only the whole answer does.
+            Reply::Spoilt => text.extend_from_slice(GARBAGE_ANSWER),
+            // For a single message the status line is enough; for several the complete answer is needed.
             Reply::Half => {
                 text.extend_from_slice(b"HTTP/1.1 200 OK\r\nContent-Length: 40\r\nX-Tr");
                 done = if ids.len() == 1 { ids } else { &[] };
             }
             Reply::Trickle => {
                 done = if ids.len() == 1 { ids } else { &[] };
-                for (n, byte) in plain(200, "").into_iter().enumerate() {
+                for (n, byte) in empty_response(200, "").into_iter().enumerate() {
                     if wire.write(&[byte]).await.is_err() {
                         return false;
                     }
-                    if n + 1 == FIRST_LINE {
-                        done.iter().for_each(|id| self.book.delivered(*id));
+                    if n + 1 == STATUS_LINE_BYTES {
+                        done.iter().for_each(|id| self.observations.record_delivered(*id));
                     }
-                    // Nobody is there to read the rest of it, nor, maybe, a first line that says 200.
+                    // The caller may close before it has read the rest, or even a status line with 200.
                     tokio::select! {
                         biased;
-                        () = wire.ended() => return false,
-                        () = sleep(TRICKLE) => {}
+                        () = wire.wait_closed() => return false,
+                        () = sleep(TRICKLE_INTERVAL) => {}
                     }
                 }
                 return true;
             }
         }
-        done.iter().for_each(|id| self.book.delivered(*id));
-        let spoilt = text == NOISE || text.ends_with(b"X-Tr");
+        done.iter().for_each(|id| self.observations.record_delivered(*id));
+        let is_spoilt = text == GARBAGE_ANSWER || text.ends_with(b"X-Tr");
         let written = wire.write(&text).await.is_ok();
-        if spoilt && written {
-            wire.ended().await;
+        if is_spoilt && written {
+            wire.wait_closed().await;
         }
-        written && !spoilt
+        written && !is_spoilt
     }
 }
 
-fn plain(status: u16, headers: &str) -> Vec<u8> {
+fn empty_response(status: u16, headers: &str) -> Vec<u8> {
     format!("HTTP/1.1 {status} X\r\nContent-Length: 0\r\n{headers}\r\n").into_bytes()
 }
 
-/// The messages that a call names; nothing where it cannot be read.
-fn ids(request: &Message) -> Option<Vec<u64>> {
-    let read = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
+/// Returns the IDs of the messages in a call, or None if the call is malformed.
+fn parse_message_ids(request: &Message) -> Option<Vec<u64>> {
+    let parse_id = |text: &str| u64::from_str_radix(text, 16).ok().filter(|_| text.len() == 16);
     match (request.method.as_str(), request.path.as_str()) {
-        ("POST", "/v1/messages") => Some(vec![read(request.header("x-request-id"))?]),
+        ("POST", "/v1/messages") => Some(vec![parse_id(request.header("x-request-id"))?]),
         ("POST", "/v1/messages:batch") => {
             let mut rest = &request.body[..];
             let mut ids = Vec::new();
             while !rest.is_empty() {
                 let end = rest.windows(2).position(|w| w == b"\r\n")?;
                 let line = std::str::from_utf8(&rest[..end]).ok()?;
-                let mut words = line.split(' ');
-                let (id, _key, length) = (read(words.next()?)?, words.next()?, words.next()?);
+                let mut fields = line.split(' ');
+                let (id, _key, length) = (parse_id(fields.next()?)?, fields.next()?, fields.next()?);
                 rest = rest.get(end + 2 + length.parse::<usize>().ok()? + 2..)?;
                 if ids.contains(&id) {
                     return None;
--- a/crates/rehearsal/src/fidelity.rs
+++ b/crates/rehearsal/src/fidelity.rs
@@ -1,9 +1,10 @@
-//! The same scenario in both worlds. What is found in virtual time is worth as much as the two agree.
+//! Runs the same scenario in virtual time and on loopback sockets. Findings in virtual time are valid as far
+//! as both agree.
 
 use crate::Options;
 use crate::checker::{Rule, check};
 use crate::live::Live;
-use crate::run::{Outcome, run, run_live};
+use crate::run::{RunResult, run, run_live};
 use crate::scenario::Scenario;
 use crate::score::{Score, score};
 use std::collections::BTreeSet;
@@ -11,72 +12,79 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Worth kept may differ by so much: real sockets and threads add some milliseconds to each step, and
-/// partners draw their service times in another order.
-pub const WITHIN: f64 = 0.03;
+/// Permitted difference of the share of worth kept. Real sockets and threads add some milliseconds to each
+/// step, and partners draw their service times in a different order.
+pub const DEFAULT_TOLERANCE: f64 = 0.03;
 
-/// One world's result.
+/// The result in one environment.
 #[derive(Clone, Debug, PartialEq)]
-pub struct World {
-    /// Worth and counts.
+pub struct WorldResult {
+    /// Score and counts.
     pub score: Score,
     /// Rules that were broken.
     pub broken: BTreeSet<Rule>,
 }
 
-/// What came out in either world.
+/// The results in both environments.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Both {
-    /// In virtual time.
-    pub virt: World,
-    /// On loopback sockets, with real processes.
-    pub live: World,
+pub struct FidelityReport {
+    /// Result in virtual time.
+    pub virt: WorldResult,
+    /// Result on loopback sockets with real processes.
+    pub live: WorldResult,
 }
 
-impl Both {
-    /// The same rules were kept, and worth kept differs by no more than this.
-    pub fn agree(&self, within: f64) -> bool {
-        let apart = (self.virt.score.kept - self.live.score.kept).abs();
-        self.virt.broken == self.live.broken && apart <= within
+impl FidelityReport {
+    /// Returns whether the same rules were kept and the shares of worth kept differ by at most `within`.
+    pub fn agrees(&self, within: f64) -> bool {
+        let difference = (self.virt.score.kept - self.live.score.kept).abs();
+        self.virt.broken == self.live.broken && difference <= within
     }
 }
 
-impl fmt::Display for Both {
+impl fmt::Display for FidelityReport {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        for (name, w) in [("virtual", &self.virt), ("loopback", &self.live)] {
-            let c = &w.score.counts;
-            let rules =
-                if w.broken.is_empty() { "all kept".into() } else { format!("BROKEN: {:?}", w.broken) };
+        for (name, result) in [("virtual", &self.virt), ("loopback", &self.live)] {
+            let counts = &result.score.counts;
+            let rules = if result.broken.is_empty() {
+                "all kept".into()
+            } else {
+                format!("BROKEN: {:?}", result.broken)
+            };
             writeln!(
                 f,
                 "{name:<9} worth kept {:.4}   {} asked for, {} delivered, {} calls, {} refused; \
                  rules: {rules}",
-                w.score.kept, c.orders, c.delivered, c.calls, c.refused
+                result.score.kept, counts.orders, counts.delivered, counts.calls, counts.refused
             )?;
         }
         write!(f, "loopback less virtual: {:+.4}", self.live.score.kept - self.virt.score.kept)
     }
 }
 
-fn judge(o: &Outcome) -> World {
-    let breaches = check(o);
-    World { score: score(o, breaches.len()), broken: breaches.into_iter().map(|b| b.rule).collect() }
+fn evaluate(result: &RunResult) -> WorldResult {
+    let breaches = check(result);
+    WorldResult {
+        score: score(result, breaches.len()),
+        broken: breaches.into_iter().map(|b| b.rule).collect(),
+    }
 }
 
-/// Plays it in both worlds, without notes between senders, which loopback does not have, and without latency.
+/// Runs a scenario in both environments, without latency and without notes between senders, which loopback
+/// sockets do not support.
 ///
 /// # Errors
-/// It cannot be played, or needs what only virtual time has.
+/// Fails if the scenario cannot be run or needs features that only virtual time supports.
 pub fn fidelity(
     mut scenario: Scenario,
     seed: u64,
     command: Vec<PathBuf>,
     folder: &Path,
-) -> Result<Both, String> {
+) -> Result<FidelityReport, String> {
     scenario.senders.notes = false;
     scenario.network.latency_ms = 0;
     let scenario = Rc::new(scenario);
-    let place = Live::new(scenario.senders.count, command, folder)?;
-    let live = judge(&run_live(&scenario, seed, place, false, |_| {})?);
-    Ok(Both { virt: judge(&run(&scenario, seed, &Options::default())?), live })
+    let hosts = Live::new(scenario.senders.count, command, folder)?;
+    let live = evaluate(&run_live(&scenario, seed, hosts, false, |_| {})?);
+    Ok(FidelityReport { virt: evaluate(&run(&scenario, seed, &Options::default())?), live })
 }
--- a/crates/rehearsal/src/hosts.rs
+++ b/crates/rehearsal/src/hosts.rs
@@ -1,57 +1,59 @@
-//! Where processes run: in memory, or on this machine.
+//! The abstraction of where processes run: in memory or on this machine.
 
 use notchpoint_seam::{Environment, Network, Signal};
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::rc::Rc;
 
-/// Who stands somewhere.
+/// A party of a run that has a network address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Who {
-    /// A sender, by number.
+pub enum Role {
+    /// A sender, by index.
     Sender(usize),
-    /// An endpoint, counted over the whole run.
+    /// An endpoint, numbered over the whole run.
     Endpoint(usize),
-    /// One of the platform's addresses, counted over the whole run.
+    /// One of the platform's addresses, numbered over the whole run.
     Platform(usize),
     /// All clients.
     Clients,
 }
 
-/// What a daemon finds in the place of the world around it, by sender. A test takes a guard out by lying to
-/// it.
-pub type Around = Rc<dyn Fn(usize, Environment) -> Environment>;
+/// Wraps the environment of a sender, given its index. Tests use it to disable a safeguard of the daemon by
+/// falsifying its inputs.
+pub type EnvironmentWrapper = Rc<dyn Fn(usize, Environment) -> Environment>;
 
-/// What may be asked of a run in virtual time.
+/// Options of a run in virtual time.
 #[derive(Clone, Default)]
 pub struct Options {
-    /// What senders find in the place of the world around them.
-    pub around: Option<Around>,
-    /// Where their flight recorders write, a folder each.
+    /// Wraps the environment of each sender.
+    pub environment_wrapper: Option<EnvironmentWrapper>,
+    /// Folder in which the flight recorders write, in a subfolder for each sender.
     pub record: Option<PathBuf>,
 }
 
-/// What a run needs of the place it runs in. A sender's process is started, told and killed by number.
+/// The operations that a run needs from its environment. Senders are addressed by index.
 pub trait Hosts {
-    /// Where somebody is to listen. Port 0 stands for any.
-    fn address(&self, who: Who) -> SocketAddr;
-    /// What somebody connects and listens with.
-    fn network(&self, who: Who) -> Rc<dyn Network>;
-    /// Where notes between senders go, if they may: its own address, all in order, everybody's.
+    /// Returns the address on which a party is to listen. Port 0 stands for any port.
+    fn address(&self, role: Role) -> SocketAddr;
+    /// Returns the network that a party connects and listens with.
+    fn network(&self, role: Role) -> Rc<dyn Network>;
+    /// Returns the addresses for notes between senders, if they are supported: the sender's own, those of
+    /// all senders in order, and the broadcast address.
     fn peers(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>;
-    /// What a sender finds as its configuration.
+    /// Sets the configuration that a sender reads.
     fn configure(&self, sender: usize, text: String);
     /// Starts a sender.
     ///
     /// # Errors
-    /// Why it could not be started.
+    /// Returns why the sender could not be started.
     fn start(&self, sender: usize) -> Result<(), String>;
-    /// Tells a sender something.
+    /// Sends a signal to a sender.
     fn signal(&self, sender: usize, signal: Signal);
     /// Ends a sender as SIGKILL does.
     fn kill(&self, sender: usize);
-    /// Why a sender ended by itself, empty if it was in order; nothing while it runs.
-    fn ended(&self, sender: usize) -> Option<String>;
-    /// Stops a sender's process, or lets it go on, where that can be.
+    /// Returns why a sender ended on its own, or an empty text if it exited successfully; None while it
+    /// runs.
+    fn exit_reason(&self, sender: usize) -> Option<String>;
+    /// Stops or resumes a sender's process, where supported.
     fn freeze(&self, sender: usize, frozen: bool);
 }
--- a/crates/rehearsal/src/hunt.rs
+++ b/crates/rehearsal/src/hunt.rs
@@ -1,11 +1,11 @@
-//! Hunts for broken rules: random faults on a scenario, seed by seed, and the first breach shrunk to the
-//! fewest events that still cause it.
+//! Searches for breaches: runs a scenario with random faults for many seeds, and reduces the first breach to
+//! a minimal set of events that still causes it.
 
 use crate::checker::{Breach, Rule, check};
 use crate::client::mix;
 use crate::hosts::Options;
 use crate::run::run;
-use crate::scenario::{self, Scenario, Wrong};
+use crate::scenario::{self, Scenario, ScenarioError};
 use crate::score;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -16,29 +16,29 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// Faults that are thrown in for a seed.
-const FAULTS: std::ops::RangeInclusive<usize> = 1..=6;
+/// Number of random faults for a seed.
+const FAULT_COUNT: std::ops::RangeInclusive<usize> = 1..=6;
 
-/// A scenario's text, to which faults are added.
+/// The text of a scenario to which faults are added.
 #[derive(Clone, Debug)]
-pub struct Ground {
-    /// What the file holds.
+pub struct BaseScenario {
+    /// Text of the file.
     pub text: String,
-    /// What it is called in errors.
+    /// Name used in errors.
     pub name: String,
-    /// Where files beside it lie.
+    /// Folder relative to which other files are read.
     pub folder: PathBuf,
 }
 
-impl Ground {
-    /// Reads a file.
+impl BaseScenario {
+    /// Reads a scenario file.
     ///
     /// # Errors
-    /// As [`scenario::read`].
-    pub fn read(path: &std::path::Path) -> Result<Self, Wrong> {
+    /// See [`scenario::read`].
+    pub fn read(path: &std::path::Path) -> Result<Self, ScenarioError> {
         scenario::read(path)?;
         let name = path.display().to_string();
-        let text = std::fs::read_to_string(path).map_err(|e| Wrong(vec![format!("{name}: {e}")]))?;
+        let text = std::fs::read_to_string(path).map_err(|e| ScenarioError(vec![format!("{name}: {e}")]))?;
         Ok(Self { text, name, folder: path.parent().unwrap_or(std::path::Path::new("")).to_owned() })
     }
 
@@ -46,102 +46,104 @@
         self.text.clone() + &faults.concat()
     }
 
-    fn parse(&self, faults: &[String]) -> Result<Rc<Scenario>, Wrong> {
+    fn parse(&self, faults: &[String]) -> Result<Rc<Scenario>, ScenarioError> {
         scenario::parse(&self.with(faults), &self.name, self.folder.clone()).map(Rc::new)
     }
 }
 
-/// What a hunt found.
+/// Result of a hunt.
 #[derive(Debug, Default)]
-pub struct Found {
-    /// Seeds that were played.
+pub struct HuntResult {
+    /// Number of seeds that were run.
     pub seeds: u64,
-    /// Worth kept on average.
+    /// Mean share of worth kept.
     pub kept: f64,
-    /// How many seeds broke each rule.
+    /// Number of seeds in which each rule was broken.
     pub rules: BTreeMap<Rule, u64>,
-    /// By seed, the first breach.
+    /// The first breach of each seed with breaches.
     pub breaches: BTreeMap<u64, Breach>,
-    /// Seeds that could not be played, and why.
+    /// Seeds that could not be run, with the reason.
     pub failed: BTreeMap<u64, String>,
 }
 
-/// The faults of a seed, as text of a scenario.
-pub fn faults(s: &Scenario, seed: u64) -> Vec<String> {
-    let mut r = Pcg64Mcg::seed_from_u64(mix(seed, 99));
-    let many = r.random_range(FAULTS);
-    let mut all: Vec<String> = (0..many).map(|_| fault(s, &mut r)).collect();
-    // Where copies are kept, faults among the senders as well, and as many machines lost as copies are for.
-    let copies = s.senders.copies;
+/// Returns the random faults of a seed as scenario text.
+pub fn random_faults(scenario: &Scenario, seed: u64) -> Vec<String> {
+    let mut rng = Pcg64Mcg::seed_from_u64(mix(seed, 99));
+    let count = rng.random_range(FAULT_COUNT);
+    let mut all: Vec<String> = (0..count).map(|_| random_fault(scenario, &mut rng)).collect();
+    // With replication, faults between senders are added, and losses of at most as many machines as there
+    // are replicas.
+    let copies = scenario.senders.copies;
     if copies > 0 {
-        let many = r.random_range(FAULTS);
-        all.extend((0..many).map(|_| among(s, &mut r)));
-        let losses = r.random_range(0..=copies);
+        let count = rng.random_range(FAULT_COUNT);
+        all.extend((0..count).map(|_| random_sender_fault(scenario, &mut rng)));
+        let losses = rng.random_range(0..=copies);
         all.extend((0..losses).map(|_| {
-            let (at, sender) = (r.random_range(0.0..s.duration_s), r.random_range(0..s.senders.count));
-            let back = r.random_range(0.2..3.0);
+            let (at, sender) =
+                (rng.random_range(0.0..scenario.duration_s), rng.random_range(0..scenario.senders.count));
+            let back = rng.random_range(0.2..3.0);
             format!("\n[[event]]\nat_s = {at:.3}\ndo = \"lose\"\nsender = {sender}\nfor_s = {back:.3}\n")
         }));
     }
     all
 }
 
-/// Something that befalls senders, or what lies between them.
-fn among(s: &Scenario, r: &mut Pcg64Mcg) -> String {
-    let sender = r.random_range(0..s.senders.count);
-    let other = (sender + r.random_range(1..s.senders.count)) % s.senders.count;
-    let two = format!("sender = {sender}\nother = {other}\n");
-    let (what, rest) = match r.random_range(0..6) {
-        0 | 1 => ("part", two),
-        2 => ("part", two + "one_way = true\n"),
-        3 => ("slow_link", format!("{two}late_ms = {}\n", r.random_range(1..1_500))),
+/// Returns a random fault of a sender or of a link between senders.
+fn random_sender_fault(scenario: &Scenario, rng: &mut Pcg64Mcg) -> String {
+    let sender = rng.random_range(0..scenario.senders.count);
+    let other = (sender + rng.random_range(1..scenario.senders.count)) % scenario.senders.count;
+    let link = format!("sender = {sender}\nother = {other}\n");
+    let (what, rest) = match rng.random_range(0..6) {
+        0 | 1 => ("part", link),
+        2 => ("part", link + "one_way = true\n"),
+        3 => ("slow_link", format!("{link}late_ms = {}\n", rng.random_range(1..1_500))),
         4 => ("disk_full", format!("sender = {sender}\n")),
         _ => ("freeze", format!("sender = {sender}\n")),
     };
-    let (at, span) = (r.random_range(0.0..s.duration_s), r.random_range(0.1..5.0));
+    let (at, span) = (rng.random_range(0.0..scenario.duration_s), rng.random_range(0.1..5.0));
     format!("\n[[event]]\nat_s = {at:.3}\ndo = {what:?}\n{rest}for_s = {span:.3}\n")
 }
 
-fn fault(s: &Scenario, r: &mut Pcg64Mcg) -> String {
-    // Whole milliseconds: the grain of time.
-    let ms = |r: &mut Pcg64Mcg, from: f64, to: f64| (r.random_range(from..to) * 1e3).round() / 1e3;
-    let at = ms(r, 0.0, s.duration_s);
-    let partner = s.partner[r.random_range(0..s.partner.len())].get_ref();
-    let mut target = if r.random_bool(0.25) {
-        format!("hall = {:?}\n", partner.hall)
+fn random_fault(scenario: &Scenario, rng: &mut Pcg64Mcg) -> String {
+    // Times are whole milliseconds, the resolution of virtual time.
+    let ms = |rng: &mut Pcg64Mcg, from: f64, to: f64| (rng.random_range(from..to) * 1e3).round() / 1e3;
+    let at = ms(rng, 0.0, scenario.duration_s);
+    let partner = scenario.partner[rng.random_range(0..scenario.partner.len())].get_ref();
+    let mut target = if rng.random_bool(0.25) {
+        format!("hall = {:?}\n", partner.zone)
     } else {
         let mut t = format!("partner = {:?}\n", partner.name);
-        if r.random_bool(0.5) {
-            let _ = writeln!(t, "destination = {}", r.random_range(0..partner.destinations));
+        if rng.random_bool(0.5) {
+            let _ = writeln!(t, "destination = {}", rng.random_range(0..partner.destinations));
         }
         t
     };
-    if r.random_bool(0.4) {
-        let _ = writeln!(target, "endpoint = {}", r.random_range(0..partner.endpoints));
+    if rng.random_bool(0.4) {
+        let _ = writeln!(target, "endpoint = {}", rng.random_range(0..partner.endpoints));
     }
-    let sender = format!("sender = {}\n", r.random_range(0..s.senders.count));
-    let span = |r: &mut Pcg64Mcg, most: f64| format!("for_s = {:?}\n", ms(r, 0.1, most));
-    let (what, rest) = match r.random_range(0..15) {
-        0 | 1 => ("silent", target + &span(r, 12.0)),
-        2 | 3 => ("die", target + &span(r, 12.0)),
-        4 => ("pause", target + &span(r, 4.0)),
-        5 => ("slow", format!("{target}times = {:.1}\n{}", r.random_range(1.5..8.0), span(r, 15.0))),
+    let sender = format!("sender = {}\n", rng.random_range(0..scenario.senders.count));
+    let span = |rng: &mut Pcg64Mcg, most: f64| format!("for_s = {:?}\n", ms(rng, 0.1, most));
+    let (what, rest) = match rng.random_range(0..15) {
+        0 | 1 => ("silent", target + &span(rng, 12.0)),
+        2 | 3 => ("die", target + &span(rng, 12.0)),
+        4 => ("pause", target + &span(rng, 4.0)),
+        5 => ("slow", format!("{target}times = {:.1}\n{}", rng.random_range(1.5..8.0), span(rng, 15.0))),
         6 => {
-            let mut share = || r.random_range(0.0..0.15);
-            let (a, b, c, d, e) = (share(), share(), share(), share(), share());
+            let mut share = || rng.random_range(0.0..0.15);
+            let (silent, reset, spoilt, half, trickle) = (share(), share(), share(), share(), share());
             let faults = format!(
-                "faults = {{ silent = {a:.3}, reset = {b:.3}, spoilt = {c:.3}, half = {d:.3}, \
-                 trickle = {e:.3} }}\n"
+                "faults = {{ silent = {silent:.3}, reset = {reset:.3}, spoilt = {spoilt:.3}, \
+                 half = {half:.3}, trickle = {trickle:.3} }}\n"
             );
-            ("faults", format!("{target}{faults}{}", span(r, 15.0)))
+            ("faults", format!("{target}{faults}{}", span(rng, 15.0)))
         }
-        7 => ("drain", format!("{target}{}", span(r, 6.0))),
-        8 | 9 => ("replace", format!("{target}{}", span(r, 6.0))),
+        7 => ("drain", format!("{target}{}", span(rng, 6.0))),
+        8 | 9 => ("replace", format!("{target}{}", span(rng, 6.0))),
         10 => {
-            let (mode, rest) = match r.random_range(0..4) {
-                0 => ("down", span(r, 12.0)),
-                1 => ("silent", span(r, 12.0)),
-                2 => ("late", format!("late_ms = {}\n{}", r.random_range(1..3_000), span(r, 12.0))),
+            let (mode, rest) = match rng.random_range(0..4) {
+                0 => ("down", span(rng, 12.0)),
+                1 => ("silent", span(rng, 12.0)),
+                2 => ("late", format!("late_ms = {}\n{}", rng.random_range(1..3_000), span(rng, 12.0))),
                 _ => ("broken", String::new()),
             };
             ("discovery", format!("mode = {mode:?}\n{rest}"))
@@ -150,46 +152,46 @@
         12 => ("kill", sender),
         13 => ("restart", sender),
         _ => {
-            let whom = if r.random_bool(0.3) { sender } else { target };
-            ("cut", whom + &span(r, 8.0))
+            let target = if rng.random_bool(0.3) { sender } else { target };
+            ("cut", target + &span(rng, 8.0))
         }
     };
     format!("\n[[event]]\nat_s = {at:?}\ndo = {what:?}\n{rest}")
 }
 
-/// Plays one seed with these faults.
-fn play(ground: &Ground, faults: &[String], seed: u64) -> Result<(f64, Vec<Breach>), String> {
-    let s = ground.parse(faults).map_err(|e| e.to_string())?;
-    let outcome = run(&s, seed, &Options::default())?;
-    let breaches = check(&outcome);
-    Ok((score::score(&outcome, breaches.len()).kept, breaches))
+/// Runs one seed with the given faults. Returns the share of worth kept and the breaches.
+fn run_seed(base: &BaseScenario, faults: &[String], seed: u64) -> Result<(f64, Vec<Breach>), String> {
+    let scenario = base.parse(faults).map_err(|e| e.to_string())?;
+    let result = run(&scenario, seed, &Options::default())?;
+    let breaches = check(&result);
+    Ok((score::score(&result, breaches.len()).kept, breaches))
 }
 
-/// Plays seeds `from..from + many` on so many threads; what it finds does not depend on their number. `told`
-/// hears of each seed that is done.
+/// Runs the seeds `from..from + count` on `jobs` threads; the result does not depend on their number. Calls
+/// `on_seed` after each seed.
 ///
 /// # Errors
-/// The scenario is not sound.
+/// Returns the errors of the scenario.
 pub fn hunt(
-    ground: &Ground,
+    base: &BaseScenario,
     from: u64,
-    many: u64,
+    count: u64,
     jobs: usize,
-    told: impl Fn(u64, Option<&Breach>) + Sync,
-) -> Result<Found, Wrong> {
-    ground.parse(&[])?;
+    on_seed: impl Fn(u64, Option<&Breach>) + Sync,
+) -> Result<HuntResult, ScenarioError> {
+    base.parse(&[])?;
     let next = AtomicU64::new(from);
-    let found = Mutex::new((Found::default(), BTreeMap::new()));
+    let found = Mutex::new((HuntResult::default(), BTreeMap::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 loop {
                     let seed = next.fetch_add(1, Ordering::Relaxed);
-                    if seed >= from + many {
+                    if seed >= from + count {
                         return;
                     }
-                    let Ok(s) = ground.parse(&[]) else { return };
-                    let done = play(ground, &faults(&s, seed), seed);
+                    let Ok(s) = base.parse(&[]) else { return };
+                    let done = run_seed(base, &random_faults(&s, seed), seed);
                     let Ok(mut found) = found.lock() else { return };
                     let (found, kept) = &mut *found;
                     found.seeds += 1;
@@ -199,13 +201,13 @@
                             let rules: std::collections::BTreeSet<Rule> =
                                 breaches.iter().map(|b| b.rule).collect();
                             rules.into_iter().for_each(|r| *found.rules.entry(r).or_default() += 1);
-                            told(seed, breaches.first());
+                            on_seed(seed, breaches.first());
                             if let Some(first) = breaches.into_iter().next() {
                                 found.breaches.insert(seed, first);
                             }
                         }
                         Err(why) => {
-                            told(seed, None);
+                            on_seed(seed, None);
                             found.failed.insert(seed, why);
                         }
                     }
@@ -214,30 +216,31 @@
         }
     });
     let (mut found, kept) = found.into_inner().unwrap_or_default();
-    // Added up in the order of seeds: the order of a sum changes its last digits.
+    // Summed in the order of seeds, because the order changes the last digits of a floating-point sum.
     found.kept = kept.values().sum::<f64>() / kept.len().max(1) as f64;
     Ok(found)
 }
 
-/// The fewest of a seed's faults under which the same rule is broken, as a scenario.
+/// Reduces a seed's faults to a minimal set under which the same rule is broken. Returns the scenario text
+/// and its breach.
 ///
 /// # Errors
-/// The seed breaks nothing, or cannot be played.
-pub fn shrink(ground: &Ground, seed: u64) -> Result<(String, Breach), String> {
-    let s = ground.parse(&[]).map_err(|e| e.to_string())?;
-    let mut left = faults(&s, seed);
-    let breaches = play(ground, &left, seed)?.1;
+/// Fails if the seed breaks no rule or cannot be run.
+pub fn shrink(base: &BaseScenario, seed: u64) -> Result<(String, Breach), String> {
+    let scenario = base.parse(&[]).map_err(|e| e.to_string())?;
+    let mut remaining = random_faults(&scenario, seed);
+    let breaches = run_seed(base, &remaining, seed)?.1;
     let mut first = breaches.into_iter().next().ok_or("this seed breaks no rule")?;
     let mut at = 0;
-    while at < left.len() {
-        let mut fewer = left.clone();
+    while at < remaining.len() {
+        let mut fewer = remaining.clone();
         fewer.remove(at);
-        match play(ground, &fewer, seed)?.1.into_iter().find(|b| b.rule == first.rule) {
-            Some(b) => (left, first) = (fewer, b),
+        match run_seed(base, &fewer, seed)?.1.into_iter().find(|b| b.rule == first.rule) {
+            Some(b) => (remaining, first) = (fewer, b),
             None => at += 1,
         }
     }
-    let text = ground.with(&left);
+    let text = base.with(&remaining);
     let mut lines: Vec<String> = text.lines().map(str::to_owned).collect();
     if let Some(line) = lines.iter_mut().find(|l| l.starts_with("seed =")) {
         *line = format!("seed = {seed}");
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,13 +1,13 @@
-//! Rehearsals: real senders, emulated partners, clients and a platform, in virtual time or on loopback
-//! sockets; what was seen is scored by worth and checked against the rules by what nobody of the senders
-//! tells.
+//! Rehearsals run real senders against emulated partners, clients and an emulated platform, in virtual time
+//! or on loopback sockets. Runs are scored by delivered worth and checked against the rules, using only
+//! observations made outside the senders.
 //!
-//! `scenario.rs` reads what is to be played, `run.rs` plays it, `checker.rs` and `score.rs` judge it,
-//! `report.rs` shows it. `virt/` is the world in memory, `live.rs` the one of this machine.
+//! `scenario.rs` parses scenarios, `run.rs` runs them, `checker.rs` and `score.rs` evaluate the result, and
+//! `report.rs` formats it. `virt/` implements the environment in memory, `live.rs` the one on loopback
+//! sockets.
 #![warn(missing_docs)]
 
 pub mod arrivals;
-pub mod book;
 pub mod checker;
 pub mod client;
 pub mod compare;
@@ -19,6 +19,7 @@
 pub mod hosts;
 pub mod hunt;
 pub mod live;
+pub mod observations;
 pub mod platform;
 pub mod report;
 pub mod run;
@@ -29,5 +30,5 @@
 pub mod wire;
 
 pub use hosts::Options;
-pub use run::{Outcome, run};
+pub use run::{RunResult, run};
 pub use scenario::Scenario;
--- a/crates/rehearsal/src/live.rs
+++ b/crates/rehearsal/src/live.rs
@@ -1,6 +1,6 @@
-//! The world of this machine: real processes, and real sockets on loopback addresses.
+//! The environment of this machine: real processes and real sockets on loopback addresses.
 
-use crate::hosts::{Hosts, Who};
+use crate::hosts::{Hosts, Role};
 use notchpoint_seam::system::SystemSockets;
 use notchpoint_seam::{Network, Signal};
 use rustix::process::{Pid, Signal as Number, kill_process};
@@ -11,9 +11,9 @@
 use std::process::{Child, Command, Stdio};
 use std::rc::Rc;
 
-/// The world.
+/// The environment on loopback sockets.
 pub struct Live {
-    /// How a sender is started: a program and its arguments.
+    /// Command that starts a sender: the program and its arguments.
     command: Vec<PathBuf>,
     senders: RefCell<Vec<Machine>>,
 }
@@ -22,22 +22,23 @@
     folder: PathBuf,
     listen: SocketAddr,
     child: Option<Child>,
-    /// Why it ended by itself.
+    /// Why it ended on its own.
     ended: Option<String>,
 }
 
-const ANY: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
+/// Loopback address with a port that the system chooses.
+const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 0);
 
 impl Live {
-    /// A world for so many senders, which `command` starts; each has a folder of its own under `folder`, with
-    /// its configuration, its state and its log.
+    /// Creates an environment for a number of senders, which `command` starts. Each sender has its own
+    /// folder under `folder` with its configuration, state and log.
     ///
     /// # Errors
-    /// A folder or a port cannot be had.
+    /// Fails if a folder cannot be created or a port cannot be bound.
     pub fn new(senders: usize, command: Vec<PathBuf>, folder: &Path) -> Result<Self, String> {
         let fail = |e: std::io::Error| format!("{}: {e}", folder.display());
         let mut all = Vec::new();
-        // All ports are held until the last one is chosen, so that no two are the same.
+        // All listeners are kept open until the last port is chosen, so that no two ports are equal.
         let mut held = Vec::new();
         for n in 0..senders {
             let folder = folder.join(format!("n{n}"));
@@ -45,7 +46,7 @@
                 fs::remove_dir_all(folder.join("state")).map_err(fail)?;
             }
             fs::create_dir_all(folder.join("state")).map_err(fail)?;
-            let listener = TcpListener::bind(ANY).map_err(fail)?;
+            let listener = TcpListener::bind(ANY_PORT).map_err(fail)?;
             let listen = listener.local_addr().map_err(fail)?;
             held.push(listener);
             all.push(Machine { folder, listen, child: None, ended: None });
@@ -53,37 +54,38 @@
         Ok(Self { command, senders: RefCell::new(all) })
     }
 
-    fn tell(&self, sender: usize, number: Number) {
+    fn send_signal(&self, sender: usize, number: Number) {
         let senders = self.senders.borrow();
         let child = senders[sender].child.as_ref();
         if let Some(pid) = child.and_then(|c| i32::try_from(c.id()).ok()).and_then(Pid::from_raw) {
-            // It may have ended in this moment.
+            // The process may have ended meanwhile.
             let _ = kill_process(pid, number);
         }
     }
 }
 
 impl Hosts for Live {
-    fn address(&self, who: Who) -> SocketAddr {
-        match who {
-            Who::Sender(n) => self.senders.borrow()[n].listen,
-            _ => ANY,
+    fn address(&self, role: Role) -> SocketAddr {
+        match role {
+            Role::Sender(n) => self.senders.borrow()[n].listen,
+            _ => ANY_PORT,
         }
     }
 
-    fn network(&self, _: Who) -> Rc<dyn Network> {
+    fn network(&self, _: Role) -> Rc<dyn Network> {
         Rc::new(SystemSockets::default())
     }
 
     fn peers(&self, _: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
-        // A datagram to everybody cannot come from its sender's address here.
+        // Loopback sockets cannot send a broadcast datagram from the sender's own address.
         None
     }
 
     fn configure(&self, sender: usize, text: String) {
         let folder = self.senders.borrow()[sender].folder.clone();
-        let half = folder.join("config.half");
-        let written = fs::write(&half, text).and_then(|()| fs::rename(&half, folder.join("config.json")));
+        let partial = folder.join("config.half");
+        let written =
+            fs::write(&partial, text).and_then(|()| fs::rename(&partial, folder.join("config.json")));
         if let Err(e) = written {
             eprintln!("{}: {e}", folder.display());
         }
@@ -110,7 +112,7 @@
     }
 
     fn signal(&self, sender: usize, signal: Signal) {
-        self.tell(
+        self.send_signal(
             sender,
             match signal {
                 Signal::Reload => Number::HUP,
@@ -127,7 +129,7 @@
         }
     }
 
-    fn ended(&self, sender: usize) -> Option<String> {
+    fn exit_reason(&self, sender: usize) -> Option<String> {
         let mut senders = self.senders.borrow_mut();
         let machine = &mut senders[sender];
         if let Ok(Some(status)) = machine.child.as_mut()?.try_wait() {
@@ -138,7 +140,7 @@
     }
 
     fn freeze(&self, sender: usize, frozen: bool) {
-        self.tell(sender, if frozen { Number::STOP } else { Number::CONT });
+        self.send_signal(sender, if frozen { Number::STOP } else { Number::CONT });
     }
 }
 
--- a/crates/rehearsal/src/platform.rs
+++ b/crates/rehearsal/src/platform.rs
@@ -1,8 +1,8 @@
-//! Discovery, and the place for notices: a stand-in for the platform, with an address of its own for each
-//! sender, so that it knows to whom it has told what.
+//! The emulated platform: discovery and the receiver of notices. It has a separate address for each sender,
+//! so that it knows which sender has received which change.
 
-use crate::book::{Book, Listed, Notice};
-use crate::scenario::Mode;
+use crate::observations::{ListChange, Notice, Observations};
+use crate::scenario::DiscoveryFailure;
 use crate::wire::{Message, Wire};
 use notchpoint_emulator::Micros;
 use notchpoint_seam::net::accept;
@@ -16,83 +16,91 @@
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until};
 
-/// While nothing changes, an empty line comes.
-const HEARTBEAT: Duration = Duration::from_secs(2);
+/// Interval of the empty lines that are sent while nothing changes.
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 
-/// An endpoint's line.
+/// An entry of the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// Destination and number there.
+    /// Index of the destination and number within it.
     pub endpoint: (usize, usize),
-    /// Its name.
+    /// Name of the endpoint.
     pub id: String,
-    /// Where it is.
+    /// Address of the endpoint.
     pub address: SocketAddr,
-    /// Its hall.
-    pub hall: String,
-    /// Its partner's name.
+    /// Zone of the endpoint.
+    pub zone: String,
+    /// Name of its partner.
     pub kind: String,
     /// `up`, `draining` or `removed`.
     pub phase: &'static str,
-    /// The change by which it came to be so.
+    /// Revision of the list in which the entry last changed.
     pub revision: u64,
 }
 
-/// How it fails now.
+/// A current failure of discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Fault {
-    mode: Mode,
+    mode: DiscoveryFailure,
     until: Micros,
-    late: Micros,
+    delay: Micros,
 }
 
-/// All of it.
+/// The emulated platform.
 pub struct Platform {
     members: RefCell<Vec<Member>>,
-    /// The last change. Who watches is woken in order (a watch channel would do it in random order).
+    /// Revision of the last change. `Notify` wakes the watches in a fixed order; a watch channel would wake
+    /// them in random order.
     revision: Cell<u64>,
-    news: Notify,
+    list_changed: Notify,
     fault: Cell<Option<Fault>>,
-    /// Raised when watches are to end.
-    broken: Notify,
-    book: Rc<Book>,
-    /// What to do about a bounced message: its id, and when the client is to come again.
-    bounced: RefCell<Box<dyn Fn(u64, Micros)>>,
+    /// Notified when all watches must end.
+    watches_broken: Notify,
+    observations: Rc<Observations>,
+    /// Called for a bounced message with its ID and the delay in microseconds after which the client may
+    /// resubmit it.
+    bounced_callback: RefCell<Box<dyn Fn(u64, Micros)>>,
 }
 
 impl Platform {
-    /// A list with these members.
-    pub fn new(members: Vec<Member>, book: Rc<Book>) -> Rc<Self> {
+    /// Creates a platform whose list has these members.
+    pub fn new(members: Vec<Member>, observations: Rc<Observations>) -> Rc<Self> {
         Rc::new(Self {
             members: RefCell::new(members),
             revision: Cell::new(1),
-            news: Notify::new(),
+            list_changed: Notify::new(),
             fault: Cell::new(None),
-            broken: Notify::new(),
-            book,
-            bounced: RefCell::new(Box::new(|_, _| {})),
+            watches_broken: Notify::new(),
+            observations,
+            bounced_callback: RefCell::new(Box::new(|_, _| {})),
         })
     }
 
-    /// Who is to know of bounced messages.
-    pub fn on_bounced(&self, tell: impl Fn(u64, Micros) + 'static) {
-        *self.bounced.borrow_mut() = Box::new(tell);
+    /// Sets the callback for bounced messages.
+    pub fn on_bounced(&self, callback: impl Fn(u64, Micros) + 'static) {
+        *self.bounced_callback.borrow_mut() = Box::new(callback);
     }
 
-    /// The whole list, as a configuration tells it.
-    pub fn list(&self) -> serde_json::Value {
+    /// Returns the whole list in the form of the configuration.
+    pub fn list_json(&self) -> serde_json::Value {
         let members = self.members.borrow();
-        let all = members.iter().filter(|m| m.phase != "removed").map(line);
+        let all = members.iter().filter(|m| m.phase != "removed").map(member_json);
         json!({"revision": self.revision.get(), "complete": true, "members": all.collect::<Vec<_>>()})
     }
 
-    /// Changes an endpoint's line, or adds one.
+    /// Changes an endpoint's entry, or adds it.
     pub fn change(&self, member: Member) {
         let revision = self.revision.get() + 1;
         let (endpoint, closed) = (member.endpoint, member.phase != "up");
-        let (at, told) = (self.book.now(), Vec::new());
-        self.book.listed.borrow_mut().push(Listed { revision, at, endpoint, closed, told });
-        self.book.log(format_args!("list {revision} {} {}", member.id, member.phase));
+        let (at, notified) = (self.observations.now(), Vec::new());
+        self.observations.list_changes.borrow_mut().push(ListChange {
+            revision,
+            at,
+            endpoint,
+            closed,
+            notified,
+        });
+        self.observations.log(format_args!("list {revision} {} {}", member.id, member.phase));
         let member = Member { revision, ..member };
         let mut members = self.members.borrow_mut();
         match members.iter_mut().find(|m| m.id == member.id) {
@@ -101,33 +109,33 @@
         }
         drop(members);
         self.revision.set(revision);
-        self.news.notify_waiters();
+        self.list_changed.notify_waiters();
     }
 
-    /// The line of an endpoint.
+    /// Returns the entry of an endpoint.
     pub fn member(&self, endpoint: (usize, usize)) -> Option<Member> {
         self.members.borrow().iter().find(|m| m.endpoint == endpoint).cloned()
     }
 
-    /// It fails for so long.
-    pub fn fail(&self, mode: Mode, span: Micros, late: Micros) {
-        if matches!(mode, Mode::Down | Mode::Silent) {
-            let now = self.book.now();
-            self.book.outages.borrow_mut().push((now, now + span));
+    /// Makes discovery fail for a time.
+    pub fn fail(&self, mode: DiscoveryFailure, span: Micros, delay: Micros) {
+        if matches!(mode, DiscoveryFailure::Down | DiscoveryFailure::Silent) {
+            let now = self.observations.now();
+            self.observations.outages.borrow_mut().push((now, now + span));
         }
-        if mode != Mode::Broken {
-            self.fault.set(Some(Fault { mode, until: self.book.now() + span, late }));
+        if mode != DiscoveryFailure::Broken {
+            self.fault.set(Some(Fault { mode, until: self.observations.now() + span, delay }));
         }
-        if matches!(mode, Mode::Down | Mode::Broken) {
-            self.broken.notify_waiters();
+        if matches!(mode, DiscoveryFailure::Down | DiscoveryFailure::Broken) {
+            self.watches_broken.notify_waiters();
         }
     }
 
     fn fault(&self) -> Option<Fault> {
-        self.fault.get().filter(|f| f.until > self.book.now())
+        self.fault.get().filter(|f| f.until > self.observations.now())
     }
 
-    /// Serves one sender at one of its addresses until it is dropped.
+    /// Serves one sender at one of its addresses until the future is dropped.
     pub async fn serve(self: Rc<Self>, sender: usize, listener: Rc<dyn Listener>) {
         let mut connections = JoinSet::new();
         loop {
@@ -144,22 +152,23 @@
 
     async fn connection(self: Rc<Self>, sender: usize, stream: Rc<dyn Stream>) {
         let mut wire = Wire::new(stream);
-        while let Ok(Some(request)) = wire.request().await {
-            let open = match (request.method.as_str(), request.path.split('?').next().unwrap_or_default()) {
-                ("POST", "/reports") => self.notices(sender, &wire, &request).await,
-                ("GET", "/discovery/hosts") => self.watch(sender, &mut wire, &request).await,
-                _ => wire.write(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").await.is_ok(),
-            };
-            if !open {
+        while let Ok(Some(request)) = wire.read_request().await {
+            let stays_open =
+                match (request.method.as_str(), request.path.split('?').next().unwrap_or_default()) {
+                    ("POST", "/reports") => self.receive_notices(sender, &wire, &request).await,
+                    ("GET", "/discovery/hosts") => self.serve_watch(sender, &mut wire, &request).await,
+                    _ => wire.write(b"HTTP/1.1 404 X\r\nContent-Length: 0\r\n\r\n").await.is_ok(),
+                };
+            if !stays_open {
                 return;
             }
         }
     }
 
-    async fn notices(&self, sender: usize, wire: &Wire, request: &Message) -> bool {
-        // Also while discovery is down.
+    async fn receive_notices(&self, sender: usize, wire: &Wire, request: &Message) -> bool {
+        // Notices are received while discovery is down as well.
         let text = String::from_utf8_lossy(&request.body).into_owned();
-        let mut told = Vec::new();
+        let mut notices = Vec::new();
         for line in text.lines() {
             let read = serde_json::from_str::<serde_json::Value>(line).ok();
             let found = read.as_ref().and_then(|v| {
@@ -168,58 +177,61 @@
                 Some((id, result.to_owned(), v["wait_ms"].as_u64().unwrap_or(0)))
             });
             let Some(found) = found else {
-                self.book.odd(format!("sender {sender}: a notice that cannot be read: {line}"));
+                self.observations
+                    .record_anomaly(format!("sender {sender}: a notice that cannot be read: {line}"));
                 return wire.write(b"HTTP/1.1 400 X\r\nContent-Length: 0\r\n\r\n").await.is_ok();
             };
-            told.push(found);
+            notices.push(found);
         }
-        let (at, life) = (self.book.now(), self.book.life(sender));
-        for (id, verdict, wait) in &told {
-            self.book.log(format_args!("notice {id:016x} {verdict} {wait} from {sender}"));
+        let (at, lifetime) = (self.observations.now(), self.observations.lifetime(sender));
+        for (id, verdict, wait) in &notices {
+            self.observations.log(format_args!("notice {id:016x} {verdict} {wait} from {sender}"));
             let first = {
-                let mut messages = self.book.messages.borrow_mut();
-                let Some(m) = messages.get_mut(id) else {
+                let mut messages = self.observations.messages.borrow_mut();
+                let Some(message) = messages.get_mut(id) else {
                     drop(messages);
-                    if self.book.strangers.get() {
+                    if self.observations.allows_unknown_messages.get() {
                         continue;
                     }
-                    self.book.odd(format!("sender {sender}: a notice for {id:016x}, which nobody handed in"));
+                    self.observations.record_anomaly(format!(
+                        "sender {sender}: a notice for {id:016x}, which nobody handed in"
+                    ));
                     continue;
                 };
-                let first = m.notices.is_empty();
-                m.notices.push(Notice { at, life, verdict: verdict.clone(), acknowledged: None });
+                let first = message.notices.is_empty();
+                message.notices.push(Notice { at, lifetime, verdict: verdict.clone(), acknowledged: None });
                 first
             };
             if first && verdict == "bounced" {
-                (self.bounced.borrow())(*id, wait * 1_000);
+                (self.bounced_callback.borrow())(*id, wait * 1_000);
             }
         }
         let written = wire.write(b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n").await.is_ok();
         if written {
-            let mut messages = self.book.messages.borrow_mut();
-            for (id, ..) in &told {
-                let notices = messages.get_mut(id).into_iter().flat_map(|m| &mut m.notices);
+            let mut messages = self.observations.messages.borrow_mut();
+            for (id, ..) in &notices {
+                let notices = messages.get_mut(id).into_iter().flat_map(|message| &mut message.notices);
                 notices.filter(|n| n.at == at).for_each(|n| n.acknowledged = Some(at));
             }
         }
         written
     }
 
-    async fn watch(&self, sender: usize, wire: &mut Wire, request: &Message) -> bool {
+    async fn serve_watch(&self, sender: usize, wire: &mut Wire, request: &Message) -> bool {
         match self.fault().map(|f| f.mode) {
-            Some(Mode::Down) => {
+            Some(DiscoveryFailure::Down) => {
                 let _ = wire.write(b"HTTP/1.1 503 X\r\nContent-Length: 0\r\nConnection: close\r\n\r\n").await;
                 return false;
             }
-            Some(Mode::Silent) => {
-                wire.ended().await;
+            Some(DiscoveryFailure::Silent) => {
+                wire.wait_closed().await;
                 return false;
             }
             _ => {}
         }
         let index = request.path.split("index=").nth(1).and_then(|t| t.parse().ok()).unwrap_or(0u64);
         if !request.path.contains("stream=1") {
-            let body = self.list().to_string();
+            let body = self.list_json().to_string();
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
             return wire.write((head + &body).as_bytes()).await.is_ok();
         }
@@ -228,20 +240,22 @@
         }
         let mut known = index;
         loop {
-            // Heard from here on, so that nothing that happens while a line is written is missed.
-            let (news, broken) = (self.news.notified(), self.broken.notified());
-            tokio::pin!(news, broken);
-            // First what changed after that version, then each change as it is made.
+            // Both notifications are created first, so that no change during a write is missed.
+            let (list_changed, watches_broken) =
+                (self.list_changed.notified(), self.watches_broken.notified());
+            tokio::pin!(list_changed, watches_broken);
+            // The first line has all changes after the requested revision; each further change follows as it
+            // is made.
             let until = match self.fault() {
-                Some(f) if f.mode == Mode::Late => self.book.now() + f.late,
-                Some(f) if f.mode == Mode::Silent => f.until,
+                Some(f) if f.mode == DiscoveryFailure::Late => self.observations.now() + f.delay,
+                Some(f) if f.mode == DiscoveryFailure::Silent => f.until,
                 _ => 0,
             };
             tokio::select! {
                 biased;
-                () = &mut broken => return false,
-                () = wire.ended() => return false,
-                () = sleep_until(self.book.at(until)) => {}
+                () = &mut watches_broken => return false,
+                () = wire.wait_closed() => return false,
+                () = sleep_until(self.observations.instant_at(until)) => {}
             }
             let revision = self.revision.get();
             let text = self.changes(known, revision);
@@ -249,44 +263,45 @@
             if wire.write(chunk.as_bytes()).await.is_err() {
                 return false;
             }
-            self.told(sender, known, revision);
+            self.record_notified(sender, known, revision);
             known = revision;
             if revision != self.revision.get() {
                 continue;
             }
             tokio::select! {
                 biased;
-                () = &mut broken => return false,
-                () = &mut news => {}
-                () = wire.ended() => return false,
-                () = sleep(HEARTBEAT) => {}
+                () = &mut watches_broken => return false,
+                () = &mut list_changed => {}
+                () = wire.wait_closed() => return false,
+                () = sleep(HEARTBEAT_INTERVAL) => {}
             }
         }
     }
 
-    /// The line for what changed between two revisions; empty where nothing did.
+    /// Returns the line with the changes between two revisions, or an empty text if there are none.
     fn changes(&self, known: u64, revision: u64) -> String {
         if known == revision {
             return String::new();
         }
         let members = self.members.borrow();
-        let changed: Vec<_> = members.iter().filter(|m| m.revision > known).map(line).collect();
+        let changed: Vec<_> = members.iter().filter(|m| m.revision > known).map(member_json).collect();
         json!({"revision": revision, "complete": false, "members": changed}).to_string()
     }
 
-    fn told(&self, sender: usize, known: u64, revision: u64) {
-        let (now, life) = (self.book.now(), self.book.life(sender));
-        let mut listed = self.book.listed.borrow_mut();
+    fn record_notified(&self, sender: usize, known: u64, revision: u64) {
+        let (now, lifetime) = (self.observations.now(), self.observations.lifetime(sender));
+        let mut listed = self.observations.list_changes.borrow_mut();
         for change in listed.iter_mut().filter(|c| c.revision > known && c.revision <= revision) {
-            change.told.push((sender, life, now));
+            change.notified.push((sender, lifetime, now));
         }
         if known != revision {
-            self.book.log(format_args!("told {sender} {revision}"));
+            self.observations.log(format_args!("told {sender} {revision}"));
         }
     }
 }
 
-fn line(m: &Member) -> serde_json::Value {
-    json!({"id": m.id, "host_port": m.address.to_string(), "locality": m.hall, "flavor": m.kind,
-        "cell": m.endpoint.0 + 1, "phase": m.phase, "size": 1.0, "up_since_ms": 0})
+fn member_json(member: &Member) -> serde_json::Value {
+    json!({"id": member.id, "host_port": member.address.to_string(), "locality": member.zone,
+        "flavor": member.kind, "cell": member.endpoint.0 + 1, "phase": member.phase, "size": 1.0,
+        "up_since_ms": 0})
 }
