--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -1,5 +1,5 @@
-//! Scenarios: what stands, who sends what, and what happens when. A file is read, checked as a whole, and
-//! every error names its key and line.
+//! Scenario files: the emulated parties, the traffic and the events of a run. A file is parsed and validated
+//! as a whole, and every error names its key and line.
 
 use notchpoint_emulator::{Faults, PartnerSpec};
 use serde::Deserialize;
@@ -8,110 +8,111 @@
 use std::path::{Path, PathBuf};
 use toml::Spanned;
 
-/// A rehearsal, as its file states it.
+/// A rehearsal, as defined by its file.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Scenario {
-    /// What it is called.
+    /// Name of the scenario.
     pub name: String,
-    /// What it is for, in a sentence.
+    /// Purpose of the scenario, in one sentence.
     #[serde(default)]
     pub about: String,
-    /// Where all chance comes from.
-    #[serde(default = "one")]
+    /// Seed of all random numbers of a run.
+    #[serde(default = "default_seed")]
     pub seed: u64,
-    /// Messages come for so long; the run ends when all of them must have ended.
+    /// Seconds during which messages arrive. The run continues until the deadlines of all of them have
+    /// passed.
     pub duration_s: f64,
-    /// What passes between machines.
+    /// The network between machines.
     #[serde(default)]
     pub network: Network,
     /// The senders.
     #[serde(default)]
     pub senders: Senders,
-    /// Classes of message.
+    /// Message classes.
     pub class: Vec<Spanned<Class>>,
-    /// Who hands messages in.
+    /// Tenants, on whose behalf messages are submitted.
     #[serde(default)]
     pub tenant: Vec<Spanned<Tenant>>,
     /// Partners.
     pub partner: Vec<Spanned<Partner>>,
-    /// What is handed in.
+    /// Generated traffic.
     #[serde(default)]
     pub traffic: Vec<Spanned<Traffic>>,
-    /// A recorded trace as further arrivals.
+    /// A recorded trace with additional arrivals.
     #[serde(default)]
     pub replay: Option<Spanned<Replay>>,
-    /// Clients that send what nobody should.
+    /// Clients that send malformed requests.
     #[serde(default)]
     pub bad_client: Vec<Spanned<BadClient>>,
-    /// What happens, in the order of time.
+    /// Events. They are applied in the order of their times.
     #[serde(default)]
     pub event: Vec<Spanned<Event>>,
-    /// Where it was read from, for files beside it.
+    /// Folder of the scenario file; other files are resolved relative to it.
     #[serde(skip)]
     pub folder: PathBuf,
-    /// What the trace of `replay` holds.
+    /// Entries of the trace that `replay` names.
     #[serde(skip)]
-    pub trace: Vec<Traced>,
+    pub trace: Vec<TraceEntry>,
 }
 
-fn one() -> u64 {
+fn default_seed() -> u64 {
     1
 }
 
-/// What passes between machines.
+/// The network between machines.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Network {
-    /// One way, whole milliseconds. Virtual time only.
+    /// One-way latency in whole milliseconds. Virtual time only.
     pub latency_ms: u64,
-    /// Share of notes between senders that are lost. Virtual time only.
+    /// Share of notes between senders that is lost. Virtual time only.
     pub notes_lost: f64,
-    /// The others are up to so late. Virtual time only.
+    /// Maximum additional delay of the other notes. Virtual time only.
     pub notes_late_ms: u64,
 }
 
-/// The senders, and what they are told.
+/// The senders and their settings.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Senders {
-    /// How many.
+    /// Number of senders.
     pub count: usize,
-    /// Calls out at once, for each.
+    /// Maximum concurrent calls of each sender.
     pub slots: u32,
-    /// Messages held at once.
+    /// Maximum number of messages that a sender holds at once.
     pub most_held: u32,
-    /// Attempts for one message.
+    /// Maximum attempts for one message.
     pub max_attempts: u32,
-    /// Descriptors.
+    /// Limit of file descriptors.
     pub sockets: usize,
-    /// Memory.
+    /// Memory limit in megabytes.
     pub memory_mb: f64,
-    /// The lasting folder.
+    /// Size limit of the state folder in megabytes.
     pub disk_mb: f64,
-    /// A connection not made in this time has failed.
+    /// Time-out for establishing a connection.
     pub connect_timeout_s: f64,
-    /// Idle connections are closed by partners after this time.
+    /// Time after which partners close idle connections.
     pub conn_idle_s: f64,
-    /// Advice on when to come back that clients heed at most.
+    /// Longest `Retry-After` delay that clients follow.
     pub max_retry_after_s: f64,
-    /// The least time between two turns of a sender's decisions.
+    /// Minimum time between two decision ticks of a sender.
     pub tick_ms: f64,
-    /// Attempts may be called off.
+    /// Whether attempts may be cancelled.
     pub cancelling: bool,
-    /// Two attempts of a message may be out at once.
+    /// Whether two attempts of a message may be in flight at once.
     pub parallel_tries: bool,
-    /// Senders that keep a copy of each message; 0 for none. Virtual time only.
+    /// Number of other senders that hold a replica of each message; 0 for none. Virtual time only.
     pub copies: usize,
-    /// Senders write notes to each other. Virtual time only.
+    /// Whether senders exchange notes. Virtual time only.
     pub notes: bool,
-    /// Senders leave a zone (a hall) that fails together, and return step by step. It takes notes.
+    /// Whether senders evacuate a failing zone together and return to it in steps. Requires `notes`.
     pub zones: bool,
-    /// What a message over its tenant's allowance is worth, as a share.
+    /// Share of its worth that a message over its tenant's allowance has.
     pub over_share_worth: f64,
-    /// How worth falls after the wanted time: "even" or "by_half".
+    /// How worth decreases after the wanted time: "even" (linearly) or "by_half" (exponentially).
     pub fades: String,
-    /// Clients hand in a refused message so many times more.
+    /// How often clients resubmit a refused message.
     pub client_retries: u32,
 }
 
@@ -141,594 +142,687 @@
     }
 }
 
-/// A class of message.
+/// A message class.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Class {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
     /// `idempotent`, `deduplicated` or `at_most_once`.
     pub effect: String,
-    /// Full worth within this time.
+    /// Time within which a delivery has full worth.
     pub wanted_s: f64,
-    /// Given up after this time.
+    /// Deadline: a message is given up after this time.
     pub deadline_s: f64,
     /// Worth of one message.
-    #[serde(default = "unit")]
+    #[serde(default = "default_worth")]
     pub worth: f64,
-    /// Share of it that is left at the deadline.
+    /// Share of the worth that remains at the deadline.
     #[serde(default)]
     pub late_share: f64,
-    /// For `deduplicated`: partners drop repeats for so long.
+    /// For `deduplicated`: length of the partners' deduplication window.
     #[serde(default)]
     pub memory_s: f64,
 }
 
-fn unit() -> f64 {
+fn default_worth() -> f64 {
     1.0
 }
 
-/// Who hands messages in.
+/// A tenant, on whose behalf messages are submitted.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Tenant {
-    /// Its name.
+    /// Name of the tenant.
     pub name: String,
-    /// Messages a second, over all senders, that count in full.
+    /// Messages per second, over all senders, that count in full. None means no limit.
     pub allowance_per_s: Option<f64>,
 }
 
 impl Partner {
-    /// The halls in which its endpoints stand.
-    pub fn halls(&self) -> impl Iterator<Item = &String> {
-        std::iter::once(&self.hall).chain(&self.also_in)
+    /// The zones in which its endpoints are located.
+    pub fn zones(&self) -> impl Iterator<Item = &String> {
+        std::iter::once(&self.zone).chain(&self.also_in)
     }
 
-    /// Where the n-th endpoint of a destination stands.
-    pub fn hall_of(&self, n: usize) -> &str {
-        self.halls().nth(n % (1 + self.also_in.len())).unwrap_or(&self.hall)
+    /// The zone of the n-th endpoint of a destination.
+    pub fn zone_of(&self, n: usize) -> &str {
+        self.zones().nth(n % (1 + self.also_in.len())).unwrap_or(&self.zone)
     }
 }
 
-/// Partners of one kind in one hall.
+/// A group of destinations of one kind.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Partner {
-    /// The name of the kind.
+    /// Name of the kind.
     pub name: String,
-    /// Where their endpoints stand: what can go silent together.
-    #[serde(default = "hall")]
-    pub hall: String,
-    /// Further halls: of each destination the first endpoint stands in `hall`, the next ones in these, round
-    /// and round.
+    /// Zone of the endpoints: the unit that can fail as a whole.
+    #[serde(rename = "hall", default = "default_zone")]
+    pub zone: String,
+    /// Further zones. The endpoints of each destination are assigned round-robin to `hall` and then to
+    /// these.
     #[serde(default)]
     pub also_in: Vec<String>,
-    /// How many such destinations.
-    #[serde(default = "single")]
+    /// Number of destinations of this kind.
+    #[serde(default = "default_count")]
     pub destinations: usize,
-    /// Endpoints of each.
-    #[serde(default = "single")]
+    /// Number of endpoints of each destination.
+    #[serde(default = "default_count")]
     pub endpoints: usize,
-    /// Each endpoint has limits and outages of its own.
-    #[serde(default)]
-    pub apart: bool,
-    /// What they are like.
-    #[serde(default)]
-    pub is: PartnerSpec,
+    /// Whether limits and outages apply to each endpoint separately.
+    #[serde(rename = "apart", default)]
+    pub per_endpoint: bool,
+    /// Behaviour of the endpoints.
+    #[serde(rename = "is", default)]
+    pub spec: PartnerSpec,
 }
 
-fn hall() -> String {
+fn default_zone() -> String {
     "hall".into()
 }
 
-fn single() -> usize {
+fn default_count() -> usize {
     1
 }
 
-/// Messages that are handed in.
+/// Messages that clients submit.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Traffic {
-    /// Their class.
+    /// Class of the messages.
     pub class: String,
-    /// Their tenant; the first one if absent.
+    /// Tenant of the messages; the first one if absent.
     pub tenant: Option<String>,
-    /// The partners that they go to, evenly; all if absent.
+    /// Partner whose destinations receive the messages, evenly distributed; all partners if absent.
     pub partner: Option<String>,
-    /// Only to this destination of the partner, counted from 0.
+    /// Sends only to this destination of the partner, counted from 0.
     pub destination: Option<usize>,
-    /// Messages a second, at random moments.
+    /// Messages per second, with exponentially distributed gaps.
     pub rate_per_s: Option<f64>,
-    /// So many in all, evenly from `from_s` to `to_s`; at one moment where these are equal.
+    /// Total number of messages, evenly spaced from `from_s` to `to_s`; all at once if these are equal.
     pub count: Option<u32>,
-    /// From this second on.
+    /// Start time in seconds.
     #[serde(default)]
     pub from_s: f64,
-    /// Up to this second; the end if absent.
+    /// End time in seconds; the end of the scenario if absent.
     pub to_s: Option<f64>,
-    /// Bytes of a body.
-    #[serde(default = "body")]
+    /// Size of each body in bytes.
+    #[serde(default = "default_body_bytes")]
     pub body: usize,
 }
 
-fn body() -> usize {
+fn default_body_bytes() -> usize {
     200
 }
 
-/// A recorded trace: a line a message, `seconds,class,tenant,destination,bytes`; lines that begin with # are
-/// passed over.
+/// A recorded trace with one message per line: `seconds,class,tenant,destination,bytes`. Lines that start
+/// with # are ignored.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Replay {
-    /// The file, beside the scenario.
+    /// Path of the trace, relative to the scenario file.
     pub file: PathBuf,
 }
 
-/// A line of a trace.
+/// An entry of a trace.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Traced {
-    /// When.
+pub struct TraceEntry {
+    /// Arrival time in seconds.
     pub at_s: f64,
-    /// Class, by position.
+    /// Index of the class.
     pub class: usize,
-    /// Tenant, by position.
+    /// Index of the tenant.
     pub tenant: usize,
-    /// Destination, counted from 0 over all partners.
+    /// Index of the destination over all partners.
     pub destination: usize,
-    /// Bytes of its body.
+    /// Size of the body in bytes.
     pub body: usize,
 }
 
-/// Clients that send what nobody should, every kind in turn. Each is owed an error or a close within 3 s.
+/// Clients that send malformed requests, each kind in turn. Each must receive an error or a close within 3
+/// s.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct BadClient {
-    /// So many a second.
+    /// Requests per second.
     pub rate_per_s: f64,
-    /// From this second on.
+    /// Start time in seconds.
     #[serde(default)]
     pub from_s: f64,
-    /// Up to this second; the end if absent.
+    /// End time in seconds; the end of the scenario if absent.
     pub to_s: Option<f64>,
 }
 
-/// What may happen.
+/// Kinds of events.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Do {
-    /// Endpoints take connections and say nothing, as a process does that hangs. What was sent to them runs
-    /// when they go on.
+pub enum EventKind {
+    /// Endpoints accept connections but send nothing, as a hanging process does. Requests received meanwhile
+    /// run when they resume.
     Silent,
-    /// Machines are cut off the network. Virtual time only.
+    /// Machines are disconnected from the network. Virtual time only.
     Cut,
-    /// Endpoints die; after `for_s` they are back, cold.
+    /// Endpoints die and restart cold after `for_s`.
     Die,
-    /// Endpoints stop working on what they have for a while, and go on taking calls.
+    /// Endpoints stop processing for a while but keep accepting calls.
     Pause,
-    /// Calls take `times` as long.
+    /// Calls take `times` as long as usual.
     Slow,
-    /// Answers are spoilt by these `faults`.
+    /// Answers are affected by the given `faults`.
     Faults,
-    /// Endpoints are drained, and after `for_s` removed from the list.
+    /// Endpoints are drained and, after `for_s`, removed from the list.
     Drain,
-    /// Endpoints are drained and new ones, under new names, put in their place; after `for_s` the old ones
-    /// are removed from the list.
+    /// Endpoints are drained and replaced by new ones with new names; after `for_s` the old ones are removed
+    /// from the list.
     Replace,
-    /// Discovery fails as `mode` says.
+    /// Discovery fails in the way that `mode` gives.
     Discovery,
-    /// Discovery moves, and senders are told by SIGHUP.
+    /// Discovery moves to a new address, and senders are notified by SIGHUP.
     MoveDiscovery,
-    /// A sender is killed, and starts again after `for_s` (0.6 if absent).
+    /// A sender is killed and restarts after `for_s` (0.6 if absent).
     Kill,
-    /// A sender gets SIGTERM, SIGKILL 3.7 s later if it is still there, and starts again after `for_s`.
+    /// A sender receives SIGTERM, then SIGKILL 3.7 s later if it still runs, and restarts after `for_s`.
     Restart,
-    /// A sender hangs (SIGSTOP) for so long.
+    /// A sender is stopped (SIGSTOP) for `for_s`.
     Freeze,
-    /// A sender's machine is lost with its folder; an empty one takes its place after `for_s` (0.6 if
+    /// A sender's machine is lost with its state folder; an empty one replaces it after `for_s` (0.6 if
     /// absent). Virtual time only.
     Lose,
-    /// Nothing passes between two senders, or with `one_way` from `sender` to `other`. Virtual time only.
+    /// The link between two senders is blocked, or with `one_way` only from `sender` to `other`. Virtual
+    /// time only.
     Part,
-    /// What passes from `sender` to `other` takes `late_ms` longer. Virtual time only.
+    /// Traffic from `sender` to `other` takes `late_ms` longer. Virtual time only.
     SlowLink,
-    /// A sender's folder takes no byte more. Virtual time only.
+    /// A sender's state folder is full. Virtual time only.
     DiskFull,
 }
 
 /// How discovery fails.
 #[derive(Clone, Copy, Debug, Deserialize, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Mode {
-    /// Watches end, and new ones are answered 503.
+pub enum DiscoveryFailure {
+    /// Watches end, and new ones are answered with 503.
     Down,
-    /// Connections are taken and nothing is said.
+    /// Connections are accepted, but no answer is sent.
     Silent,
-    /// Changes are told `late_ms` later.
+    /// Changes are sent `late_ms` later.
     Late,
-    /// Watches end, once; new ones are fine.
+    /// Open watches end once; new ones work.
     Broken,
 }
 
-/// Something that happens at an exact time.
+/// An event at a given time.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Event {
-    /// When.
+    /// Time of the event in seconds.
     pub at_s: f64,
-    /// What.
+    /// Kind of the event.
     #[serde(rename = "do")]
-    pub what: Do,
-    /// For all endpoints in this hall.
-    pub hall: Option<String>,
-    /// For the endpoints of this partner.
+    pub kind: EventKind,
+    /// Applies to all endpoints in this zone.
+    #[serde(rename = "hall")]
+    pub zone: Option<String>,
+    /// Applies to the endpoints of this partner.
     pub partner: Option<String>,
-    /// Only of this destination of it, counted from 0.
+    /// Restricts `partner` to this destination, counted from 0.
     pub destination: Option<usize>,
-    /// Only this endpoint of each, counted from 0.
+    /// Restricts the event to this endpoint of each destination, counted from 0.
     pub endpoint: Option<usize>,
-    /// For this sender, counted from 0.
+    /// Applies to this sender, counted from 0.
     pub sender: Option<usize>,
     /// For `part` and `slow_link`: the other sender.
     pub other: Option<usize>,
-    /// For `part`: only from `sender` to `other`.
+    /// For `part`: blocks only the direction from `sender` to `other`.
     #[serde(default)]
     pub one_way: bool,
-    /// For so long.
+    /// Duration in seconds.
     pub for_s: Option<f64>,
-    /// For `slow`.
+    /// For `slow`: factor of the service times.
     pub times: Option<f64>,
-    /// For `faults`.
+    /// For `faults`: shares of the answers that are affected.
     pub faults: Option<Faults>,
-    /// For `discovery`.
-    pub mode: Option<Mode>,
-    /// For `discovery` with `mode = "late"`.
+    /// For `discovery`: how it fails.
+    pub mode: Option<DiscoveryFailure>,
+    /// For `slow_link`, and for `discovery` with `mode = "late"`: delay in milliseconds.
     pub late_ms: Option<u64>,
 }
 
-/// All that is wrong with a scenario.
+/// All errors of a scenario.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Wrong(pub Vec<String>);
+pub struct ScenarioError(pub Vec<String>);
 
-impl fmt::Display for Wrong {
+impl fmt::Display for ScenarioError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0.join("\n"))
     }
 }
 
-impl std::error::Error for Wrong {}
+impl std::error::Error for ScenarioError {}
 
-/// Reads and checks a file.
+/// Reads and validates a scenario file.
 ///
 /// # Errors
-/// All that is wrong with it, a line each, with file, line and key.
-pub fn read(path: &Path) -> Result<Scenario, Wrong> {
+/// Returns all errors, one per line, with file, line and key.
+pub fn read(path: &Path) -> Result<Scenario, ScenarioError> {
     let name = path.display().to_string();
-    let text = std::fs::read_to_string(path).map_err(|e| Wrong(vec![format!("{name}: {e}")]))?;
+    let text = std::fs::read_to_string(path).map_err(|e| ScenarioError(vec![format!("{name}: {e}")]))?;
     let folder = path.parent().unwrap_or(Path::new("")).to_owned();
     parse(&text, &name, folder)
 }
 
-/// Reads and checks a text; `name` stands in errors, `folder` is where files beside it lie.
+/// Parses and validates a text. `name` appears in errors; other files are read relative to `folder`.
 ///
 /// # Errors
-/// As [`read`].
-pub fn parse(text: &str, name: &str, folder: PathBuf) -> Result<Scenario, Wrong> {
+/// See [`read`].
+pub fn parse(text: &str, name: &str, folder: PathBuf) -> Result<Scenario, ScenarioError> {
     let mut scenario: Scenario = toml::from_str(text).map_err(|e| {
-        let line = e.span().map_or(1, |s| line(text, s.start));
-        Wrong(vec![format!("{name}:{line}: {}", e.message().trim_end())])
+        let line = e.span().map_or(1, |s| line_number(text, s.start));
+        ScenarioError(vec![format!("{name}:{line}: {}", e.message().trim_end())])
     })?;
     scenario.folder = folder;
-    let mut wrong = Vec::new();
-    let say = |at: usize, what: String| wrong.push(format!("{name}:{}: {what}", line(text, at)));
-    let mut check = Check { s: &scenario, say };
-    check.all();
+    let mut errors = Vec::new();
+    let report = |at: usize, what: String| errors.push(format!("{name}:{}: {what}", line_number(text, at)));
+    let mut validator = Validator { scenario: &scenario, report };
+    validator.check_all();
     if let Some(replay) = scenario.replay.clone() {
-        match trace(&scenario, &scenario.folder.join(&replay.get_ref().file)) {
+        match read_trace(&scenario, &scenario.folder.join(&replay.get_ref().file)) {
             Ok(trace) => scenario.trace = trace,
-            Err(why) => wrong.extend(why.0),
+            Err(why) => errors.extend(why.0),
         }
     }
-    if wrong.is_empty() { Ok(scenario) } else { Err(Wrong(wrong)) }
+    if errors.is_empty() { Ok(scenario) } else { Err(ScenarioError(errors)) }
 }
 
-fn line(text: &str, at: usize) -> usize {
+fn line_number(text: &str, at: usize) -> usize {
     1 + text.bytes().take(at).filter(|b| *b == b'\n').count()
 }
 
-/// A trace holds so many messages at most.
-const TRACE: usize = 2_000_000;
+/// Maximum number of messages in a trace.
+const MAX_TRACE_MESSAGES: usize = 2_000_000;
 
-fn trace(s: &Scenario, path: &Path) -> Result<Vec<Traced>, Wrong> {
+fn read_trace(scenario: &Scenario, path: &Path) -> Result<Vec<TraceEntry>, ScenarioError> {
     let name = path.display();
-    let text = std::fs::read_to_string(path).map_err(|e| Wrong(vec![format!("{name}: {e}")]))?;
-    let (mut found, mut wrong) = (Vec::new(), Vec::new());
-    for (n, line) in text.lines().enumerate() {
+    let text = std::fs::read_to_string(path).map_err(|e| ScenarioError(vec![format!("{name}: {e}")]))?;
+    let (mut found, mut errors) = (Vec::new(), Vec::new());
+    for (index, line) in text.lines().enumerate() {
         if line.trim().is_empty() || line.starts_with('#') {
             continue;
         }
-        match traced(s, line) {
+        match parse_trace_line(scenario, line) {
             Ok(t) => found.push(t),
-            Err(why) => wrong.push(format!("{name}:{}: {why}", n + 1)),
+            Err(why) => errors.push(format!("{name}:{}: {why}", index + 1)),
         }
-        if found.len() > TRACE {
-            wrong.push(format!("{name}: more than {TRACE} messages"));
+        if found.len() > MAX_TRACE_MESSAGES {
+            errors.push(format!("{name}: the trace has more than {MAX_TRACE_MESSAGES} messages"));
             break;
         }
     }
     found.sort_by(|a, b| a.at_s.total_cmp(&b.at_s));
-    if wrong.is_empty() { Ok(found) } else { Err(Wrong(wrong)) }
+    if errors.is_empty() { Ok(found) } else { Err(ScenarioError(errors)) }
 }
 
-fn traced(s: &Scenario, line: &str) -> Result<Traced, String> {
+fn parse_trace_line(scenario: &Scenario, line: &str) -> Result<TraceEntry, String> {
     let fields: Vec<&str> = line.split(',').map(str::trim).collect();
     let [at, class, tenant, destination, bytes] = fields[..] else {
-        return Err("a line has seconds,class,tenant,destination,bytes".into());
+        return Err("a line has the fields seconds,class,tenant,destination,bytes".into());
     };
-    let at_s: f64 = at.parse().map_err(|_| format!("seconds: {at:?} is no number"))?;
-    if !(0.0..=s.duration_s).contains(&at_s) {
-        return Err(format!("seconds: {at_s} is not within the run"));
+    let at_s: f64 = at.parse().map_err(|_| format!("seconds: {at:?} is not a number"))?;
+    if !(0.0..=scenario.duration_s).contains(&at_s) {
+        return Err(format!("seconds: {at_s} is outside the run"));
     }
-    let class = s.class.iter().position(|c| c.get_ref().name == class);
+    let class = scenario.class.iter().position(|c| c.get_ref().name == class);
     let class = class.ok_or_else(|| format!("class: {:?} is not in the scenario", fields[1]))?;
-    let tenant = s.tenant.iter().position(|t| t.get_ref().name == tenant);
-    let tenant = tenant.or(s.tenant.is_empty().then_some(0));
+    let tenant = scenario.tenant.iter().position(|t| t.get_ref().name == tenant);
+    let tenant = tenant.or(scenario.tenant.is_empty().then_some(0));
     let tenant = tenant.ok_or_else(|| format!("tenant: {:?} is not in the scenario", fields[2]))?;
-    let all: usize = s.partner.iter().map(|p| p.get_ref().destinations).sum();
+    let all: usize = scenario.partner.iter().map(|p| p.get_ref().destinations).sum();
     let destination: usize = destination.parse().ok().filter(|d| *d < all).ok_or_else(|| {
-        format!("destination: {:?} is not one of the {all} of the scenario, counted from 0", fields[3])
+        format!(
+            "destination: {:?} is not a number below {all}, the count of destinations in the scenario",
+            fields[3]
+        )
     })?;
     let body: usize = bytes
         .parse()
         .ok()
-        .filter(|b| *b <= BODY)
-        .ok_or_else(|| format!("bytes: {bytes:?} is no whole number up to {BODY}"))?;
-    Ok(Traced { at_s, class, tenant, destination, body })
+        .filter(|b| *b <= MAX_BODY_BYTES)
+        .ok_or_else(|| format!("bytes: {bytes:?} is not a whole number up to {MAX_BODY_BYTES}"))?;
+    Ok(TraceEntry { at_s, class, tenant, destination, body })
 }
 
-/// What a sender takes at most.
-const BODY: usize = 64 << 10;
+/// Largest body that a sender accepts.
+const MAX_BODY_BYTES: usize = 64 << 10;
 
-struct Check<'a, F> {
-    s: &'a Scenario,
-    say: F,
+struct Validator<'a, F> {
+    scenario: &'a Scenario,
+    report: F,
 }
 
-impl<F: FnMut(usize, String)> Check<'_, F> {
-    fn within(&mut self, at: usize, key: &str, x: f64, least: f64, most: f64) {
-        if !(least..=most).contains(&x) {
-            (self.say)(at, format!("{key}: {x} is not within {least} to {most}"));
+impl<F: FnMut(usize, String)> Validator<'_, F> {
+    fn check_range(&mut self, at: usize, key: &str, value: f64, min: f64, max: f64) {
+        if !(min..=max).contains(&value) {
+            (self.report)(at, format!("{key}: {value} is not between {min} and {max}"));
         }
     }
 
-    fn all(&mut self) {
-        let s = self.s;
-        self.within(0, "duration_s", s.duration_s, 0.1, 86_400.0);
-        self.within(0, "network.latency_ms", s.network.latency_ms as f64, 0.0, 10_000.0);
-        self.within(0, "network.notes_lost", s.network.notes_lost, 0.0, 1.0);
-        self.within(0, "network.notes_late_ms", s.network.notes_late_ms as f64, 0.0, 60_000.0);
-        self.senders();
-        for (what, empty) in [("class", s.class.is_empty()), ("partner", s.partner.is_empty())] {
+    fn check_all(&mut self) {
+        let scenario = self.scenario;
+        self.check_range(0, "duration_s", scenario.duration_s, 0.1, 86_400.0);
+        self.check_range(0, "network.latency_ms", scenario.network.latency_ms as f64, 0.0, 10_000.0);
+        self.check_range(0, "network.notes_lost", scenario.network.notes_lost, 0.0, 1.0);
+        self.check_range(0, "network.notes_late_ms", scenario.network.notes_late_ms as f64, 0.0, 60_000.0);
+        self.check_senders();
+        for (section, empty) in
+            [("class", scenario.class.is_empty()), ("partner", scenario.partner.is_empty())]
+        {
             if empty {
-                (self.say)(0, format!("[[{what}]]: there must be one"));
+                (self.report)(0, format!("[[{section}]]: at least one is required"));
             }
         }
-        self.names();
-        for c in &s.class {
-            self.class(c.span().start, c.get_ref());
+        self.check_names();
+        for class_entry in &scenario.class {
+            self.check_class(class_entry.span().start, class_entry.get_ref());
         }
-        for p in &s.partner {
-            let (at, p) = (p.span().start, p.get_ref());
-            self.within(at, "partner.destinations", p.destinations as f64, 1.0, 10_000.0);
-            self.within(at, "partner.endpoints", p.endpoints as f64, 1.0, 1_000.0);
-            if let Err(why) = p.is.check() {
-                (self.say)(at, format!("partner.is.{why}"));
+        for partner in &scenario.partner {
+            let (at, partner) = (partner.span().start, partner.get_ref());
+            self.check_range(at, "partner.destinations", partner.destinations as f64, 1.0, 10_000.0);
+            self.check_range(at, "partner.endpoints", partner.endpoints as f64, 1.0, 1_000.0);
+            if let Err(why) = partner.spec.check() {
+                (self.report)(at, format!("partner.is.{why}"));
             }
-            for class in p.is.service.keys() {
-                if class != "default" && s.class.iter().all(|c| c.get_ref().name != *class) {
-                    (self.say)(at, format!("partner.is.service.{class}: no class has this name"));
+            for class in partner.spec.service.keys() {
+                if class != "default"
+                    && scenario.class.iter().all(|class_entry| class_entry.get_ref().name != *class)
+                {
+                    (self.report)(at, format!("partner.is.service.{class}: no class has this name"));
                 }
             }
         }
-        for t in &s.traffic {
-            self.traffic(t.span().start, t.get_ref());
+        for traffic in &scenario.traffic {
+            self.check_traffic(traffic.span().start, traffic.get_ref());
         }
-        for b in &s.bad_client {
-            self.within(b.span().start, "bad_client.rate_per_s", b.get_ref().rate_per_s, 0.0, 1_000.0);
+        for bad_client in &scenario.bad_client {
+            self.check_range(
+                bad_client.span().start,
+                "bad_client.rate_per_s",
+                bad_client.get_ref().rate_per_s,
+                0.0,
+                1_000.0,
+            );
         }
-        for e in &s.event {
-            self.event(e.span().start, e.get_ref());
+        for event in &scenario.event {
+            self.check_event(event.span().start, event.get_ref());
         }
     }
 
-    fn senders(&mut self) {
-        let s = &self.s.senders;
-        self.within(0, "senders.count", s.count as f64, 1.0, 200.0);
-        let most = (s.count / 2).min(3);
-        self.within(0, "senders.copies", s.copies as f64, 0.0, most as f64);
-        self.within(0, "senders.slots", s.slots.into(), 1.0, 10_000.0);
-        self.within(0, "senders.most_held", s.most_held.into(), 1.0, 1e6);
-        self.within(0, "senders.max_attempts", s.max_attempts.into(), 1.0, 1_000.0);
-        self.within(0, "senders.sockets", s.sockets as f64, 16.0, 1e6);
-        self.within(0, "senders.memory_mb", s.memory_mb, 1.0, 1e6);
-        self.within(0, "senders.disk_mb", s.disk_mb, 0.1, 1e6);
-        self.within(0, "senders.connect_timeout_s", s.connect_timeout_s, 0.01, 60.0);
-        self.within(0, "senders.conn_idle_s", s.conn_idle_s, 0.1, 3_600.0);
-        self.within(0, "senders.max_retry_after_s", s.max_retry_after_s, 0.0, 3_600.0);
-        self.within(0, "senders.tick_ms", s.tick_ms, 0.0, 1_000.0);
-        self.within(0, "senders.over_share_worth", s.over_share_worth, 0.0, 1.0);
-        if !["even", "by_half"].contains(&s.fades.as_str()) {
-            (self.say)(0, format!("senders.fades: {:?} is neither \"even\" nor \"by_half\"", s.fades));
+    fn check_senders(&mut self) {
+        let senders = &self.scenario.senders;
+        self.check_range(0, "senders.count", senders.count as f64, 1.0, 200.0);
+        let max = (senders.count / 2).min(3);
+        self.check_range(0, "senders.copies", senders.copies as f64, 0.0, max as f64);
+        self.check_range(0, "senders.slots", senders.slots.into(), 1.0, 10_000.0);
+        self.check_range(0, "senders.most_held", senders.most_held.into(), 1.0, 1e6);
+        self.check_range(0, "senders.max_attempts", senders.max_attempts.into(), 1.0, 1_000.0);
+        self.check_range(0, "senders.sockets", senders.sockets as f64, 16.0, 1e6);
+        self.check_range(0, "senders.memory_mb", senders.memory_mb, 1.0, 1e6);
+        self.check_range(0, "senders.disk_mb", senders.disk_mb, 0.1, 1e6);
+        self.check_range(0, "senders.connect_timeout_s", senders.connect_timeout_s, 0.01, 60.0);
+        self.check_range(0, "senders.conn_idle_s", senders.conn_idle_s, 0.1, 3_600.0);
+        self.check_range(0, "senders.max_retry_after_s", senders.max_retry_after_s, 0.0, 3_600.0);
+        self.check_range(0, "senders.tick_ms", senders.tick_ms, 0.0, 1_000.0);
+        self.check_range(0, "senders.over_share_worth", senders.over_share_worth, 0.0, 1.0);
+        if !["even", "by_half"].contains(&senders.fades.as_str()) {
+            (self.report)(
+                0,
+                format!("senders.fades: {:?} is neither \"even\" nor \"by_half\"", senders.fades),
+            );
         }
     }
 
-    fn names(&mut self) {
-        let s = self.s;
-        let classes = s.class.iter().map(|c| ("class", c.span().start, c.get_ref().name.as_str()));
-        let tenants = s.tenant.iter().map(|t| ("tenant", t.span().start, t.get_ref().name.as_str()));
-        let partners = s.partner.iter().map(|p| ("partner", p.span().start, p.get_ref().name.as_str()));
+    fn check_names(&mut self) {
+        let scenario = self.scenario;
+        let classes = scenario.class.iter().map(|c| ("class", c.span().start, c.get_ref().name.as_str()));
+        let tenants = scenario.tenant.iter().map(|t| ("tenant", t.span().start, t.get_ref().name.as_str()));
+        let partners =
+            scenario.partner.iter().map(|p| ("partner", p.span().start, p.get_ref().name.as_str()));
         let mut seen = BTreeSet::new();
-        for (what, at, name) in classes.chain(tenants).chain(partners) {
-            let sound = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
-            if name.is_empty() || !name.bytes().all(sound) {
-                (self.say)(
+        for (section, at, name) in classes.chain(tenants).chain(partners) {
+            let is_allowed = |b: u8| b.is_ascii_alphanumeric() || b == b'-' || b == b'_';
+            if name.is_empty() || !name.bytes().all(is_allowed) {
+                (self.report)(
                     at,
-                    format!("{what}.name: {name:?} has other signs than letters, digits, - and _"),
+                    format!("{section}.name: {name:?} may only contain letters, digits, - and _"),
                 );
             }
-            if !seen.insert((what, name)) {
-                (self.say)(at, format!("{what}.name: {name:?} stands twice"));
+            if !seen.insert((section, name)) {
+                (self.report)(at, format!("{section}.name: {name:?} is used twice"));
             }
         }
     }
 
-    fn class(&mut self, at: usize, c: &Class) {
-        if !["idempotent", "deduplicated", "at_most_once"].contains(&c.effect.as_str()) {
+    fn check_class(&mut self, at: usize, class: &Class) {
+        if !["idempotent", "deduplicated", "at_most_once"].contains(&class.effect.as_str()) {
             let known = "idempotent, deduplicated or at_most_once";
-            (self.say)(at, format!("class.effect: {:?} is not {known}", c.effect));
+            (self.report)(at, format!("class.effect: {:?} is not {known}", class.effect));
         }
-        self.within(at, "class.wanted_s", c.wanted_s, 0.001, 86_400.0);
-        self.within(at, "class.deadline_s", c.deadline_s, c.wanted_s, 86_400.0);
-        self.within(at, "class.worth", c.worth, 0.0, 1e9);
-        self.within(at, "class.late_share", c.late_share, 0.0, 1.0);
-        self.within(at, "class.memory_s", c.memory_s, 0.0, 1e6);
+        self.check_range(at, "class.wanted_s", class.wanted_s, 0.001, 86_400.0);
+        self.check_range(at, "class.deadline_s", class.deadline_s, class.wanted_s, 86_400.0);
+        self.check_range(at, "class.worth", class.worth, 0.0, 1e9);
+        self.check_range(at, "class.late_share", class.late_share, 0.0, 1.0);
+        self.check_range(at, "class.memory_s", class.memory_s, 0.0, 1e6);
     }
 
-    fn partner(&mut self, at: usize, key: &str, name: &str, destination: Option<usize>) {
-        let found = self.s.partner.iter().map(|p| p.get_ref()).find(|p| p.name == name);
-        let Some(p) = found else {
-            return (self.say)(at, format!("{key}.partner: no partner is called {name:?}"));
+    fn check_partner(&mut self, at: usize, key: &str, name: &str, destination: Option<usize>) {
+        let found = self
+            .scenario
+            .partner
+            .iter()
+            .map(|partner| partner.get_ref())
+            .find(|partner| partner.name == name);
+        let Some(partner) = found else {
+            return (self.report)(at, format!("{key}.partner: there is no partner {name:?}"));
         };
-        if let Some(d) = destination.filter(|d| *d >= p.destinations) {
-            (self.say)(at, format!("{key}.destination: {name} has no destination {d}, counted from 0"));
+        if let Some(number) = destination.filter(|number| *number >= partner.destinations) {
+            (self.report)(
+                at,
+                format!("{key}.destination: {name} has no destination {number} (counted from 0)"),
+            );
         }
     }
 
-    fn traffic(&mut self, at: usize, t: &Traffic) {
-        let s = self.s;
-        if s.class.iter().all(|c| c.get_ref().name != t.class) {
-            (self.say)(at, format!("traffic.class: no class is called {:?}", t.class));
+    fn check_traffic(&mut self, at: usize, traffic: &Traffic) {
+        let scenario = self.scenario;
+        if scenario.class.iter().all(|c| c.get_ref().name != traffic.class) {
+            (self.report)(at, format!("traffic.class: there is no class {:?}", traffic.class));
         }
-        if let Some(name) = &t.tenant
-            && s.tenant.iter().all(|x| x.get_ref().name != *name)
+        if let Some(name) = &traffic.tenant
+            && scenario.tenant.iter().all(|x| x.get_ref().name != *name)
         {
-            (self.say)(at, format!("traffic.tenant: no tenant is called {name:?}"));
+            (self.report)(at, format!("traffic.tenant: there is no tenant {name:?}"));
         }
-        match &t.partner {
-            Some(name) => self.partner(at, "traffic", name, t.destination),
-            None if t.destination.is_some() => {
-                (self.say)(at, "traffic.destination: needs traffic.partner".into());
+        match &traffic.partner {
+            Some(name) => self.check_partner(at, "traffic", name, traffic.destination),
+            None if traffic.destination.is_some() => {
+                (self.report)(at, "traffic.destination: requires traffic.partner".into());
             }
             None => {}
         }
-        if t.rate_per_s.is_some() == t.count.is_some() {
-            (self.say)(at, "traffic: one of rate_per_s and count is to be given".into());
+        if traffic.rate_per_s.is_some() == traffic.count.is_some() {
+            (self.report)(at, "traffic: one of rate_per_s and count is required".into());
         }
-        self.within(at, "traffic.rate_per_s", t.rate_per_s.unwrap_or(1.0), 0.001, 1e6);
-        self.within(at, "traffic.count", t.count.unwrap_or(1).into(), 1.0, 1e6);
-        self.within(at, "traffic.from_s", t.from_s, 0.0, s.duration_s);
-        self.within(at, "traffic.to_s", t.to_s.unwrap_or(s.duration_s), t.from_s, s.duration_s);
-        self.within(at, "traffic.body", t.body as f64, 0.0, BODY as f64);
+        self.check_range(at, "traffic.rate_per_s", traffic.rate_per_s.unwrap_or(1.0), 0.001, 1e6);
+        self.check_range(at, "traffic.count", traffic.count.unwrap_or(1).into(), 1.0, 1e6);
+        self.check_range(at, "traffic.from_s", traffic.from_s, 0.0, scenario.duration_s);
+        self.check_range(
+            at,
+            "traffic.to_s",
+            traffic.to_s.unwrap_or(scenario.duration_s),
+            traffic.from_s,
+            scenario.duration_s,
+        );
+        self.check_range(at, "traffic.body", traffic.body as f64, 0.0, MAX_BODY_BYTES as f64);
     }
 
-    fn event(&mut self, at: usize, e: &Event) {
-        let s = self.s;
-        self.within(at, "event.at_s", e.at_s, 0.0, s.duration_s);
-        self.within(at, "event.for_s", e.for_s.unwrap_or(1.0), 0.0, 86_400.0);
-        let of_endpoints = matches!(
-            e.what,
-            Do::Silent | Do::Die | Do::Pause | Do::Slow | Do::Faults | Do::Drain | Do::Replace
+    fn check_event(&mut self, at: usize, event: &Event) {
+        let scenario = self.scenario;
+        self.check_range(at, "event.at_s", event.at_s, 0.0, scenario.duration_s);
+        self.check_range(at, "event.for_s", event.for_s.unwrap_or(1.0), 0.0, 86_400.0);
+        let is_endpoint_event = matches!(
+            event.kind,
+            EventKind::Silent
+                | EventKind::Die
+                | EventKind::Pause
+                | EventKind::Slow
+                | EventKind::Faults
+                | EventKind::Drain
+                | EventKind::Replace
         );
-        let of_two = matches!(e.what, Do::Part | Do::SlowLink);
-        let of_sender =
-            of_two || matches!(e.what, Do::Kill | Do::Restart | Do::Freeze | Do::DiskFull | Do::Lose);
-        let cut = e.what == Do::Cut;
-        let target = e.hall.is_some() || e.partner.is_some();
-        let needs_time =
-            of_endpoints || cut || of_two || matches!(e.what, Do::Freeze | Do::DiskFull | Do::Discovery);
-        let broken = e.mode == Some(Mode::Broken);
-        let mut say = |wrong: bool, what: &str| {
-            if wrong {
-                (self.say)(at, format!("event.{what}"));
+        let is_link_event = matches!(event.kind, EventKind::Part | EventKind::SlowLink);
+        let is_sender_event = is_link_event
+            || matches!(
+                event.kind,
+                EventKind::Kill
+                    | EventKind::Restart
+                    | EventKind::Freeze
+                    | EventKind::DiskFull
+                    | EventKind::Lose
+            );
+        let is_cut = event.kind == EventKind::Cut;
+        let has_target = event.zone.is_some() || event.partner.is_some();
+        let needs_duration = is_endpoint_event
+            || is_cut
+            || is_link_event
+            || matches!(event.kind, EventKind::Freeze | EventKind::DiskFull | EventKind::Discovery);
+        let is_broken = event.mode == Some(DiscoveryFailure::Broken);
+        let mut report = |is_error: bool, message: &str| {
+            if is_error {
+                (self.report)(at, format!("event.{message}"));
             }
         };
-        say((of_endpoints || cut) && !target && e.sender.is_none(), "hall or event.partner: is missing");
-        say(e.hall.is_some() && e.partner.is_some(), "hall: goes without event.partner");
-        say(target && !of_endpoints && !cut, "hall and event.partner: do not go with this");
-        say(e.sender.is_some() && !of_sender && !cut, "sender: does not go with this");
-        say(of_sender && e.sender.is_none(), "sender: is missing");
-        say(e.sender.is_some_and(|n| n >= s.senders.count), "sender: there are not so many, counted from 0");
-        say(e.other.is_some() != of_two, "other: belongs to \"part\" and \"slow_link\", which need it");
-        say(e.other.is_some_and(|n| n >= s.senders.count), "other: there are not so many, counted from 0");
-        say(of_two && e.other == e.sender, "other: is the sender itself");
-        say(e.one_way && e.what != Do::Part, "one_way: belongs to \"part\"");
-        say((e.destination.is_some() || e.endpoint.is_some()) && !target, "destination: needs a partner");
-        say(e.destination.is_some() && e.partner.is_none(), "destination: needs event.partner");
-        say(needs_time && !broken && e.for_s.is_none(), "for_s: is missing");
-        say(e.times.is_some() != (e.what == Do::Slow), "times: belongs to \"slow\", which needs it");
-        say(e.faults.is_some() != (e.what == Do::Faults), "faults: belongs to \"faults\", which needs it");
-        say(e.mode.is_some() != (e.what == Do::Discovery), "mode: belongs to \"discovery\", which needs it");
-        say(
-            e.late_ms.is_some() != (e.mode == Some(Mode::Late) || e.what == Do::SlowLink),
-            "late_ms: belongs to mode \"late\" and to \"slow_link\", which need it",
+        report(
+            (is_endpoint_event || is_cut) && !has_target && event.sender.is_none(),
+            "hall or event.partner: is missing",
+        );
+        report(
+            event.zone.is_some() && event.partner.is_some(),
+            "hall: cannot be combined with event.partner",
+        );
+        report(
+            has_target && !is_endpoint_event && !is_cut,
+            "hall and event.partner: do not apply to this kind of event",
+        );
+        report(
+            event.sender.is_some() && !is_sender_event && !is_cut,
+            "sender: does not apply to this kind of event",
+        );
+        report(is_sender_event && event.sender.is_none(), "sender: is missing");
+        report(
+            event.sender.is_some_and(|n| n >= scenario.senders.count),
+            "sender: there is no such sender (counted from 0)",
         );
-        let halls: BTreeSet<&str> = s.partner.iter().map(|p| p.get_ref().hall.as_str()).collect();
-        if let Some(hall) = e.hall.as_deref().filter(|h| !halls.contains(h)) {
-            (self.say)(at, format!("event.hall: no partner stands in {hall:?}"));
+        report(
+            event.other.is_some() != is_link_event,
+            "other: is required for \"part\" and \"slow_link\" only",
+        );
+        report(
+            event.other.is_some_and(|n| n >= scenario.senders.count),
+            "other: there is no such sender (counted from 0)",
+        );
+        report(is_link_event && event.other == event.sender, "other: must differ from event.sender");
+        report(event.one_way && event.kind != EventKind::Part, "one_way: applies to \"part\" only");
+        report(
+            (event.destination.is_some() || event.endpoint.is_some()) && !has_target,
+            "destination: event.destination and event.endpoint require a target",
+        );
+        report(event.destination.is_some() && event.partner.is_none(), "destination: requires event.partner");
+        report(needs_duration && !is_broken && event.for_s.is_none(), "for_s: is missing");
+        report(
+            event.times.is_some() != (event.kind == EventKind::Slow),
+            "times: is required for \"slow\" only",
+        );
+        report(
+            event.faults.is_some() != (event.kind == EventKind::Faults),
+            "faults: is required for \"faults\" only",
+        );
+        report(
+            event.mode.is_some() != (event.kind == EventKind::Discovery),
+            "mode: is required for \"discovery\" only",
+        );
+        report(
+            event.late_ms.is_some()
+                != (event.mode == Some(DiscoveryFailure::Late) || event.kind == EventKind::SlowLink),
+            "late_ms: is required for mode \"late\" and \"slow_link\" only",
+        );
+        let zones: BTreeSet<&str> = scenario.partner.iter().map(|p| p.get_ref().zone.as_str()).collect();
+        if let Some(zone) = event.zone.as_deref().filter(|name| !zones.contains(name)) {
+            (self.report)(at, format!("event.hall: no partner is in zone {zone:?}"));
         }
-        if let Some(name) = &e.partner {
-            self.partner(at, "event", name, e.destination);
+        if let Some(name) = &event.partner {
+            self.check_partner(at, "event", name, event.destination);
         }
-        if let Some(Err(why)) = e.faults.as_ref().map(Faults::check) {
-            (self.say)(at, format!("event.faults.{why}"));
+        if let Some(Err(why)) = event.faults.as_ref().map(Faults::check) {
+            (self.report)(at, format!("event.faults.{why}"));
         }
-        self.within(at, "event.times", e.times.unwrap_or(1.0), 0.001, 10_000.0);
-        self.within(at, "event.late_ms", e.late_ms.unwrap_or(0) as f64, 0.0, 60_000.0);
+        self.check_range(at, "event.times", event.times.unwrap_or(1.0), 0.001, 10_000.0);
+        self.check_range(at, "event.late_ms", event.late_ms.unwrap_or(0) as f64, 0.0, 60_000.0);
     }
 }
 
 impl Scenario {
-    /// All destinations in their order: the partner of each, and its number there.
+    /// Returns all destinations in order: the index of the partner and the number within it.
     pub fn destinations(&self) -> Vec<(usize, usize)> {
         let all = self.partner.iter().enumerate();
         all.flat_map(|(n, p)| (0..p.get_ref().destinations).map(move |d| (n, d))).collect()
     }
 
-    /// What it needs that only virtual time has.
-    pub fn only_virtual(&self) -> Vec<String> {
+    /// Returns the features of this scenario that only virtual time supports.
+    pub fn virtual_time_only(&self) -> Vec<String> {
         let events = self.event.iter().map(|e| e.get_ref());
-        let only = |e: &&Event| matches!(e.what, Do::Cut | Do::DiskFull | Do::Lose | Do::Part | Do::SlowLink);
-        let copies = (self.senders.copies > 0).then(|| "senders.copies is for virtual time only".to_owned());
+        let only = |e: &&Event| {
+            matches!(
+                e.kind,
+                EventKind::Cut
+                    | EventKind::DiskFull
+                    | EventKind::Lose
+                    | EventKind::Part
+                    | EventKind::SlowLink
+            )
+        };
+        let copies =
+            (self.senders.copies > 0).then(|| "senders.copies is supported in virtual time only".to_owned());
         let events = events
             .filter(only)
-            .map(|e| format!("event at {} s: {:?} is for virtual time only", e.at_s, e.what));
+            .map(|e| format!("event at {} s: {:?} is supported in virtual time only", e.at_s, e.kind));
         events.chain(copies).collect()
     }
 
-    /// The halls, in the order in which they are named first.
-    pub fn halls(&self) -> Vec<String> {
-        let mut halls: Vec<String> = Vec::new();
-        for hall in self.partner.iter().flat_map(|p| p.get_ref().halls()) {
-            if !halls.contains(hall) {
-                halls.push(hall.clone());
+    /// Returns the zones in the order of their first occurrence.
+    pub fn zones(&self) -> Vec<String> {
+        let mut zones: Vec<String> = Vec::new();
+        for zone in self.partner.iter().flat_map(|p| p.get_ref().zones()) {
+            if !zones.contains(zone) {
+                zones.push(zone.clone());
             }
         }
-        halls
+        zones
     }
 
-    /// The destinations (over all, from 0) that a partner's name and number stand for.
+    /// Returns the indexes (over all partners, from 0) of the destinations that match the given filters.
     pub fn select(
         &self,
-        hall: Option<&str>,
+        zone: Option<&str>,
         partner: Option<&str>,
         destination: Option<usize>,
     ) -> Vec<usize> {
-        let fits = |(n, d): (usize, usize)| {
+        let matches = |(n, d): (usize, usize)| {
             let p = self.partner[n].get_ref();
-            hall.is_none_or(|h| p.halls().any(|its| its == h))
+            zone.is_none_or(|h| p.zones().any(|zone_name| zone_name == h))
                 && partner.is_none_or(|name| p.name == name)
                 && destination.is_none_or(|x| x == d)
         };
-        self.destinations().into_iter().enumerate().filter(|(_, d)| fits(*d)).map(|(n, _)| n).collect()
+        self.destinations().into_iter().enumerate().filter(|(_, d)| matches(*d)).map(|(n, _)| n).collect()
     }
 }
 
@@ -736,20 +830,20 @@
 mod tests {
     use super::*;
 
-    const SOUND: &str = "name = \"x\"\nduration_s = 10.0\n[[class]]\nname = \"update\"\n\
+    const VALID: &str = "name = \"x\"\nduration_s = 10.0\n[[class]]\nname = \"update\"\n\
         effect = \"idempotent\"\n\
         wanted_s = 1.0\ndeadline_s = 6.0\n[[partner]]\nname = \"shop\"\nhall = \"north\"\ndestinations = 2\n\
         [[traffic]]\nclass = \"update\"\nrate_per_s = 5.0\n[[event]]\nat_s = 2.0\ndo = \"silent\"\n\
         hall = \"north\"\nfor_s = 2.0\n";
 
-    fn of(text: &str) -> Result<Scenario, Wrong> {
+    fn parse_text(text: &str) -> Result<Scenario, ScenarioError> {
         parse(text, "x.toml", PathBuf::new())
     }
 
     #[test]
-    fn every_mistake_is_said_with_key_and_line() {
-        assert!(of(SOUND).is_ok(), "{:?}", of(SOUND).err());
-        for (from, to, said) in [
+    fn every_error_names_its_key_and_line() {
+        assert!(parse_text(VALID).is_ok(), "{:?}", parse_text(VALID).err());
+        for (from, to, expected) in [
             ("destinations = 2", "destination = 2", "x.toml:11: unknown field `destination`"),
             ("duration_s = 10.0", "duration_s = \"x\"", "x.toml:2: invalid type"),
             ("effect = \"idempotent\"", "effect = \"odd\"", "x.toml:3: class.effect"),
@@ -763,25 +857,25 @@
             ("rate_per_s = 5.0", "", "x.toml:12: traffic: one of"),
             ("hall = \"north\"\nd", "hall = \"north\"\nis = { slots = 0 }\nd", "partner.is.slots"),
         ] {
-            let text = SOUND.replacen(from, to, 1);
-            let wrong = of(&text).err().unwrap_or_else(|| panic!("{to} passes")).to_string();
-            assert!(wrong.contains(said), "{to}: {wrong}");
+            let text = VALID.replacen(from, to, 1);
+            let errors = parse_text(&text).err().unwrap_or_else(|| panic!("{to} is accepted")).to_string();
+            assert!(errors.contains(expected), "{to}: {errors}");
         }
-        // All at once.
-        let text = SOUND.replace("at_s = 2.0", "at_s = 11.0").replace("rate_per_s = 5.0", "");
-        assert_eq!(of(&text).expect_err("two mistakes").0.len(), 2);
+        // All errors are reported at once.
+        let text = VALID.replace("at_s = 2.0", "at_s = 11.0").replace("rate_per_s = 5.0", "");
+        assert_eq!(parse_text(&text).expect_err("two mistakes").0.len(), 2);
     }
 
     #[test]
-    fn a_trace_is_read_and_its_mistakes_are_said() {
+    fn trace_is_read_and_its_errors_are_reported() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("t.csv");
-        let text = format!("{SOUND}[replay]\nfile = \"t.csv\"\n");
+        let text = format!("{VALID}[replay]\nfile = \"t.csv\"\n");
         std::fs::write(&path, "# x\n2.5,update,,1,300\n0.5,update,,0,0\n").expect("written");
-        let s = parse(&text, "x.toml", folder.path().to_owned()).expect("sound");
+        let s = parse(&text, "x.toml", folder.path().to_owned()).expect("valid scenario");
         let found: Vec<_> = s.trace.iter().map(|t| (t.at_s, t.destination, t.body)).collect();
         assert_eq!(found, [(0.5, 0, 0), (2.5, 1, 300)]);
-        for (line, said) in [
+        for (line, expected) in [
             ("1,update,,2,0", "destination"),
             ("1,odd,,0,0", "class"),
             ("11,update,,0,0", "seconds"),
@@ -789,8 +883,8 @@
             ("1,update", "a line has"),
         ] {
             std::fs::write(&path, line).expect("written");
-            let wrong = parse(&text, "x.toml", folder.path().to_owned()).expect_err(line).to_string();
-            assert!(wrong.contains("t.csv:1") && wrong.contains(said), "{line}: {wrong}");
+            let errors = parse(&text, "x.toml", folder.path().to_owned()).expect_err(line).to_string();
+            assert!(errors.contains("t.csv:1") && errors.contains(expected), "{line}: {errors}");
         }
     }
 }
--- a/crates/rehearsal/src/score.rs
+++ b/crates/rehearsal/src/score.rs
@@ -1,112 +1,115 @@
-//! Worth delivered over worth asked.
+//! Scores a run by the worth delivered relative to the worth requested.
 
-use crate::run::Outcome;
+use crate::run::RunResult;
 use notchpoint_emulator::Micros;
 use serde::Serialize;
 use std::collections::BTreeMap;
 
-/// The width of the windows of which the worst is told, and their step.
-const WINDOW: usize = 10;
-/// A window in which less than this share of a usual one's worth was asked tells nothing.
-const ENOUGH: f64 = 0.2;
+/// Width, in seconds, of the sliding windows of which the worst is reported.
+const WORST_WINDOW_S: usize = 10;
+/// Windows in which less than this share of the average worth was requested are ignored.
+const MIN_WINDOW_WORTH: f64 = 0.2;
 
-/// How a run went.
+/// The score of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Score {
-    /// Worth delivered over worth asked; 0 if a rule was broken.
+    /// Worth delivered relative to worth requested; 0 if a rule was broken.
     pub score: f64,
-    /// The same, whatever the rules say.
+    /// The same ratio regardless of broken rules.
     pub kept: f64,
-    /// By class.
+    /// The ratio by class.
     pub classes: BTreeMap<String, f64>,
-    /// By tenant.
+    /// The ratio by tenant.
     pub tenants: BTreeMap<String, f64>,
-    /// By partner.
+    /// The ratio by partner.
     pub partners: BTreeMap<String, f64>,
-    /// Of the ten seconds that went worst: when they begin, and their share.
+    /// The ten seconds with the lowest ratio: start time and ratio.
     pub worst: (f64, f64),
-    /// Orders, those delivered in time, hand-ins, calls, refused calls.
+    /// Counts of orders, messages and calls.
     pub counts: Counts,
-    /// By second: worth asked, and what of it was delivered (at any time).
+    /// By second: worth requested, and how much of it was delivered (at any time).
     #[serde(skip)]
     pub seconds: Vec<(f64, f64)>,
 }
 
-/// What happened how often.
+/// Counts of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Things that clients asked for.
+    /// Orders that clients created.
     pub orders: usize,
-    /// Of them, delivered in time.
+    /// Orders delivered before their deadline.
     pub delivered: usize,
-    /// Times that one was handed in.
+    /// Submissions of orders.
     pub handed: usize,
-    /// Of those, taken on.
+    /// Submissions that were accepted.
     pub taken: usize,
-    /// Notices that a message ended without having been delivered.
+    /// Messages for which a notice of failure was received.
     pub notices: usize,
-    /// Calls that partners got.
+    /// Calls that partners received.
     pub calls: usize,
-    /// Of them, turned away.
+    /// Calls that partners refused.
     pub refused: usize,
-    /// Things that took effect.
+    /// Deliveries that took effect.
     pub effects: usize,
 }
 
-/// What an order is worth if it is delivered so long after it was asked for.
-fn worth(o: &Outcome, class: usize, after: Option<Micros>) -> f64 {
-    let c = o.scenario.class[class].get_ref();
-    let Some(after) = after.map(|t| t as f64 / 1e6).filter(|t| *t <= c.deadline_s) else { return 0.0 };
-    if after <= c.wanted_s {
-        return c.worth;
+/// Returns the worth of an order that is delivered `after` this time; 0 if it is not delivered.
+fn worth(result: &RunResult, class: usize, after: Option<Micros>) -> f64 {
+    let class_spec = result.scenario.class[class].get_ref();
+    let Some(after) = after.map(|t| t as f64 / 1e6).filter(|t| *t <= class_spec.deadline_s) else {
+        return 0.0;
+    };
+    if after <= class_spec.wanted_s {
+        return class_spec.worth;
     }
-    let share = if o.scenario.senders.fades == "even" {
-        let span = (c.deadline_s - c.wanted_s).max(1e-9);
-        1.0 - (1.0 - c.late_share) * (after - c.wanted_s) / span
+    let share = if result.scenario.senders.fades == "even" {
+        let span = (class_spec.deadline_s - class_spec.wanted_s).max(1e-9);
+        1.0 - (1.0 - class_spec.late_share) * (after - class_spec.wanted_s) / span
     } else {
-        0.5f64.powf((after - c.wanted_s) / c.wanted_s)
+        0.5f64.powf((after - class_spec.wanted_s) / class_spec.wanted_s)
     };
-    c.worth * share.max(c.late_share)
+    class_spec.worth * share.max(class_spec.late_share)
 }
 
-/// Scores a run in which so many rules were broken.
-pub fn score(o: &Outcome, breaches: usize) -> Score {
-    let s = &o.scenario;
-    let seconds = (s.duration_s.ceil() as usize).max(1);
+/// Scores a run with the given number of breaches.
+pub fn score(result: &RunResult, breaches: usize) -> Score {
+    let scenario = &result.scenario;
+    let seconds = (scenario.duration_s.ceil() as usize).max(1);
     let mut by_second = vec![(0.0, 0.0); seconds];
     let (mut classes, mut tenants, mut partners): (BTreeMap<_, (f64, f64)>, BTreeMap<_, _>, BTreeMap<_, _>) =
         Default::default();
     let mut counts = Counts::default();
-    let destinations = s.destinations();
-    for order in o.book.orders.borrow().iter() {
-        let share = if order.over_share { s.senders.over_share_worth } else { 1.0 };
-        let asked = s.class[order.class].get_ref().worth * share;
-        let after = order.delivered.map(|t| t.saturating_sub(order.asked));
-        let got = worth(o, order.class, after) * share;
-        let second = ((order.asked / 1_000_000) as usize).min(seconds - 1);
-        let tenant = s.tenant.get(order.tenant).map_or("-", |t| t.get_ref().name.as_str());
-        let partner = &s.partner[destinations[order.destination].0].get_ref().name;
+    let destinations = scenario.destinations();
+    for order in result.observations.orders.borrow().iter() {
+        let share = if order.over_share { scenario.senders.over_share_worth } else { 1.0 };
+        let asked = scenario.class[order.class].get_ref().worth * share;
+        let after = order.delivered.map(|t| t.saturating_sub(order.requested_at));
+        let got = worth(result, order.class, after) * share;
+        let second = ((order.requested_at / 1_000_000) as usize).min(seconds - 1);
+        let tenant = scenario.tenant.get(order.tenant).map_or("-", |t| t.get_ref().name.as_str());
+        let partner = &scenario.partner[destinations[order.destination].0].get_ref().name;
         let add = |sum: &mut (f64, f64)| *sum = (sum.0 + asked, sum.1 + got);
         add(&mut by_second[second]);
-        add(classes.entry(s.class[order.class].get_ref().name.clone()).or_default());
+        add(classes.entry(scenario.class[order.class].get_ref().name.clone()).or_default());
         add(tenants.entry(tenant.to_owned()).or_default());
         add(partners.entry(partner.clone()).or_default());
         counts.orders += 1;
         counts.delivered += usize::from(got > 0.0);
-        counts.handed += order.handed as usize;
+        counts.handed += order.submissions as usize;
     }
-    for m in o.book.messages.borrow().values() {
-        counts.taken += usize::from(m.answered.is_some_and(|a| matches!(a.1, 200 | 202)));
-        counts.notices += usize::from(!m.notices.is_empty());
+    for message in result.observations.messages.borrow().values() {
+        counts.taken += usize::from(message.answered.is_some_and(|a| matches!(a.1, 200 | 202)));
+        counts.notices += usize::from(!message.notices.is_empty());
     }
-    for l in &o.ledgers {
-        counts.calls += l.calls.len();
-        counts.refused += l.calls.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
-        counts.effects += l.effects.iter().filter(|e| !e.is_duplicate).count();
+    for ledger in &result.ledgers {
+        counts.calls += ledger.calls.len();
+        counts.refused += ledger.calls.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
+        counts.effects += ledger.effects.iter().filter(|e| !e.is_duplicate).count();
     }
     let all = sum(&by_second);
     let kept = share(all);
-    let shares = |m: BTreeMap<String, (f64, f64)>| m.into_iter().map(|(k, v)| (k, share(v))).collect();
+    let shares =
+        |message: BTreeMap<String, (f64, f64)>| message.into_iter().map(|(k, v)| (k, share(v))).collect();
     Score {
         score: if breaches == 0 { kept } else { 0.0 },
         kept,
@@ -128,9 +131,9 @@
 }
 
 fn worst(seconds: &[(f64, f64)]) -> (f64, f64) {
-    let usual = sum(seconds).0 / seconds.len() as f64 * WINDOW.min(seconds.len()) as f64;
-    let windows = seconds.windows(WINDOW.min(seconds.len())).map(sum).enumerate();
-    let told = windows.filter(|(_, w)| w.0 >= usual * ENOUGH);
-    let worst = told.map(|(n, w)| (n as f64, share(w))).min_by(|a, b| a.1.total_cmp(&b.1));
+    let usual = sum(seconds).0 / seconds.len() as f64 * WORST_WINDOW_S.min(seconds.len()) as f64;
+    let windows = seconds.windows(WORST_WINDOW_S.min(seconds.len())).map(sum).enumerate();
+    let eligible = windows.filter(|(_, w)| w.0 >= usual * MIN_WINDOW_WORTH);
+    let worst = eligible.map(|(n, w)| (n as f64, share(w))).min_by(|a, b| a.1.total_cmp(&b.1));
     worst.unwrap_or((0.0, 1.0))
 }
--- a/crates/rehearsal/src/virt/mod.rs
+++ b/crates/rehearsal/src/virt/mod.rs
@@ -1,10 +1,10 @@
-//! A world in memory, in virtual time: the daemon's own code, many senders in one thread, and nothing that is
-//! not a function of scenario and seed.
+//! An environment in memory and in virtual time. It runs the daemon's own code, with many senders in one
+//! thread, and everything in it is a function of scenario and seed.
 
 pub mod disk;
 pub mod net;
 
-use crate::hosts::{Around, Hosts, Options, Who};
+use crate::hosts::{EnvironmentWrapper, Hosts, Options, Role};
 use crate::scenario::Scenario;
 use disk::Store;
 use net::{Host, Net};
@@ -28,27 +28,30 @@
 use tokio::task::{AbortHandle, LocalSet};
 use tokio::time::Instant;
 
-/// The wall clock of a world begins here, in Unix microseconds: 2026-03-01, as good as any day.
+/// Start of the wall clock in Unix microseconds: 2026-03-01. The choice of the day is arbitrary.
 pub const EPOCH: u64 = 1_772_323_200_000_000;
-/// A process that is polled so often in one instant does not wait for anything any more: it hangs.
-const SPINS: u32 = 20_000;
-/// What one sender's flight recorder may take: a rehearsal of minutes fits.
+/// Number of polls in one instant of virtual time after which a process counts as hanging: it no longer
+/// waits for anything.
+const MAX_POLLS_PER_INSTANT: u32 = 20_000;
+/// Size limit of one sender's flight recording; enough for a run of several minutes.
 const RECORDING_MB: f64 = 256.0;
-/// Signals that wait to be heeded.
-const SIGNALS: usize = 8;
+/// Maximum number of signals that wait to be handled.
+const SIGNAL_QUEUE_LENGTH: usize = 8;
 
-/// The world.
+/// The environment in memory.
 pub struct Virtual {
     net: Rc<Net>,
     clock: Rc<VirtualClock>,
-    around: Option<Around>,
+    environment_wrapper: Option<EnvironmentWrapper>,
     senders: RefCell<Vec<Machine>>,
-    beats: Arc<AtomicU64>,
-    /// Where each sender's flight recorder writes, if it does.
+    heartbeat: Arc<AtomicU64>,
+    /// Folder in which the senders' flight recorders write, if enabled.
     record: Option<PathBuf>,
-    /// Copies of each message, and where each sender stands.
+    /// Number of replicas of each message.
     copies: usize,
-    leave: bool,
+    /// Whether senders evacuate failing zones.
+    zones_enabled: bool,
+    /// All zones of the scenario; senders are assigned to them round-robin.
     zones: Vec<String>,
 }
 
@@ -59,17 +62,17 @@
 }
 
 struct Process {
-    frozen: Rc<Frozen>,
+    frozen: Rc<FreezeState>,
     host: Rc<Host>,
     signals: Sender<Signal>,
     task: AbortHandle,
     ended: Rc<RefCell<Option<String>>>,
 }
 
-/// Whether a process is stopped, and who goes on with it.
+/// Whether a process is stopped, and the waker that resumes it.
 #[derive(Default)]
-struct Frozen {
-    is: Cell<bool>,
+struct FreezeState {
+    is_frozen: Cell<bool>,
     waker: RefCell<Option<Waker>>,
 }
 
@@ -90,41 +93,44 @@
 }
 
 impl Virtual {
-    /// A world for the senders of a scenario. `beats` is raised whenever one has been run, for a watchdog
-    /// outside.
-    pub fn new(s: &Scenario, seed: u64, options: &Options, beats: Arc<AtomicU64>) -> Rc<Self> {
-        let disk = (s.senders.disk_mb * 1e6) as u64;
+    /// Creates an environment for the senders of a scenario. `heartbeat` is incremented whenever a sender
+    /// has been polled; a watchdog outside observes it.
+    pub fn new(scenario: &Scenario, seed: u64, options: &Options, heartbeat: Arc<AtomicU64>) -> Rc<Self> {
+        let disk = (scenario.senders.disk_mb * 1e6) as u64;
         let machine = |_| Machine { store: Store::new(disk), config: Rc::default(), process: None };
-        let net = Net::new(Duration::from_millis(s.network.latency_ms), seed);
-        net.set_notes(s.network.notes_lost, Duration::from_millis(s.network.notes_late_ms));
-        net.set_everybody(SocketAddr::from((EVERYBODY, PEERS)));
+        let net = Net::new(Duration::from_millis(scenario.network.latency_ms), seed);
+        net.set_datagram_faults(
+            scenario.network.notes_lost,
+            Duration::from_millis(scenario.network.notes_late_ms),
+        );
+        net.set_broadcast_addr(SocketAddr::from((BROADCAST_ADDR, NOTE_PORT)));
         Rc::new(Self {
             net,
             clock: Rc::new(VirtualClock(Instant::now())),
-            around: options.around.clone(),
-            senders: RefCell::new((0..s.senders.count).map(machine).collect()),
-            beats,
+            environment_wrapper: options.environment_wrapper.clone(),
+            senders: RefCell::new((0..scenario.senders.count).map(machine).collect()),
+            heartbeat,
             record: options.record.clone(),
-            copies: s.senders.copies,
-            leave: s.senders.zones,
-            zones: s.halls(),
+            copies: scenario.senders.copies,
+            zones_enabled: scenario.senders.zones,
+            zones: scenario.zones(),
         })
     }
 
-    /// The network, for what a scenario does to it.
+    /// Returns the network, to which a scenario's faults are applied.
     pub fn net(&self) -> &Rc<Net> {
         &self.net
     }
 
-    /// What the operator's file says of zones.
-    fn leaving(&self) -> ZoneSettings {
-        ZoneSettings { watch: self.leave, leave: self.leave, ..ZoneSettings::default() }
+    /// Returns the zone settings of the operator's file.
+    fn zone_settings(&self) -> ZoneSettings {
+        ZoneSettings { watch: self.zones_enabled, leave: self.zones_enabled, ..ZoneSettings::default() }
     }
 
-    /// What the operator's file says of copies.
-    fn copies(&self, sender: usize) -> Option<CopiesSettings> {
+    /// Returns the replication settings of a sender's operator file, if replication is enabled.
+    fn copies_settings(&self, sender: usize) -> Option<CopiesSettings> {
         let senders = self.senders.borrow().len();
-        let at = |n| SocketAddr::from((ip(0, n), COPIES));
+        let at = |n| SocketAddr::from((ip(0, n), REPLICATION_PORT));
         let zone = |n: usize| self.zones.get(n % self.zones.len().max(1)).cloned();
         let others = (0..senders).filter(|&n| n != sender);
         let others = others.map(|n| PeerSettings { name: format!("n{n}"), address: at(n), zone: zone(n) });
@@ -140,47 +146,50 @@
         })
     }
 
-    /// A sender's machine is gone; an empty one is in its place.
-    pub fn lose(&self, sender: usize) {
+    /// Replaces a sender's machine by one with an empty state folder.
+    pub fn replace_machine(&self, sender: usize) {
         let store = &mut self.senders.borrow_mut()[sender].store;
         *store = Store::new(store.limit);
     }
 
-    /// A sender's lasting folder.
+    /// Returns a sender's state folder.
     pub fn store(&self, sender: usize) -> Rc<Store> {
         self.senders.borrow()[sender].store.clone()
     }
 }
 
-const EVERYBODY: Ipv4Addr = Ipv4Addr::new(10, 3, 255, 1);
-const PEERS: u16 = 7_946;
-/// Where senders listen to one another.
-const COPIES: u16 = 7_950;
-const PLATFORM: Ipv4Addr = Ipv4Addr::new(10, 2, 0, 1);
+/// Notes to this address reach all other senders.
+const BROADCAST_ADDR: Ipv4Addr = Ipv4Addr::new(10, 3, 255, 1);
+/// Port on which senders receive notes.
+const NOTE_PORT: u16 = 7_946;
+/// Port on which senders listen for replication.
+const REPLICATION_PORT: u16 = 7_950;
+/// Address of the emulated platform.
+const PLATFORM_ADDR: Ipv4Addr = Ipv4Addr::new(10, 2, 0, 1);
 
-/// The n-th machine of a net of 62,500.
+/// Returns the address of the n-th machine of a network of 62,500 machines.
 fn ip(net: u8, n: usize) -> Ipv4Addr {
     Ipv4Addr::new(10, net, (n / 250) as u8, (n % 250) as u8 + 1)
 }
 
 impl Hosts for Virtual {
-    fn address(&self, who: Who) -> SocketAddr {
-        match who {
-            Who::Sender(n) => SocketAddr::from((ip(0, n), 8_081)),
-            Who::Endpoint(n) => SocketAddr::from((ip(1, n), 8_081)),
-            Who::Platform(n) => SocketAddr::from((PLATFORM, 10_000 + n as u16)),
-            Who::Clients => SocketAddr::from((ip(9, 0), 0)),
+    fn address(&self, role: Role) -> SocketAddr {
+        match role {
+            Role::Sender(n) => SocketAddr::from((ip(0, n), 8_081)),
+            Role::Endpoint(n) => SocketAddr::from((ip(1, n), 8_081)),
+            Role::Platform(n) => SocketAddr::from((PLATFORM_ADDR, 10_000 + n as u16)),
+            Role::Clients => SocketAddr::from((ip(9, 0), 0)),
         }
     }
 
-    fn network(&self, who: Who) -> Rc<dyn Network> {
-        self.net.host(self.address(who).ip())
+    fn network(&self, role: Role) -> Rc<dyn Network> {
+        self.net.host(self.address(role).ip())
     }
 
     fn peers(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
-        let at = |n| SocketAddr::from((ip(3, n), PEERS));
+        let at = |n| SocketAddr::from((ip(3, n), NOTE_PORT));
         let all = (0..self.senders.borrow().len()).map(at).collect();
-        Some((at(sender), all, SocketAddr::from((EVERYBODY, PEERS))))
+        Some((at(sender), all, SocketAddr::from((BROADCAST_ADDR, NOTE_PORT))))
     }
 
     fn configure(&self, sender: usize, text: String) {
@@ -188,39 +197,41 @@
     }
 
     fn start(&self, sender: usize) -> Result<(), String> {
-        let copies = self.copies(sender);
+        let copies = self.copies_settings(sender);
         let mut senders = self.senders.borrow_mut();
         let machine = &mut senders[sender];
         let host = self.net.host(IpAddr::V4(ip(0, sender)));
-        let frozen = Rc::<Frozen>::default();
-        let (signals, told) = channel(SIGNALS);
+        let frozen = Rc::<FreezeState>::default();
+        let (signals, signal_receiver) = channel(SIGNAL_QUEUE_LENGTH);
         let config = machine.config.clone();
-        let world = Environment {
+        let environment = Environment {
             net: host.clone(),
             clock: self.clock.clone(),
             disk: machine.store.handle(host.dead()),
-            signals: told,
+            signals: signal_receiver,
             config: Box::new(move || Ok(config.borrow().clone())),
             admin_addr: None,
             client_listener: None,
         };
-        let world = match &self.around {
-            Some(around) => around(sender, world),
-            None => world,
+        let environment = match &self.environment_wrapper {
+            Some(environment_wrapper) => environment_wrapper(sender, environment),
+            None => environment,
         };
         let ended = Rc::new(RefCell::new(None));
         let local = LocalSet::new();
-        let mut operator = OperatorSettings { copies, zones: self.leaving(), ..OperatorSettings::default() };
+        let mut operator =
+            OperatorSettings { copies, zones: self.zone_settings(), ..OperatorSettings::default() };
         if let Some(folder) = &self.record {
             let folder = Some(folder.join(format!("n{sender}")));
             operator.recorder = RecorderSettings { store: Recording::Folder, folder, limit_mb: RECORDING_MB };
         }
-        let main = local.spawn_local(notchpoint::sender::run(world, operator));
-        let tell = ended.clone();
-        let (at, spins, beats) = (Instant::now(), 0, self.beats.clone());
-        let process = Running { local, at, spins, beats, frozen: frozen.clone() };
+        let main = local.spawn_local(notchpoint::sender::run(environment, operator));
+        let exit_reason = ended.clone();
+        let (last_polled, polls_in_instant, heartbeat) = (Instant::now(), 0, self.heartbeat.clone());
+        let process =
+            ProcessFuture { local, last_polled, polls_in_instant, heartbeat, frozen: frozen.clone() };
         let task = tokio::task::spawn_local(async move {
-            let why = tokio::select! {
+            let reason = tokio::select! {
                 biased;
                 () = process => "hangs: it runs on and on and waits for nothing".to_owned(),
                 end = main => match end {
@@ -229,69 +240,70 @@
                     Err(e) => format!("ended: {e}"),
                 },
             };
-            tell.borrow_mut().get_or_insert(why);
+            exit_reason.borrow_mut().get_or_insert(reason);
         });
         machine.process = Some(Process { frozen, host, signals, task: task.abort_handle(), ended });
         Ok(())
     }
 
     fn signal(&self, sender: usize, signal: Signal) {
-        if let Some(p) = &self.senders.borrow()[sender].process {
-            let _ = p.signals.try_send(signal);
+        if let Some(process) = &self.senders.borrow()[sender].process {
+            let _ = process.signals.try_send(signal);
         }
     }
 
     fn kill(&self, sender: usize) {
-        if let Some(p) = self.senders.borrow_mut()[sender].process.take() {
-            // Dead first: what its remains do when they are dropped must have no effect.
-            p.host.kill();
-            p.task.abort();
+        if let Some(process) = self.senders.borrow_mut()[sender].process.take() {
+            // The host is marked dead first, so that dropping the process has no effect on the network or
+            // the folder.
+            process.host.kill();
+            process.task.abort();
         }
     }
 
-    fn ended(&self, sender: usize) -> Option<String> {
+    fn exit_reason(&self, sender: usize) -> Option<String> {
         let senders = self.senders.borrow();
         let process = senders[sender].process.as_ref()?;
         process.ended.borrow().clone()
     }
 
-    fn freeze(&self, sender: usize, is: bool) {
-        if let Some(p) = &self.senders.borrow()[sender].process {
-            p.frozen.is.set(is);
-            if !is && let Some(waker) = p.frozen.waker.take() {
+    fn freeze(&self, sender: usize, frozen: bool) {
+        if let Some(process) = &self.senders.borrow()[sender].process {
+            process.frozen.is_frozen.set(frozen);
+            if !frozen && let Some(waker) = process.frozen.waker.take() {
                 waker.wake();
             }
         }
     }
 }
 
-/// A process that runs; ends only if it hangs.
-struct Running {
+/// A running process. The future completes only if the process hangs.
+struct ProcessFuture {
     local: LocalSet,
-    at: Instant,
-    spins: u32,
-    beats: Arc<AtomicU64>,
-    frozen: Rc<Frozen>,
+    last_polled: Instant,
+    polls_in_instant: u32,
+    heartbeat: Arc<AtomicU64>,
+    frozen: Rc<FreezeState>,
 }
 
-impl Future for Running {
+impl Future for ProcessFuture {
     type Output = ();
 
     fn poll(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<()> {
-        if self.frozen.is.get() {
+        if self.frozen.is_frozen.get() {
             *self.frozen.waker.borrow_mut() = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let now = Instant::now();
-        self.spins = if self.at == now { self.spins + 1 } else { 0 };
-        self.at = now;
-        if self.spins > SPINS {
+        self.polls_in_instant = if self.last_polled == now { self.polls_in_instant + 1 } else { 0 };
+        self.last_polled = now;
+        if self.polls_in_instant > MAX_POLLS_PER_INSTANT {
             return Poll::Ready(());
         }
         let done = Pin::new(&mut self.local).poll(cx);
-        self.beats.fetch_add(1, Ordering::Relaxed);
+        self.heartbeat.fetch_add(1, Ordering::Relaxed);
         match done {
-            // All tasks have ended; the main one tells why.
+            // All tasks have ended. The main task reports the reason.
             Poll::Ready(()) | Poll::Pending => Poll::Pending,
         }
     }
--- a/crates/rehearsal/src/virt/net.rs
+++ b/crates/rehearsal/src/virt/net.rs
@@ -1,10 +1,10 @@
-//! A network in memory. It behaves as the system's does where the sender can tell: what was handed over may
-//! arrive although its peer has gone, a full buffer takes nothing more, a machine that is cut off says
-//! nothing.
+//! A network in memory. It behaves like the system's network where a sender can observe it: written data may
+//! arrive although the peer has closed, a full buffer accepts no more data, and a machine that is cut off
+//! sends nothing.
 //!
-//! Nothing in it is random but what the seed says, and nothing has an order but that of events: it is used
-//! from one thread, on a runtime whose time is paused. Without latency a byte is there in the instant it is
-//! sent.
+//! It is deterministic: all random numbers come from the seed, and the order of events is fixed because it
+//! is used from one thread, on a runtime with paused time. Without latency, a byte arrives in the instant in
+//! which it is sent.
 
 use notchpoint_seam::net::ConnectFuture;
 use notchpoint_seam::{DatagramSocket, Listener, Network, Stream};
@@ -21,129 +21,133 @@
 use std::time::Duration;
 use tokio::time::{Instant, Sleep, sleep_until};
 
-/// Bytes on their way in one direction before a writer has to wait; a usual system's buffers hold about as
-/// much.
-const BUFFER: usize = 256 << 10;
-/// Connections that wait to be accepted; further ones are refused.
+/// Bytes in transit in one direction before a writer has to wait; similar to the socket buffers of common
+/// systems.
+const SEND_BUFFER_BYTES: usize = 256 << 10;
+/// Maximum number of connections that wait to be accepted; further ones are refused.
 const BACKLOG: usize = 1_024;
-/// Datagrams that wait to be read; further ones are lost.
-const MAILBOX: usize = 1_000;
+/// Maximum number of datagrams that wait to be read; further ones are lost.
+const MAX_QUEUED_DATAGRAMS: usize = 1_000;
 
-/// What passes between the machines of a world.
+/// The network between the machines of an environment.
 pub struct Net {
-    listeners: RefCell<BTreeMap<SocketAddr, Rc<Queue>>>,
+    listeners: RefCell<BTreeMap<SocketAddr, Rc<ListenQueue>>>,
     mailboxes: RefCell<BTreeMap<SocketAddr, Rc<Mailbox>>>,
-    /// Datagrams to this address reach all mailboxes but the sender's own.
-    everybody: Cell<Option<SocketAddr>>,
-    cut: RefCell<BTreeSet<IpAddr>>,
-    /// Ways between two machines, from one to the other, on which nothing passes.
-    parted: RefCell<BTreeSet<(IpAddr, IpAddr)>>,
-    /// And those on which it passes later than usual.
-    slow: RefCell<BTreeMap<(IpAddr, IpAddr), Duration>>,
-    /// Connections that may be open, for what happens to machines.
-    pairs: RefCell<Vec<Weak<Pair>>>,
+    /// Datagrams to this address reach all mailboxes except the sender's own.
+    broadcast_addr: Cell<Option<SocketAddr>>,
+    cut_hosts: RefCell<BTreeSet<IpAddr>>,
+    /// Blocked links, as pairs of source and destination.
+    blocked_links: RefCell<BTreeSet<(IpAddr, IpAddr)>>,
+    /// Additional delays of links, by source and destination.
+    link_delays: RefCell<BTreeMap<(IpAddr, IpAddr), Duration>>,
+    /// Connections that may be open. Faults of machines are applied to them.
+    connections: RefCell<Vec<Weak<Connection>>>,
     latency: Duration,
-    notes: RefCell<Notes>,
+    datagram_faults: RefCell<DatagramFaults>,
 }
 
-/// What becomes of datagrams.
-struct Notes {
+/// Random faults of datagrams.
+struct DatagramFaults {
     lost: f64,
-    late: Duration,
+    max_delay: Duration,
     random: Pcg64Mcg,
 }
 
 impl Net {
-    /// A network with this latency one way (whole milliseconds, the grain of the runtime's timers).
+    /// Creates a network with this one-way latency, in whole milliseconds (the resolution of the runtime's
+    /// timers).
     pub fn new(latency: Duration, seed: u64) -> Rc<Self> {
-        let notes = Notes { lost: 0.0, late: Duration::ZERO, random: Pcg64Mcg::seed_from_u64(seed) };
+        let datagram_faults =
+            DatagramFaults { lost: 0.0, max_delay: Duration::ZERO, random: Pcg64Mcg::seed_from_u64(seed) };
         Rc::new(Self {
             listeners: RefCell::default(),
             mailboxes: RefCell::default(),
-            everybody: Cell::new(None),
-            cut: RefCell::default(),
-            parted: RefCell::default(),
-            slow: RefCell::default(),
-            pairs: RefCell::default(),
+            broadcast_addr: Cell::new(None),
+            cut_hosts: RefCell::default(),
+            blocked_links: RefCell::default(),
+            link_delays: RefCell::default(),
+            connections: RefCell::default(),
             latency,
-            notes: RefCell::new(notes),
+            datagram_faults: RefCell::new(datagram_faults),
         })
     }
 
-    /// A process on a machine.
+    /// Creates the network of one process on a machine.
     pub fn host(self: &Rc<Self>, ip: IpAddr) -> Rc<Host> {
         Rc::new(Host { net: self.clone(), ip, dead: Rc::default() })
     }
 
-    /// Datagrams to this address reach everybody else.
-    pub fn set_everybody(&self, at: SocketAddr) {
-        self.everybody.set(Some(at));
+    /// Sets the broadcast address of datagrams.
+    pub fn set_broadcast_addr(&self, at: SocketAddr) {
+        self.broadcast_addr.set(Some(at));
     }
 
-    /// This share of datagrams is lost, and the rest is up to so late.
-    pub fn set_notes(&self, lost: f64, late: Duration) {
-        let mut notes = self.notes.borrow_mut();
-        (notes.lost, notes.late) = (lost, late);
+    /// Sets the share of datagrams that is lost and the maximum additional delay of the others.
+    pub fn set_datagram_faults(&self, lost: f64, max_delay: Duration) {
+        let mut datagram_faults = self.datagram_faults.borrow_mut();
+        (datagram_faults.lost, datagram_faults.max_delay) = (lost, max_delay);
     }
 
-    /// Cuts a machine off, without a word to anybody; or lets it back, which resets what was open.
+    /// Cuts a machine off without notifying its peers, or reconnects it, which resets its open connections.
     pub fn set_cut(&self, ip: IpAddr, cut: bool) {
         if cut {
-            self.cut.borrow_mut().insert(ip);
-        } else if self.cut.borrow_mut().remove(&ip) {
-            for pair in self.open(|p| p.ends.contains(&ip)) {
-                pair.reset();
+            self.cut_hosts.borrow_mut().insert(ip);
+        } else if self.cut_hosts.borrow_mut().remove(&ip) {
+            for connection in self.open_connections(|p| p.ends.contains(&ip)) {
+                connection.reset();
             }
         }
     }
 
-    /// Cuts the way from one machine to another, or opens it again, which resets what was open.
-    pub fn set_parted(&self, from: IpAddr, to: IpAddr, parted: bool) {
-        if parted {
-            self.parted.borrow_mut().insert((from, to));
-        } else if self.parted.borrow_mut().remove(&(from, to)) {
-            for pair in self.open(|p| p.ends == [from, to] || p.ends == [to, from]) {
-                pair.reset();
+    /// Blocks the link from one machine to another, or unblocks it, which resets the open connections
+    /// between them.
+    pub fn set_link_blocked(&self, from: IpAddr, to: IpAddr, blocked: bool) {
+        if blocked {
+            self.blocked_links.borrow_mut().insert((from, to));
+        } else if self.blocked_links.borrow_mut().remove(&(from, to)) {
+            for connection in self.open_connections(|p| p.ends == [from, to] || p.ends == [to, from]) {
+                connection.reset();
             }
         }
     }
 
-    /// What passes from one machine to another takes so much longer.
-    pub fn set_slow(&self, from: IpAddr, to: IpAddr, by: Duration) {
-        if by.is_zero() {
-            self.slow.borrow_mut().remove(&(from, to));
+    /// Sets the additional delay from one machine to another.
+    pub fn set_link_delay(&self, from: IpAddr, to: IpAddr, delay: Duration) {
+        if delay.is_zero() {
+            self.link_delays.borrow_mut().remove(&(from, to));
         } else {
-            self.slow.borrow_mut().insert((from, to), by);
+            self.link_delays.borrow_mut().insert((from, to), delay);
         }
     }
 
     fn latency(&self, from: IpAddr, to: IpAddr) -> Duration {
-        self.latency + self.slow.borrow().get(&(from, to)).copied().unwrap_or_default()
+        self.latency + self.link_delays.borrow().get(&(from, to)).copied().unwrap_or_default()
     }
 
-    /// Whether nothing passes from `a` to `b`.
-    fn is_cut(&self, a: IpAddr, b: IpAddr) -> bool {
-        let cut = self.cut.borrow();
-        !cut.is_empty() && (cut.contains(&a) || cut.contains(&b)) || self.parted.borrow().contains(&(a, b))
+    /// Returns whether traffic from `from` to `to` is blocked.
+    fn is_cut(&self, from: IpAddr, to: IpAddr) -> bool {
+        let cut = self.cut_hosts.borrow();
+        !cut.is_empty() && (cut.contains(&from) || cut.contains(&to))
+            || self.blocked_links.borrow().contains(&(from, to))
     }
 
-    fn open(&self, of: impl Fn(&Pair) -> bool) -> Vec<Rc<Pair>> {
-        let mut pairs = self.pairs.borrow_mut();
-        pairs.retain(|p| p.strong_count() > 0);
-        pairs.iter().filter_map(Weak::upgrade).filter(|p| of(p)).collect()
+    fn open_connections(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<Rc<Connection>> {
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|p| p.strong_count() > 0);
+        connections.iter().filter_map(Weak::upgrade).filter(|p| predicate(p)).collect()
     }
 
-    fn add(&self, pair: &Rc<Pair>) {
-        let mut pairs = self.pairs.borrow_mut();
-        // What has ended goes whenever the list has doubled.
-        if pairs.len() == pairs.capacity() {
-            pairs.retain(|p| p.strong_count() > 0);
+    fn add(&self, connection: &Rc<Connection>) {
+        let mut connections = self.connections.borrow_mut();
+        // Closed connections are removed whenever the vector would have to grow.
+        if connections.len() == connections.capacity() {
+            connections.retain(|p| p.strong_count() > 0);
         }
-        pairs.push(Rc::downgrade(pair));
+        connections.push(Rc::downgrade(connection));
     }
 }
 
-/// A process on a machine: what it holds ends with it.
+/// The network of one process on a machine. Its connections end with the process.
 pub struct Host {
     net: Rc<Net>,
     ip: IpAddr,
@@ -151,60 +155,60 @@
 }
 
 impl Host {
-    /// Whether it was killed; shared with what it holds.
+    /// Returns the flag that is set once the process is killed. Its sockets and files share it.
     pub fn dead(&self) -> Rc<Cell<bool>> {
         self.dead.clone()
     }
 
-    /// The process is gone in this moment: its connections are reset, and nothing that its remains still do
-    /// has any effect.
+    /// Kills the process: resets its connections and makes all further operations of it ineffective.
     pub fn kill(&self) {
         self.dead.set(true);
-        let mine = |owner: &Rc<Cell<bool>>| Rc::ptr_eq(owner, &self.dead);
-        for pair in self.net.open(|p| p.owners.borrow().iter().any(mine)) {
-            pair.reset();
+        let is_own = |owner: &Rc<Cell<bool>>| Rc::ptr_eq(owner, &self.dead);
+        for connection in self.net.open_connections(|p| p.owners.borrow().iter().any(is_own)) {
+            connection.reset();
         }
-        self.net.listeners.borrow_mut().retain(|_, q| !mine(&q.owner));
-        self.net.mailboxes.borrow_mut().retain(|_, m| !mine(&m.owner));
+        self.net.listeners.borrow_mut().retain(|_, q| !is_own(&q.owner));
+        self.net.mailboxes.borrow_mut().retain(|_, m| !is_own(&m.owner));
     }
 }
 
-/// A connection: its two directions, and what is true of both.
-struct Pair {
+/// A connection with its two directions.
+struct Connection {
     ends: [IpAddr; 2],
     owners: RefCell<Vec<Rc<Cell<bool>>>>,
-    ways: [Way; 2],
+    directions: [Direction; 2],
 }
 
-/// One direction. `ways[0]` is read by the end that accepted, `ways[1]` by the one that connected.
+/// One direction of a connection. The accepting end reads `directions[0]`, the connecting end
+/// `directions[1]`.
 #[derive(Default)]
-struct Way {
+struct Direction {
     queue: RefCell<VecDeque<(Instant, Vec<u8>)>>,
-    /// Bytes of the first piece that were read.
+    /// Bytes of the first chunk that have been read.
     offset: Cell<usize>,
     size: Cell<usize>,
     fin: Cell<Option<Instant>>,
     reset: Cell<bool>,
-    /// Nobody reads it any more.
-    unread: Cell<bool>,
+    /// Whether the reader has closed its end.
+    reader_closed: Cell<bool>,
     reader: RefCell<Option<Waker>>,
     writer: RefCell<Option<Waker>>,
 }
 
-impl Way {
+impl Direction {
     fn wake_reader(&self) {
-        if let Some(w) = self.reader.take() {
-            w.wake();
+        if let Some(waker) = self.reader.take() {
+            waker.wake();
         }
     }
 
     fn wake_writer(&self) {
-        if let Some(w) = self.writer.take() {
-            w.wake();
+        if let Some(waker) = self.writer.take() {
+            waker.wake();
         }
     }
 
-    fn end(&self, at: Instant) {
+    fn finish(&self, at: Instant) {
         if self.fin.get().is_none() {
             self.fin.set(Some(at));
             self.wake_reader();
@@ -212,51 +216,51 @@
     }
 }
 
-impl Pair {
+impl Connection {
     fn reset(&self) {
-        for way in &self.ways {
-            way.reset.set(true);
-            way.wake_reader();
-            way.wake_writer();
+        for direction in &self.directions {
+            direction.reset.set(true);
+            direction.wake_reader();
+            direction.wake_writer();
         }
     }
 }
 
 /// One end of a connection.
-struct End {
-    pair: Rc<Pair>,
+struct ConnectionEnd {
+    connection: Rc<Connection>,
     side: usize,
     net: Rc<Net>,
     owner: Rc<Cell<bool>>,
     timer: RefCell<Option<Pin<Box<Sleep>>>>,
 }
 
-impl End {
-    fn reads(&self) -> &Way {
-        &self.pair.ways[self.side]
+impl ConnectionEnd {
+    fn incoming(&self) -> &Direction {
+        &self.connection.directions[self.side]
     }
 
-    fn writes(&self) -> &Way {
-        &self.pair.ways[1 - self.side]
+    fn outgoing(&self) -> &Direction {
+        &self.connection.directions[1 - self.side]
     }
 
-    /// Whether nothing comes here from the other end.
+    /// Returns whether traffic from the other end is blocked.
     fn is_cut(&self) -> bool {
-        self.net.is_cut(self.pair.ends[1 - self.side], self.pair.ends[self.side])
+        self.net.is_cut(self.connection.ends[1 - self.side], self.connection.ends[self.side])
     }
 
-    /// How long what is written here takes to the other end.
+    /// Returns the latency to the other end.
     fn latency(&self) -> Duration {
-        self.net.latency(self.pair.ends[self.side], self.pair.ends[1 - self.side])
+        self.net.latency(self.connection.ends[self.side], self.connection.ends[1 - self.side])
     }
 
-    /// When there is, or will be, something to read.
-    fn next(&self) -> Option<Instant> {
-        let way = self.reads();
-        way.queue.borrow().front().map(|p| p.0).or(way.fin.get())
+    /// Returns when the next data or the end of the stream can be read.
+    fn next_readable(&self) -> Option<Instant> {
+        let direction = self.incoming();
+        direction.queue.borrow().front().map(|p| p.0).or(direction.fin.get())
     }
 
-    /// Waits with the timer; ready once its moment has come.
+    /// Polls the timer; ready once `at` is reached.
     fn poll_timer(&self, at: Instant, cx: &mut Context<'_>) -> Poll<()> {
         let mut timer = self.timer.borrow_mut();
         let sleep = timer.get_or_insert_with(|| Box::pin(sleep_until(at)));
@@ -267,14 +271,14 @@
     }
 }
 
-impl Stream for End {
+impl Stream for ConnectionEnd {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let way = self.reads();
-        if way.reset.get() || way.unread.get() {
+        let direction = self.incoming();
+        if direction.reset.get() || direction.reader_closed.get() {
             return Poll::Ready(Ok(()));
         }
-        *way.reader.borrow_mut() = Some(cx.waker().clone());
-        match self.next() {
+        *direction.reader.borrow_mut() = Some(cx.waker().clone());
+        match self.next_readable() {
             Some(at) if !self.is_cut() => {
                 if at <= Instant::now() {
                     return Poll::Ready(Ok(()));
@@ -286,77 +290,78 @@
     }
 
     fn try_read(&self, buf: &mut [u8]) -> io::Result<usize> {
-        let way = self.reads();
-        if way.reset.get() {
+        let direction = self.incoming();
+        if direction.reset.get() {
             return Err(ErrorKind::ConnectionReset.into());
         }
-        if way.unread.get() {
+        if direction.reader_closed.get() {
             return Ok(0);
         }
-        if self.is_cut() || self.next().is_none_or(|at| at > Instant::now()) {
+        if self.is_cut() || self.next_readable().is_none_or(|at| at > Instant::now()) {
             return Err(ErrorKind::WouldBlock.into());
         }
-        let mut queue = way.queue.borrow_mut();
-        let Some((_, piece)) = queue.front() else { return Ok(0) };
-        let left = &piece[way.offset.get()..];
-        let n = left.len().min(buf.len());
-        buf[..n].copy_from_slice(&left[..n]);
-        if n == left.len() {
+        let mut queue = direction.queue.borrow_mut();
+        let Some((_, chunk)) = queue.front() else { return Ok(0) };
+        let remaining = &chunk[direction.offset.get()..];
+        let length = remaining.len().min(buf.len());
+        buf[..length].copy_from_slice(&remaining[..length]);
+        if length == remaining.len() {
             queue.pop_front();
-            way.offset.set(0);
+            direction.offset.set(0);
         } else {
-            way.offset.set(way.offset.get() + n);
+            direction.offset.set(direction.offset.get() + length);
         }
-        way.size.set(way.size.get() - n);
-        way.wake_writer();
-        Ok(n)
+        direction.size.set(direction.size.get() - length);
+        direction.wake_writer();
+        Ok(length)
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        let way = self.writes();
-        if way.reset.get() || way.unread.get() || way.size.get() < BUFFER {
+        let direction = self.outgoing();
+        if direction.reset.get() || direction.reader_closed.get() || direction.size.get() < SEND_BUFFER_BYTES
+        {
             return Poll::Ready(Ok(()));
         }
-        *way.writer.borrow_mut() = Some(cx.waker().clone());
+        *direction.writer.borrow_mut() = Some(cx.waker().clone());
         Poll::Pending
     }
 
     fn try_write(&self, buf: &[u8]) -> io::Result<usize> {
-        let way = self.writes();
-        if self.owner.get() || way.reset.get() || way.fin.get().is_some() {
+        let direction = self.outgoing();
+        if self.owner.get() || direction.reset.get() || direction.fin.get().is_some() {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        if way.unread.get() {
-            // The system takes it, and the peer answers with a reset.
-            self.pair.reset();
+        if direction.reader_closed.get() {
+            // The system accepts the data, and the peer answers with a reset.
+            self.connection.reset();
             return Ok(buf.len());
         }
-        let n = buf.len().min(BUFFER.saturating_sub(way.size.get()));
-        if n == 0 && !buf.is_empty() {
+        let length = buf.len().min(SEND_BUFFER_BYTES.saturating_sub(direction.size.get()));
+        if length == 0 && !buf.is_empty() {
             return Err(ErrorKind::WouldBlock.into());
         }
-        // What was sent before is not overtaken.
-        let last = way.queue.borrow().back().map(|p| p.0);
+        // Data is never delivered before data that was sent earlier.
+        let last = direction.queue.borrow().back().map(|p| p.0);
         let at = last.into_iter().fold(Instant::now() + self.latency(), Instant::max);
-        way.queue.borrow_mut().push_back((at, buf[..n].to_vec()));
-        way.size.set(way.size.get() + n);
-        way.wake_reader();
-        Ok(n)
+        direction.queue.borrow_mut().push_back((at, buf[..length].to_vec()));
+        direction.size.set(direction.size.get() + length);
+        direction.wake_reader();
+        Ok(length)
     }
 
     fn has_no_unread_data(&self) -> bool {
-        let way = self.reads();
-        let ended = way.reset.get() || way.unread.get();
-        !ended && (self.is_cut() || self.next().is_none_or(|at| at > Instant::now()))
+        let direction = self.incoming();
+        let ended = direction.reset.get() || direction.reader_closed.get();
+        !ended && (self.is_cut() || self.next_readable().is_none_or(|at| at > Instant::now()))
     }
 
     fn shutdown(&self, how: Shutdown) -> io::Result<()> {
         if how != Shutdown::Read {
-            self.writes().end(Instant::now() + self.net.latency);
+            self.outgoing().finish(Instant::now() + self.net.latency);
         }
         if how != Shutdown::Write {
-            self.reads().unread.set(true);
-            self.reads().wake_reader();
+            self.incoming().reader_closed.set(true);
+            self.incoming().wake_reader();
         }
         Ok(())
     }
@@ -366,36 +371,36 @@
     }
 }
 
-impl Drop for End {
+impl Drop for ConnectionEnd {
     fn drop(&mut self) {
         if self.owner.get() {
             return;
         }
-        let reads = self.reads();
-        let ignored = !reads.queue.borrow().is_empty();
-        reads.unread.set(true);
-        reads.wake_writer();
-        if ignored && !self.is_cut() {
-            self.pair.reset();
+        let incoming = self.incoming();
+        let has_unread_data = !incoming.queue.borrow().is_empty();
+        incoming.reader_closed.set(true);
+        incoming.wake_writer();
+        if has_unread_data && !self.is_cut() {
+            self.connection.reset();
         } else {
-            self.writes().end(Instant::now() + self.net.latency);
+            self.outgoing().finish(Instant::now() + self.net.latency);
         }
     }
 }
 
-struct Queue {
+struct ListenQueue {
     at: SocketAddr,
     owner: Rc<Cell<bool>>,
-    waiting: RefCell<VecDeque<Rc<End>>>,
+    waiting: RefCell<VecDeque<Rc<ConnectionEnd>>>,
     waker: RefCell<Option<Waker>>,
 }
 
-struct Listening {
-    queue: Rc<Queue>,
+struct MemoryListener {
+    queue: Rc<ListenQueue>,
     net: Rc<Net>,
 }
 
-impl Listener for Listening {
+impl Listener for MemoryListener {
     fn poll_accept(&self, cx: &mut Context<'_>) -> Poll<io::Result<Rc<dyn Stream>>> {
         if let Some(end) = self.queue.waiting.borrow_mut().pop_front() {
             return Poll::Ready(Ok(end));
@@ -409,7 +414,7 @@
     }
 }
 
-impl Drop for Listening {
+impl Drop for MemoryListener {
     fn drop(&mut self) {
         if self.queue.owner.get() {
             return;
@@ -420,12 +425,12 @@
         }
         let waiting = self.queue.waiting.take();
         drop(listeners);
-        waiting.iter().for_each(|end| end.pair.reset());
+        waiting.iter().for_each(|end| end.connection.reset());
     }
 }
 
-/// A port for a private place: below those that anybody else listens at.
-fn within(name: &str) -> u16 {
+/// Maps the name of a local socket to a port below those that are used otherwise.
+fn local_port(name: &str) -> u16 {
     1 + name.bytes().fold(0u16, |h, b| h.wrapping_mul(31).wrapping_add(b.into())) % 1_000
 }
 
@@ -437,38 +442,44 @@
                 tokio::time::sleep(2 * net.latency).await;
             }
             if net.is_cut(ip, to.ip()) || net.is_cut(to.ip(), ip) {
-                // The way there is silent; whoever asks has a limit of his own.
+                // A blocked link does not answer. The caller applies its own time-out.
                 pending::<()>().await;
             }
             let queue = net.listeners.borrow().get(&to).cloned();
             let Some(queue) = queue.filter(|q| q.waiting.borrow().len() < BACKLOG) else {
                 return Err(ErrorKind::ConnectionRefused.into());
             };
-            let pair = Rc::new(Pair {
+            let connection = Rc::new(Connection {
                 ends: [to.ip(), ip],
                 owners: RefCell::new(vec![queue.owner.clone(), owner.clone()]),
-                ways: Default::default(),
+                directions: Default::default(),
             });
-            net.add(&pair);
+            net.add(&connection);
             let end = |side, owner| {
-                Rc::new(End { pair: pair.clone(), side, net: net.clone(), owner, timer: RefCell::default() })
+                Rc::new(ConnectionEnd {
+                    connection: connection.clone(),
+                    side,
+                    net: net.clone(),
+                    owner,
+                    timer: RefCell::default(),
+                })
             };
             queue.waiting.borrow_mut().push_back(end(0, queue.owner.clone()));
-            if let Some(w) = queue.waker.take() {
-                w.wake();
+            if let Some(waker) = queue.waker.take() {
+                waker.wake();
             }
             Ok(end(1, owner) as Rc<dyn Stream>)
         })
     }
 
     fn listen_local(&self, name: &str) -> io::Result<Rc<dyn Listener>> {
-        let at = SocketAddr::new(self.ip, within(name));
+        let at = SocketAddr::new(self.ip, local_port(name));
         self.net.listeners.borrow_mut().remove(&at);
         self.listen(at)
     }
 
     fn connect_local(&self, name: &str) -> ConnectFuture {
-        self.connect(SocketAddr::new(self.ip, within(name)))
+        self.connect(SocketAddr::new(self.ip, local_port(name)))
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Rc<dyn Listener>> {
@@ -477,9 +488,9 @@
             return Err(ErrorKind::AddrInUse.into());
         }
         let (waiting, waker) = Default::default();
-        let queue = Rc::new(Queue { at, owner: self.dead.clone(), waiting, waker });
+        let queue = Rc::new(ListenQueue { at, owner: self.dead.clone(), waiting, waker });
         listeners.insert(at, queue.clone());
-        Ok(Rc::new(Listening { queue, net: self.net.clone() }))
+        Ok(Rc::new(MemoryListener { queue, net: self.net.clone() }))
     }
 
     fn bind_datagram(&self, at: SocketAddr) -> io::Result<Rc<dyn DatagramSocket>> {
@@ -488,54 +499,54 @@
             return Err(ErrorKind::AddrInUse.into());
         }
         let owner = self.dead.clone();
-        let (letters, waker, timer) = Default::default();
-        let mailbox = Rc::new(Mailbox { at, owner, letters, waker, timer });
+        let (datagrams, waker, timer) = Default::default();
+        let mailbox = Rc::new(Mailbox { at, owner, datagrams, waker, timer });
         mailboxes.insert(at, mailbox.clone());
-        Ok(Rc::new(Posting { mailbox, net: self.net.clone() }))
+        Ok(Rc::new(MemoryDatagramSocket { mailbox, net: self.net.clone() }))
     }
 }
 
 struct Mailbox {
     at: SocketAddr,
     owner: Rc<Cell<bool>>,
-    /// In the order in which they arrive.
-    letters: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
+    /// Datagrams in the order of arrival.
+    datagrams: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
     waker: RefCell<Option<Waker>>,
     timer: RefCell<Option<Pin<Box<Sleep>>>>,
 }
 
-struct Posting {
+struct MemoryDatagramSocket {
     mailbox: Rc<Mailbox>,
     net: Rc<Net>,
 }
 
-impl Posting {
+impl MemoryDatagramSocket {
     fn send(&self, to: &Mailbox, bytes: &[u8]) {
-        let at = {
-            let mut notes = self.net.notes.borrow_mut();
-            let (lost, late) = (notes.lost, notes.late.as_micros() as u64);
-            if lost > 0.0 && notes.random.random_bool(lost) {
+        let arrival = {
+            let mut datagram_faults = self.net.datagram_faults.borrow_mut();
+            let (lost, max_delay) = (datagram_faults.lost, datagram_faults.max_delay.as_micros() as u64);
+            if lost > 0.0 && datagram_faults.random.random_bool(lost) {
                 return;
             }
-            let late = if late > 0 { notes.random.random_range(0..=late) } else { 0 };
-            Instant::now() + self.net.latency + Duration::from_micros(late)
+            let delay = if max_delay > 0 { datagram_faults.random.random_range(0..=max_delay) } else { 0 };
+            Instant::now() + self.net.latency + Duration::from_micros(delay)
         };
-        let mut letters = to.letters.borrow_mut();
-        if letters.len() < MAILBOX && !self.net.is_cut(self.mailbox.at.ip(), to.at.ip()) {
-            let place = letters.partition_point(|l| l.0 <= at);
-            letters.insert(place, (at, self.mailbox.at, bytes.to_vec()));
-            if let Some(w) = to.waker.take() {
-                w.wake();
+        let mut datagrams = to.datagrams.borrow_mut();
+        if datagrams.len() < MAX_QUEUED_DATAGRAMS && !self.net.is_cut(self.mailbox.at.ip(), to.at.ip()) {
+            let position = datagrams.partition_point(|l| l.0 <= arrival);
+            datagrams.insert(position, (arrival, self.mailbox.at, bytes.to_vec()));
+            if let Some(waker) = to.waker.take() {
+                waker.wake();
             }
         }
     }
 }
 
-impl DatagramSocket for Posting {
+impl DatagramSocket for MemoryDatagramSocket {
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
-        let mut letters = self.mailbox.letters.borrow_mut();
+        let mut datagrams = self.mailbox.datagrams.borrow_mut();
         *self.mailbox.waker.borrow_mut() = Some(cx.waker().clone());
-        let Some(at) = letters.front().map(|l| l.0) else { return Poll::Pending };
+        let Some(at) = datagrams.front().map(|l| l.0) else { return Poll::Pending };
         if at > Instant::now() {
             let mut timer = self.mailbox.timer.borrow_mut();
             let sleep = timer.get_or_insert_with(|| Box::pin(sleep_until(at)));
@@ -546,30 +557,30 @@
                 return Poll::Pending;
             }
         }
-        let Some((_, from, bytes)) = letters.pop_front() else { return Poll::Pending };
-        let n = bytes.len().min(buf.len());
-        buf[..n].copy_from_slice(&bytes[..n]);
-        Poll::Ready(Ok((n, from)))
+        let Some((_, from, bytes)) = datagrams.pop_front() else { return Poll::Pending };
+        let length = bytes.len().min(buf.len());
+        buf[..length].copy_from_slice(&bytes[..length]);
+        Poll::Ready(Ok((length, from)))
     }
 
     fn try_send_to(&self, bytes: &[u8], to: SocketAddr) -> io::Result<usize> {
         if self.mailbox.owner.get() {
             return Err(ErrorKind::BrokenPipe.into());
         }
-        let boxes: Vec<Rc<Mailbox>> = {
+        let receivers: Vec<Rc<Mailbox>> = {
             let all = self.net.mailboxes.borrow();
-            if self.net.everybody.get() == Some(to) {
+            if self.net.broadcast_addr.get() == Some(to) {
                 all.values().filter(|m| m.at != self.mailbox.at).cloned().collect()
             } else {
                 all.get(&to).cloned().into_iter().collect()
             }
         };
-        boxes.iter().for_each(|m| self.send(m, bytes));
+        receivers.iter().for_each(|m| self.send(m, bytes));
         Ok(bytes.len())
     }
 }
 
-impl Drop for Posting {
+impl Drop for MemoryDatagramSocket {
     fn drop(&mut self) {
         if !self.mailbox.owner.get() {
             self.net.mailboxes.borrow_mut().remove(&self.mailbox.at);
--- a/crates/rehearsal/tests/world/copies.rs
+++ b/crates/rehearsal/tests/world/copies.rs
@@ -1,27 +1,30 @@
-//! Senders that keep copies for one another, with the daemon's own code in virtual time.
+//! Replication between senders, with the daemon's own code in virtual time.
 
-use crate::{parse, play, shipped};
+use crate::{parse, run_text, shipped};
 use notchpoint_rehearsal::Options;
-use notchpoint_rehearsal::hunt::{Ground, hunt};
+use notchpoint_rehearsal::hunt::{BaseScenario, hunt};
 use std::path::PathBuf;
 
 #[test]
-fn a_sender_lost_with_what_it_held_loses_nothing_and_without_copies_it_does() {
+fn lost_sender_loses_messages_only_without_copies() {
     let text = shipped("copies.toml");
-    let (_, kept, breaches) = play(&text, 1, &Options::default());
+    let (_, kept, breaches) = run_text(&text, 1, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
     let without = text.replace("copies = 1", "copies = 0");
-    let (_, score, breaches) = play(&without, 1, &Options::default());
-    assert!(breaches.iter().any(|b| b.what.contains("taken on by sender 0")), "what it held is gone");
+    let (_, score, breaches) = run_text(&without, 1, &Options::default());
+    assert!(
+        breaches.iter().any(|b| b.what.contains("taken on by sender 0")),
+        "the messages it held are lost"
+    );
     assert!(score.counts.delivered < kept.counts.delivered);
 }
 
 #[test]
-fn a_hunt_among_senders_that_keep_copies_finds_nothing() {
+fn hunt_among_senders_that_keep_copies_finds_nothing() {
     let text = shipped("copies-calm.toml");
     parse(&text);
-    let ground = Ground { text, name: "copies-calm.toml".into(), folder: PathBuf::new() };
-    let found = hunt(&ground, 1, 40, 2, |_, _| ()).expect("sound");
+    let base = BaseScenario { text, name: "copies-calm.toml".into(), folder: PathBuf::new() };
+    let found = hunt(&base, 1, 40, 2, |_, _| ()).expect("the scenario is valid");
     let first = found.breaches.iter().next();
     assert!(first.is_none() && found.failed.is_empty(), "{first:?} {:?}", found.failed);
 }
--- a/crates/rehearsal/tests/world/blind.rs
+++ b/crates/rehearsal/tests/world/faulty_environment.rs
@@ -1,7 +1,7 @@
-//! Lies told to a daemon through its seam: each takes one guard out, without a line of the daemon changed.
-//! What the guard goes by is not what there is.
+//! Wrappers of a daemon's environment that disable one safeguard each, without changing the daemon: they
+//! falsify the input that the safeguard relies on.
 
-use notchpoint_rehearsal::hosts::Around;
+use notchpoint_rehearsal::hosts::EnvironmentWrapper;
 use notchpoint_seam::net::ConnectFuture;
 use notchpoint_seam::{DatagramSocket, Disk, Environment, File, Listener, Network, Stream};
 use notchpoint_store::format::{Header, Record, checksum_seed, read_frame, records};
@@ -14,75 +14,76 @@
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// What is done to the bytes of a connection to an address.
+/// A fault of the connections to an address.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Lie {
-    /// These bytes stand for those when they are read; they are as long.
-    Read(&'static [u8], &'static [u8]),
-    /// Each n-th request goes out, and is said not to have.
-    NotWritten(usize),
-    /// Each n-th request does not go out, and is answered with 204.
-    Swallowed(usize),
-    /// Writing never becomes possible, and always may in a moment.
-    Spins,
+pub enum StreamFault {
+    /// Replaces the first bytes by the second, of the same length, in everything that is read.
+    ReplaceRead(&'static [u8], &'static [u8]),
+    /// Sends each n-th request, but reports a write error.
+    WrittenButFailed(usize),
+    /// Does not send each n-th report, and answers it with 204.
+    DropReport(usize),
+    /// Never accepts a write, but always wakes the writer at once.
+    NeverWritable,
 }
 
-/// Connections to addresses that begin so.
-pub type Where = &'static str;
+/// Prefix of the addresses whose connections are affected.
+pub type AddressPrefix = &'static str;
 
-pub fn sockets(to: Where, lies: &'static [Lie]) -> Around {
+/// Applies faults to the connections to addresses that start with `to`.
+pub fn sockets(to: AddressPrefix, faults: &'static [StreamFault]) -> EnvironmentWrapper {
     let count = Rc::new(Cell::new(0));
-    Rc::new(move |_, world: Environment| {
-        let net = Rc::new(Net { inner: world.net.clone(), to, lies, count: count.clone() });
-        Environment { net, ..world }
+    Rc::new(move |_, environment: Environment| {
+        let net = Rc::new(FaultyNetwork { inner: environment.net.clone(), to, faults, count: count.clone() });
+        Environment { net, ..environment }
     })
 }
 
-/// Changes what the daemon is told, from the truth.
-pub fn config(change: impl Fn(&mut serde_json::Value) + 'static) -> Around {
+/// Changes the configuration that the daemon reads.
+pub fn config(change: impl Fn(&mut serde_json::Value) + 'static) -> EnvironmentWrapper {
     let change = Rc::new(change);
-    Rc::new(move |_, world: Environment| {
-        let (source, change) = (world.config, change.clone());
+    Rc::new(move |_, environment: Environment| {
+        let (source, change) = (environment.config, change.clone());
         let config = Box::new(move || {
-            let mut told: serde_json::Value = serde_json::from_str(&source()?)?;
-            change(&mut told);
-            Ok(told.to_string())
+            let mut config_value: serde_json::Value = serde_json::from_str(&source()?)?;
+            change(&mut config_value);
+            Ok(config_value.to_string())
         });
-        Environment { config, ..world }
+        Environment { config, ..environment }
     })
 }
 
-/// Records of these kinds are not written, and are said to have been.
-pub fn unwritten(kinds: &'static [u8]) -> Around {
-    Rc::new(move |_, world: Environment| Environment {
-        disk: Rc::new(Forgets(world.disk.clone(), kinds)),
-        ..world
+/// Drops records of these kinds, but reports them as written.
+pub fn drop_records(kinds: &'static [u8]) -> EnvironmentWrapper {
+    Rc::new(move |_, environment: Environment| Environment {
+        disk: Rc::new(RecordDroppingDisk(environment.disk.clone(), kinds)),
+        ..environment
     })
 }
 
-/// From its second start on a process finds its folder empty.
-pub fn amnesia() -> Around {
+/// Empties the folder of a sender at each start after its first.
+pub fn empty_folder_on_restart() -> EnvironmentWrapper {
     let starts = RefCell::new(BTreeMap::<usize, u32>::new());
-    Rc::new(move |sender, world: Environment| {
+    Rc::new(move |sender, environment: Environment| {
         let mut starts = starts.borrow_mut();
         let n = starts.entry(sender).or_default();
         *n += 1;
         if *n > 1 {
-            let files = world.disk.list_files().expect("a folder");
-            files.iter().for_each(|(name, _)| world.disk.remove(name).expect("removed"));
+            let files = environment.disk.list_files().expect("a folder");
+            files.iter().for_each(|(name, _)| environment.disk.remove(name).expect("removed"));
         }
-        world
+        environment
     })
 }
 
-/// Writes records of these kinds where nobody looks for them.
-struct Forgets(Rc<dyn Disk>, &'static [u8]);
+/// A disk that writes records of these kinds to an unknown table.
+struct RecordDroppingDisk(Rc<dyn Disk>, &'static [u8]);
 
-/// A message's records, and a table that the daemon does not know.
-const MESSAGES: u8 = 1;
-const NOWHERE: u8 = 9;
+/// The table of message records, and one that the daemon does not know.
+const MESSAGE_TABLE: u8 = 1;
+const UNKNOWN_TABLE: u8 = 9;
 
-impl Disk for Forgets {
+impl Disk for RecordDroppingDisk {
     fn read(&self, name: &str) -> io::Result<Option<Vec<u8>>> {
         self.0.read(name)
     }
@@ -96,9 +97,9 @@
     }
 
     fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
-        // Of a segment that an earlier process began the header stands there.
+        // The header of a segment that an earlier process started is already in the file.
         let header = self.0.read(name)?.and_then(|b| Header::decode(&b).ok());
-        Ok(Box::new(ForgetsFile(self.0.append(name)?, self.1, header)))
+        Ok(Box::new(RecordDroppingFile(self.0.append(name)?, self.1, header)))
     }
 
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
@@ -118,26 +119,26 @@
     }
 }
 
-struct ForgetsFile(Box<dyn File>, &'static [u8], Option<Header>);
+struct RecordDroppingFile(Box<dyn File>, &'static [u8], Option<Header>);
 
-impl ForgetsFile {
-    /// The same frame, with such records in the other table.
-    fn moved(&self, mut bytes: &[u8], seed: u32) -> Vec<u8> {
+impl RecordDroppingFile {
+    /// Returns the frames with the records to drop moved to the unknown table.
+    fn drop_from_frames(&self, mut bytes: &[u8], seed: u32) -> Vec<u8> {
         let mut all = Vec::new();
         while let Ok(frame) = read_frame(bytes, seed) {
             let mut batch = Batch::default();
-            let mut forgotten = false;
+            let mut is_dropped = false;
             for record in records(frame.payload).flatten() {
-                if let Record::Put { table: Table(MESSAGES), key, value, .. } = record
+                if let Record::Put { table: Table(MESSAGE_TABLE), key, value, .. } = record
                     && key.get(8).is_some_and(|kind| self.1.contains(kind))
                 {
-                    batch.put(Table(NOWHERE), key, value);
-                    forgotten = true;
+                    batch.put(Table(UNKNOWN_TABLE), key, value);
+                    is_dropped = true;
                 }
             }
-            // The daemon writes one record in a frame of these kinds.
+            // The daemon writes records of these kinds one per frame.
             let own = &bytes[..frame.len()];
-            all.extend(if forgotten {
+            all.extend(if is_dropped {
                 batch.frame(seed, frame.seq, frame.durable_len)
             } else {
                 own.to_vec()
@@ -149,13 +150,13 @@
     }
 }
 
-impl File for ForgetsFile {
+impl File for RecordDroppingFile {
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()> {
         let Some(header) = self.2 else {
             self.2 = Header::decode(bytes).ok();
             return self.0.write_all(bytes);
         };
-        self.0.write_all(&self.moved(bytes, checksum_seed(header.store_id, header.number)))
+        self.0.write_all(&self.drop_from_frames(bytes, checksum_seed(header.store_id, header.number)))
     }
 
     fn set_len(&mut self, len: u64) -> io::Result<()> {
@@ -167,23 +168,24 @@
     }
 }
 
-struct Net {
+struct FaultyNetwork {
     inner: Rc<dyn Network>,
-    to: Where,
-    lies: &'static [Lie],
+    to: AddressPrefix,
+    faults: &'static [StreamFault],
     count: Rc<Cell<usize>>,
 }
 
-impl Network for Net {
+impl Network for FaultyNetwork {
     fn connect(&self, to: SocketAddr) -> ConnectFuture {
         let connecting = self.inner.connect(to);
         if !to.to_string().starts_with(self.to) {
             return connecting;
         }
-        let (lies, count) = (self.lies, self.count.clone());
+        let (faults, count) = (self.faults, self.count.clone());
         Box::pin(async move {
-            let (faked, waker, dead) = Default::default();
-            Ok(Rc::new(Lies { inner: connecting.await?, lies, count, faked, waker, dead }) as Rc<dyn Stream>)
+            let (forged_answer, waker, dead) = Default::default();
+            Ok(Rc::new(FaultyStream { inner: connecting.await?, faults, count, forged_answer, waker, dead })
+                as Rc<dyn Stream>)
         })
     }
 
@@ -204,18 +206,18 @@
     }
 }
 
-struct Lies {
+struct FaultyStream {
     inner: Rc<dyn Stream>,
-    lies: &'static [Lie],
+    faults: &'static [StreamFault],
     count: Rc<Cell<usize>>,
-    faked: RefCell<Vec<u8>>,
+    forged_answer: RefCell<Vec<u8>>,
     waker: RefCell<Option<Waker>>,
     dead: Cell<bool>,
 }
 
-impl Stream for Lies {
+impl Stream for FaultyStream {
     fn poll_read_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if !self.faked.borrow().is_empty() || self.dead.get() {
+        if !self.forged_answer.borrow().is_empty() || self.dead.get() {
             return Poll::Ready(Ok(()));
         }
         *self.waker.borrow_mut() = Some(cx.waker().clone());
@@ -226,27 +228,27 @@
         if self.dead.get() {
             return Err(io::ErrorKind::ConnectionReset.into());
         }
-        let mut faked = self.faked.borrow_mut();
-        if !faked.is_empty() {
-            let n = faked.len().min(buf.len());
-            buf[..n].copy_from_slice(&faked[..n]);
-            faked.drain(..n);
+        let mut forged_answer = self.forged_answer.borrow_mut();
+        if !forged_answer.is_empty() {
+            let n = forged_answer.len().min(buf.len());
+            buf[..n].copy_from_slice(&forged_answer[..n]);
+            forged_answer.drain(..n);
             return Ok(n);
         }
         let n = self.inner.try_read(buf)?;
-        for lie in self.lies {
-            if let Lie::Read(from, to) = lie {
+        for fault in self.faults {
+            if let StreamFault::ReplaceRead(from, to) = fault {
                 assert_eq!(from.len(), to.len());
-                let places: Vec<usize> =
+                let positions: Vec<usize> =
                     (0..n.saturating_sub(from.len() - 1)).filter(|&i| buf[i..n].starts_with(from)).collect();
-                places.into_iter().for_each(|i| buf[i..i + to.len()].copy_from_slice(to));
+                positions.into_iter().for_each(|i| buf[i..i + to.len()].copy_from_slice(to));
             }
         }
         Ok(n)
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
-        if self.lies.contains(&Lie::Spins) {
+        if self.faults.contains(&StreamFault::NeverWritable) {
             cx.waker().wake_by_ref();
             return Poll::Pending;
         }
@@ -254,10 +256,10 @@
     }
 
     fn try_write(&self, buf: &[u8]) -> io::Result<usize> {
-        for lie in self.lies {
+        for fault in self.faults {
             let n = self.count.get() + 1;
-            match lie {
-                Lie::NotWritten(each) => {
+            match fault {
+                StreamFault::WrittenButFailed(each) => {
                     self.count.set(n);
                     if n.is_multiple_of(*each) {
                         self.inner.try_write(buf)?;
@@ -265,17 +267,18 @@
                         return Err(io::ErrorKind::BrokenPipe.into());
                     }
                 }
-                Lie::Swallowed(each) if buf.starts_with(b"POST /reports") => {
+                StreamFault::DropReport(each) if buf.starts_with(b"POST /reports") => {
                     self.count.set(n);
                     if n.is_multiple_of(*each) {
-                        *self.faked.borrow_mut() = b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n".to_vec();
+                        *self.forged_answer.borrow_mut() =
+                            b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n".to_vec();
                         if let Some(w) = self.waker.take() {
                             w.wake();
                         }
                         return Ok(buf.len());
                     }
                 }
-                Lie::Spins => return Err(io::ErrorKind::WouldBlock.into()),
+                StreamFault::NeverWritable => return Err(io::ErrorKind::WouldBlock.into()),
                 _ => {}
             }
         }
--- a/crates/rehearsal/tests/world/fidelity.rs
+++ b/crates/rehearsal/tests/world/fidelity.rs
@@ -1,12 +1,13 @@
-//! Both worlds, the same daemon: what happens on loopback sockets happens in virtual time.
+//! The same daemon in both environments: a run on loopback sockets has the same result as in virtual time.
 
 use crate::parse;
 use notchpoint_rehearsal::fidelity::fidelity;
 use std::path::PathBuf;
 
-/// Wanted times so long that no machine is too slow for them: what is compared is what becomes of messages,
-/// not how quickly. A partner dies and comes back, one refuses, one endpoint is replaced, a sender is killed.
-const BOTH: &str = r#"
+/// The wanted times are long enough for slow machines, because the test compares the results of messages,
+/// not their latencies. One partner dies and returns, one refuses calls, one endpoint is replaced, and a
+/// sender is killed.
+const SCENARIO: &str = r#"
 name = "both"
 duration_s = 5.0
 [senders]
@@ -60,14 +61,15 @@
 "#;
 
 #[test]
-fn both_worlds_keep_the_rules_and_deliver_the_same() {
+fn both_environments_keep_the_rules_and_deliver_the_same() {
     let folder = tempfile::tempdir().expect("a folder");
     let command = vec![PathBuf::from(env!("CARGO_BIN_EXE_notchpoint-rehearse")), "sender".into()];
-    let scenario = std::rc::Rc::unwrap_or_clone(parse(BOTH));
-    let both = fidelity(scenario, 1, command, folder.path()).expect("played");
+    let scenario = std::rc::Rc::unwrap_or_clone(parse(SCENARIO));
+    let both = fidelity(scenario, 1, command, folder.path()).expect("the scenario runs");
     assert!(both.virt.broken.is_empty() && both.live.broken.is_empty(), "{both}");
-    // Only what was out, or unanswered, when a process was killed can be lost to chance of timing.
+    // Only messages that were in flight or unanswered when a process was killed may differ because of
+    // timing.
     let orders = both.virt.score.counts.orders;
     assert!(orders > 100 && orders == both.live.score.counts.orders, "{both}");
-    assert!(both.agree(0.1), "{both}");
+    assert!(both.agrees(0.1), "{both}");
 }
--- a/crates/rehearsal/tests/world/hard.rs
+++ b/crates/rehearsal/tests/world/hard.rs
@@ -1,12 +1,12 @@
-//! The hard cases: exact moments, calls that run when nobody waits any more, a full disk, a bad client.
+//! Edge cases: exact deadlines, calls that run after their caller gave up, a full disk, malformed requests.
 
-use crate::{DAY, play, shipped};
+use crate::{DAY, run_text, shipped};
 use notchpoint_rehearsal::Options;
 use notchpoint_rehearsal::checker::Rule;
 use std::fmt::Write;
 
-/// One sender, one partner, one message a second; `is` says what the partner is like.
-fn small(effect: &str, deadline: f64, is: &str, events: &str) -> String {
+/// A scenario with one sender, one partner and two messages; `is` is the partner's specification.
+fn small_scenario(effect: &str, deadline: f64, is: &str, events: &str) -> String {
     format!(
         "name = \"small\"\nduration_s = 6.0\n[senders]\ncount = 1\n[[class]]\nname = \"payment\"\n\
          effect = \"{effect}\"\nwanted_s = {deadline:?}\ndeadline_s = {deadline:?}\n\
@@ -16,115 +16,121 @@
 }
 
 #[test]
-fn an_answer_a_millisecond_before_the_deadline_counts_and_one_after_does_not() {
-    // The grain of time is a millisecond, and nothing else moves: the answer is there when the service ends.
+fn answer_a_millisecond_before_the_deadline_counts_and_one_after_does_not() {
+    // The resolution of time is one millisecond and nothing else takes time, so the answer arrives when the
+    // service ends.
     let of = |ms: u32| {
         let is = format!("service = {{ default = {{ mean_ms = {ms}.0, cv = 0.0 }} }}");
-        let (o, score, breaches) = play(&small("at_most_once", 2.0, &is, ""), 1, &Options::default());
+        let (o, score, breaches) =
+            run_text(&small_scenario("at_most_once", 2.0, &is, ""), 1, &Options::default());
         assert!(breaches.is_empty(), "{ms} ms: {}", breaches[0]);
         (score.counts.delivered, score.counts.notices, o.ledgers[0].effects.len())
     };
     assert_eq!(of(1_800), (2, 0, 2));
-    // Within 170 ms of the end an answer may not count, where the sender had been held up: a notice goes
-    // with it.
+    // Within 170 ms of the deadline an answer may not count, in case the sender was delayed, so a notice is
+    // sent as well.
     assert_eq!(of(1_980), (2, 2, 2));
-    // One that cannot come in time runs all the same: its effect counts, and nobody sends it again.
+    // A call that cannot be answered in time still runs: it takes effect, and the message is not resent.
     assert_eq!(of(2_001), (0, 2, 2));
-    // And the edge itself is at one place, the same each time.
+    // The boundary is sharp and the same in each run.
     let edge: Vec<usize> = (1_981..2_001).map(|ms| of(ms).0).collect();
     assert!(edge.is_sorted_by(|a, b| a >= b), "{edge:?}");
     assert_eq!(edge, (1_981..2_001).map(|ms| of(ms).0).collect::<Vec<_>>());
 }
 
 #[test]
-fn an_unsafe_call_that_runs_after_its_caller_gave_up_is_not_made_again() {
+fn unsafe_call_that_runs_after_its_caller_gave_up_is_not_repeated() {
     let events = "[[event]]\nat_s = 0.5\ndo = \"silent\"\npartner = \"bank\"\nfor_s = 7.0\n";
     let is = "service = { default = { mean_ms = 10.0, cv = 0.0 } }";
-    let (o, score, breaches) = play(&small("at_most_once", 4.0, is, events), 3, &Options::default());
+    let (o, score, breaches) =
+        run_text(&small_scenario("at_most_once", 4.0, is, events), 3, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
     let late = o.ledgers[0].effects.iter().filter(|e| e.abandoned).count();
-    assert!(late >= 1, "a call ran after its caller had gone");
+    assert!(late >= 1, "no call ran after its caller had closed");
     let mut ran: Vec<u64> = o.ledgers[0].effects.iter().map(|e| e.message).collect();
     ran.sort_unstable();
     ran.dedup();
-    assert_eq!(ran.len(), o.ledgers[0].effects.len(), "each ran once");
+    assert_eq!(ran.len(), o.ledgers[0].effects.len(), "each message must run once");
     assert!(score.counts.notices > 0);
 }
 
 #[test]
-fn a_keyed_message_is_not_refused_as_harmless_where_its_partner_forgets() {
-    // Partners drop repeats for two seconds, and clients come again with eight: refused, it would run twice.
+fn keyed_message_is_not_refused_when_the_partner_may_have_forgotten_its_key() {
+    // Partners drop repeats for two seconds, but clients resubmit for eight: a message that was refused as
+    // not delivered could run twice.
     let day = DAY.replace("memory_s = 60.0", "memory_s = 2.0");
     for seed in 1..=4 {
-        let (_, _, breaches) = play(&day, seed, &Options::default());
+        let (_, _, breaches) = run_text(&day, seed, &Options::default());
         assert!(breaches.is_empty(), "seed {seed}: {}", breaches[0]);
     }
 }
 
 #[test]
-fn a_refusal_without_a_hint_is_no_reason_to_hammer() {
+fn refusals_without_a_hint_do_not_cause_excessive_calls() {
     let is = "rate_per_s = 1.0, burst = 1.0, hint = false, service = { default = { mean_ms = 5.0 } }";
-    let mut text = small("idempotent", 4.0, is, "");
+    let mut text = small_scenario("idempotent", 4.0, is, "");
     text = text.replace("count = 2\n", "rate_per_s = 30.0\n");
-    let (o, score, breaches) = play(&text, 1, &Options::default());
+    let (o, score, breaches) = run_text(&text, 1, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
     let calls = &o.ledgers[0].calls;
     assert!(score.counts.refused > 0 && calls.iter().all(|c| c.retry_after.is_none()));
-    assert!(calls.len() < 180 * 2, "{} calls for 180 messages and ten that pass", calls.len());
+    assert!(calls.len() < 180 * 2, "{} calls for 180 messages, of which ten can pass", calls.len());
 }
 
 #[test]
-fn a_full_folder_refuses_new_work_and_loses_none() {
+fn full_folder_refuses_new_messages_and_loses_none() {
     let day = format!("{DAY}[[event]]\nat_s = 8.0\ndo = \"disk_full\"\nsender = 1\nfor_s = 3.0\n");
-    let (o, _, breaches) = play(&day, 5, &Options::default());
+    let (o, _, breaches) = run_text(&day, 5, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
-    let messages = o.book.messages.borrow();
-    let within = |m: &&notchpoint_rehearsal::book::Message| {
-        m.sender == 1 && (8_100_000..10_900_000).contains(&m.handed)
+    let messages = o.observations.messages.borrow();
+    let within = |m: &&notchpoint_rehearsal::observations::Message| {
+        m.sender == 1 && (8_100_000..10_900_000).contains(&m.submitted_at)
     };
     let refused = messages.values().filter(within).filter(|m| m.answered.is_some_and(|a| a.1 == 503)).count();
     assert!(refused > 10, "{refused} refused while the folder was full");
 }
 
 #[test]
-fn bad_clients_get_an_error_or_a_close_and_good_ones_their_answers() {
+fn bad_clients_get_an_error_or_a_close_and_good_clients_their_answers() {
     let day = format!("{DAY}[[bad_client]]\nrate_per_s = 10.0\n");
-    let (o, score, breaches) = play(&day, 2, &Options::default());
+    let (o, score, breaches) = run_text(&day, 2, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
-    assert!(o.book.bad.borrow().len() >= 190 && score.kept > 0.6, "{score:?}");
+    assert!(o.observations.bad_requests.borrow().len() >= 190 && score.kept > 0.6, "{score:?}");
 }
 
 #[test]
-fn a_destination_that_falls_over_is_said_to_have() {
-    // The model, not a sender, is at fault here: it falls at a tenth of what it can do.
+fn overloaded_destination_is_reported() {
+    // The model causes this failure, not a sender: it fails from overload at a tenth of its capacity.
     let day = DAY
         .replace("fall_multiple = 1.5", "fall_multiple = 1.0")
         .replace("start_share = 0.1", "start_share = 0.01");
     let found = (1..6).any(|seed| {
-        let (o, _, breaches) = play(&day, seed, &Options::default());
-        let fell: usize = o.ledgers.iter().map(|l| l.overload_failures.len()).sum();
-        assert_eq!(fell, breaches.iter().filter(|b| b.rule == Rule::ReturningNotPushed).count());
-        fell > 0
+        let (o, _, breaches) = run_text(&day, seed, &Options::default());
+        let overload_failures: usize = o.ledgers.iter().map(|l| l.overload_failures.len()).sum();
+        assert_eq!(overload_failures, breaches.iter().filter(|b| b.rule == Rule::ReturningNotPushed).count());
+        overload_failures > 0
     });
-    println!("fell over: {found}");
+    println!("failed from overload: {found}");
 }
 
 #[test]
-fn what_hunts_have_found_stays_mended() {
-    // Messages of a quiet moment got their notice up to two seconds late: a wake was lost between two clocks.
+fn breaches_found_by_hunts_stay_fixed() {
+    // Regression test: messages that arrived during a quiet period received their notice up to two seconds
+    // late, because a wake-up was lost between two clocks.
     let mut calm = crate::shipped("calm.toml");
     let _ = write!(
         calm,
         "\n[[event]]\nat_s = 56.813\ndo = \"die\"\npartner = \"merchant\"\ndestination = 0\nfor_s = 10.209\n"
     );
-    let (_, _, breaches) = play(&calm, 41, &Options::default());
+    let (_, _, breaches) = run_text(&calm, 41, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
 }
 
 #[test]
-fn a_list_that_moved_while_its_sender_was_cut_off_is_read_before_what_it_says_counts_as_told() {
-    // A connection begun in the cut never comes up. Waited for as long as for a silent watch, the list came
-    // after what had closed counted as told (hunt of copies-calm, seed 1768).
-    let (_, _, breaches) = play(&shipped("moved-in-a-cut.toml"), 1_768, &Options::default());
+fn list_that_moved_while_its_sender_was_cut_off_is_read_in_time() {
+    // Regression test: a connection started during the cut is never established. When the sender waited for
+    // it as long as for a silent watch, it received the list only after the list change counted as received
+    // (hunt of copies-calm, seed 1768).
+    let (_, _, breaches) = run_text(&shipped("moved-in-a-cut.toml"), 1_768, &Options::default());
     assert!(breaches.is_empty(), "{}", breaches[0]);
 }
--- a/crates/rehearsal/tests/world/limits.rs
+++ b/crates/rehearsal/tests/world/limits.rs
@@ -1,9 +1,9 @@
-//! What limits are learned from, in whole runs: shapes in which worth was once lost.
+//! Whole runs that guard against errors in the learned limits which once cost worth.
 
-use crate::play;
+use crate::run_text;
 use notchpoint_rehearsal::Options;
 
-/// Two classes that share calls, and a partner that fails to answer some of them.
+/// Two classes that share calls, and a partner that does not answer some of them.
 const SILENT: &str = r#"
 name = "some silent"
 duration_s = 10.0
@@ -42,10 +42,11 @@
 "#;
 
 #[test]
-fn answers_that_fail_to_come_do_not_bar_both_endpoints() {
-    // Guards against 0.50: nine tenths of the waiting was for endpoints that rested, both, for eight seconds.
+fn missing_answers_do_not_block_both_endpoints() {
+    // Regression test: the share of worth kept was 0.50, because nine tenths of the waiting time was for
+    // endpoints that were both paused for eight seconds.
     let kept = (1..=6).map(|seed| {
-        let (_, score, breaches) = play(SILENT, seed, &Options::default());
+        let (_, score, breaches) = run_text(SILENT, seed, &Options::default());
         assert!(breaches.is_empty(), "seed {seed}: {}", breaches[0]);
         score.kept
     });
--- a/crates/rehearsal/tests/world/main.rs
+++ b/crates/rehearsal/tests/world/main.rs
@@ -1,8 +1,8 @@
-//! Whole runs in virtual time: determinism, mutants, hard cases, and what hunts have found.
+//! Whole runs in virtual time: determinism, mutants, edge cases, and regressions found by hunts.
 
-mod blind;
 mod copies;
 mod determinism;
+mod faulty_environment;
 mod fidelity;
 mod hard;
 mod limits;
@@ -12,11 +12,11 @@
 
 use notchpoint_rehearsal::checker::{Breach, check};
 use notchpoint_rehearsal::score::{Score, score};
-use notchpoint_rehearsal::{Options, Outcome, Scenario, run, scenario};
+use notchpoint_rehearsal::{Options, RunResult, Scenario, run, scenario};
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// A shipped scenario's text.
+/// Returns the text of a shipped scenario.
 pub fn shipped(name: &str) -> String {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../rehearsals").join(name);
     std::fs::read_to_string(path).expect("a shipped scenario")
@@ -26,15 +26,15 @@
     Rc::new(scenario::parse(text, "test.toml", PathBuf::new()).unwrap_or_else(|e| panic!("{e}")))
 }
 
-/// Plays it; gives what was seen and what it is worth.
-pub fn play(text: &str, seed: u64, options: &Options) -> (Outcome, Score, Vec<Breach>) {
-    let outcome = run(&parse(text), seed, options).expect("played");
-    let breaches = check(&outcome);
-    let score = score(&outcome, breaches.len());
-    (outcome, score, breaches)
+/// Runs a scenario. Returns the result, its score and its breaches.
+pub fn run_text(text: &str, seed: u64, options: &Options) -> (RunResult, Score, Vec<Breach>) {
+    let result = run(&parse(text), seed, options).expect("the scenario runs");
+    let breaches = check(&result);
+    let score = score(&result, breaches.len());
+    (result, score, breaches)
 }
 
-/// A day of twenty seconds with something of everything.
+/// A run of twenty seconds with every kind of class, partner and fault.
 pub const DAY: &str = r#"
 name = "day"
 duration_s = 20.0
@@ -88,7 +88,7 @@
 rate_per_s = 12.0
 burst = 2.0
 service = { default = { mean_ms = 80.0, cv = 0.4 } }
-# Takes one call in two seconds, and says so.
+# Takes one call in two seconds and sends Retry-After otherwise.
 [[partner]]
 name = "courier"
 hall = "south"
