--- a/crates/zones/src/lib.rs
+++ b/crates/zones/src/lib.rs
@@ -13,6 +13,7 @@
 //! - `evacuation`: how far a zone is evacuated, and the transitions between these states. Each sender runs
 //!   the same state machine; it has no notion of time, so that a model checker can explore all its states.
 //! - `return_schedule`: the steps of a return to a zone, and which senders send probes.
+//! - `state_machine`: [`ZoneStateMachine`], which brings these together.
 //!
 //! Points in time are in microseconds. The caller chooses the origin of its clock, and the times of two
 //! clocks are never compared.
