--- a/crates/daemon/tests/fleet/fleet.rs
+++ b/crates/daemon/tests/fleet/fleet.rs
@@ -74,7 +74,7 @@
     streams: &Mutex<Vec<TcpStream>>,
     count: &Arc<AtomicU64>,
 ) {
-    // The connection itself is made over a cut too; its bytes are held until the cut is healed.
+    // The connection itself is made over a cut too; its bytes are held while the cut lasts.
     let Ok(far) = TcpStream::connect(to) else { return };
     let duplicate = |s: &TcpStream| s.try_clone().expect("a handle");
     streams.lock().expect("not poisoned").extend([duplicate(&near), duplicate(&far)]);
@@ -204,6 +204,7 @@
     pub down_destinations: Option<BTreeSet<u64>>,
     /// The time, zone and destination of each call, whether or not it was answered.
     pub call_log: Vec<(Instant, char, u64)>,
+    /// What all endpoints do; they serve if it is not set.
     pub behavior: Option<Behavior>,
     /// For each message: how often it ran, whether that was answered, and how often it was called.
     pub runs: BTreeMap<String, usize>,
@@ -293,10 +294,12 @@
 }
 
 impl Fleet {
+    /// Starts a fleet with the default options.
     pub fn new(senders: usize, copies: usize) -> Self {
         Self::with(&FleetOptions::of(senders, copies))
     }
 
+    /// Starts a fleet and waits until all senders listen.
     pub fn with(options: &FleetOptions<'_>) -> Self {
         let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
         let base = (std::process::id() % 200 + 20) as u8;
@@ -743,8 +746,8 @@
 
     /// Waits until all senders report that another loss can be borne.
     pub fn wait_until_redundant(&self) {
-        let whole = |i| self.status(i).is_some_and(|s| s["bears_another_loss"] == true);
-        wait_until("another loss can be borne", || (0..self.senders.len()).all(whole));
+        let is_redundant = |i| self.status(i).is_some_and(|s| s["bears_another_loss"] == true);
+        wait_until("another loss can be borne", || (0..self.senders.len()).all(is_redundant));
     }
 
     /// Returns how many lines of a sender's log contain this text.
--- a/crates/daemon/tests/sockets/growth.rs
+++ b/crates/daemon/tests/sockets/growth.rs
@@ -44,7 +44,7 @@
 /// Runs the same traffic with so many endpoints, some of which are replaced repeatedly.
 fn measure(endpoints: usize) -> ResourceUse {
     let partner = Endpoint::new(|_| response("200 OK", "", ""));
-    let (dests, replaced) = (endpoints / 2, REPLACED * endpoints / USUAL);
+    let (destinations, replaced) = (endpoints / 2, REPLACED * endpoints / USUAL);
     let entry = |number: usize, dest: usize, phase: &str| {
         member(&format!("s-{number}"), partner.address, "shop", dest as u64, phase)
     };
@@ -54,7 +54,7 @@
     for id in 1..=MESSAGES {
         let changes: Vec<String> = (0..replaced)
             .flat_map(|_| {
-                let dest = oldest / 2 % dests;
+                let dest = oldest / 2 % destinations;
                 (oldest, next) = (oldest + 1, next + 1);
                 [entry(next - 1, dest, "up"), entry(oldest - 1, dest, "removed")]
             })
--- a/crates/daemon/tests/sockets/operations.rs
+++ b/crates/daemon/tests/sockets/operations.rs
@@ -183,7 +183,8 @@
     let mut client = Client::new(node.address);
     client.write_raw(b"POST /update HTTP/1.1\r\nHost: api\r\nContent-Length: 4\r\n");
     node.terminate();
-    // A second client observes that new connections are no longer accepted.
+    // The close of a second, idle connection shows that the drain is past the time in which connections still
+    // arrive.
     assert!(Client::new(node.address).is_closed());
     std::thread::sleep(Duration::from_millis(300));
     let id = format!("{:016x}", 1);
--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -662,6 +662,7 @@
         Self(BufReader::new(stream))
     }
 
+    /// Sends a request without reading the response.
     pub fn send(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) {
         let mut text = format!("{line} HTTP/1.1\r\nHost: api.internal\r\nContent-Length: {}\r\n", body.len());
         headers.iter().for_each(|(name, value)| text += &format!("{name}: {value}\r\n"));
@@ -670,11 +671,13 @@
         let _ = self.0.get_mut().write_all(&bytes);
     }
 
+    /// Sends a request and returns the response.
     pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
         self.send(line, headers, body);
         read_message(&mut self.0, 0).expect("a response")
     }
 
+    /// Submits a message and returns the response.
     pub fn submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
         let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
         let headers = headers(&id, class, &ms, &dest);
@@ -690,6 +693,7 @@
         read_message(&mut self.0, 0).map(|response| response.status())
     }
 
+    /// Writes these bytes to the connection.
     pub fn write_raw(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("written");
     }
