--- a/crates/emulator/src/partner.rs
+++ b/crates/emulator/src/partner.rs
@@ -244,8 +244,8 @@
         }
         let work = self.draw_service_time(&messages);
         let record = call.0 as usize;
-        let waiting = Call { record, endpoint, messages, work, ends_at: None, is_abandoned: false };
-        self.calls.insert(call, waiting);
+        self.calls
+            .insert(call, Call { record, endpoint, messages, work, ends_at: None, is_abandoned: false });
         if is_busy {
             self.endpoints[endpoint].queue.push_back(call);
         } else {
--- a/crates/faults/src/lib.rs
+++ b/crates/faults/src/lib.rs
@@ -13,80 +13,81 @@
 use std::process::Command;
 use std::time::Duration;
 
-/// Names the control file to the shim.
+/// Environment variable with the path of the control file, which the shim reads.
 pub const CONTROL_VARIABLE: &str = "NOTCHPOINT_FAULTS";
-/// File name of the shim, as cargo builds it.
+/// File name of the shim as cargo builds it.
 pub const SHIM_FILE_NAME: &str = "libnotchpoint_faults_shim.so";
-/// Words in the control file: one setting for each [`Fault`], and behind them one counter for each.
+/// Number of words in the control file: a setting for each [`Fault`], followed by a counter for each.
 pub const CONTROL_WORDS: usize = 32;
-/// Where the counters begin.
+/// Offset of the first counter in the control file, in words.
 pub const FIRST_COUNTER: usize = 16;
-/// Probabilities are given in thousandths.
+/// Probability with which every call fails. Probabilities are in thousandths.
 pub const ALWAYS: u32 = 1_000;
 
+/// Size of a word of the control file.
 const WORD_BYTES: usize = 8;
 
-/// What can be made to fail, by its place in the control file.
+/// A kind of fault, with its offset in the control file in words.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(usize)]
 pub enum Fault {
-    /// Microseconds that are added to the wall clock, as a signed number.
+    /// Offset of the wall clock in microseconds, as a signed number.
     WallClockOffset = 0,
     /// `connect` to an IPv4 address.
     Connect = 1,
     /// `write` to a regular file.
     FileWrite = 2,
-    /// Thousandths of the failing writes that leave half of their bytes behind.
+    /// Thousandths of the failing writes that still write half of their bytes.
     PartialWrite = 3,
     /// `fsync` and `fdatasync`.
     Sync = 4,
-    /// `rename`, `unlink`, `ftruncate` and opening for writing.
+    /// `rename`, `unlink`, `ftruncate`, and `open` for writing.
     FileOperation = 5,
     /// `accept4`.
     Accept = 6,
-    /// `setsockopt` of `TCP_NODELAY`.
+    /// `setsockopt` with `TCP_NODELAY`.
     NoDelay = 7,
     /// `recv` and `send` on a socket.
     SocketIo = 8,
-    /// Thousandths of the `recv` and `send` calls that handle one byte only.
+    /// Thousandths of the `recv` and `send` calls that transfer only one byte.
     ShortIo = 9,
     /// `pthread_create`.
     ThreadCreate = 10,
-    /// Opening a file for reading, and `read` from a regular file.
+    /// `open` for reading, and `read` from a regular file.
     FileRead = 11,
     /// `socket`.
     Socket = 12,
     /// `epoll_ctl` that adds a descriptor.
     EpollAdd = 13,
-    /// Microseconds that each `write` to a regular file takes longer, once its bytes are written.
+    /// Microseconds by which each `write` to a regular file is delayed after its bytes are written.
     SlowWrite = 14,
 }
 
 impl Fault {
-    /// Offset of its counter in the control file, in words.
+    /// Returns the offset of its counter in the control file, in words.
     pub const fn counter(self) -> usize {
         FIRST_COUNTER + self as usize
     }
 }
 
-/// Packs an error number and how often it is given.
+/// Packs an error number and its probability in thousandths into a setting.
 pub const fn pack_setting(errno: i32, per_mille: u32) -> u64 {
     ((errno as u64) << 32) | per_mille as u64
 }
 
 /// Splits a packed setting into the error number and the probability in thousandths.
-pub const fn unpack_setting(word: u64) -> (i32, u32) {
-    ((word >> 32) as i32, word as u32)
+pub const fn unpack_setting(setting: u64) -> (i32, u32) {
+    ((setting >> 32) as i32, setting as u32)
 }
 
-/// The control file of one process under test. All faults are off at first.
+/// The control file of one process under test. All faults are off at the start.
 #[derive(Debug)]
 pub struct FaultController {
     file: File,
 }
 
 impl FaultController {
-    /// Makes a control file.
+    /// Creates a control file.
     ///
     /// # Errors
     /// The file cannot be written.
@@ -96,15 +97,16 @@
         Ok(Self { file })
     }
 
-    /// Makes a call fail with this error number, so many times in a thousand; 0 to let it succeed again.
+    /// Makes calls fail with this error number and this probability in thousandths. With 0 they succeed
+    /// again.
     ///
     /// # Errors
     /// The control file cannot be written.
-    pub fn fail(&self, what: Fault, errno: i32, per_mille: u32) -> io::Result<()> {
-        self.write(what as usize, pack_setting(errno, per_mille))
+    pub fn fail(&self, fault: Fault, errno: i32, per_mille: u32) -> io::Result<()> {
+        self.write(fault as usize, pack_setting(errno, per_mille))
     }
 
-    /// Sets how far the wall clock is off, in microseconds.
+    /// Sets the offset of the wall clock in microseconds.
     ///
     /// # Errors
     /// The control file cannot be written.
@@ -112,15 +114,15 @@
         self.write(Fault::WallClockOffset as usize, micros as u64)
     }
 
-    /// Has each write to a regular file take so much longer; nothing to have it as quick as it is.
+    /// Delays each write to a regular file by this time. Zero ends the delay.
     ///
     /// # Errors
     /// The control file cannot be written.
-    pub fn delay_writes(&self, by: Duration) -> io::Result<()> {
-        self.write(Fault::SlowWrite as usize, by.as_micros() as u64)
+    pub fn delay_writes(&self, delay: Duration) -> io::Result<()> {
+        self.write(Fault::SlowWrite as usize, delay.as_micros() as u64)
     }
 
-    /// Lets everything succeed again; the wall clock stays where it is.
+    /// Turns all faults off, except for the offset of the wall clock.
     ///
     /// # Errors
     /// The control file cannot be written.
@@ -128,13 +130,13 @@
         (Fault::Connect as usize..FIRST_COUNTER).try_for_each(|word| self.write(word, 0))
     }
 
-    /// How often a fault was injected since the control file was made.
+    /// Returns how many times a fault has been injected since the control file was created.
     ///
     /// # Errors
     /// The control file cannot be read.
-    pub fn injected_count(&self, what: Fault) -> io::Result<u64> {
+    pub fn injected_count(&self, fault: Fault) -> io::Result<u64> {
         let mut bytes = [0; WORD_BYTES];
-        self.file.read_exact_at(&mut bytes, (what.counter() * WORD_BYTES) as u64)?;
+        self.file.read_exact_at(&mut bytes, (fault.counter() * WORD_BYTES) as u64)?;
         Ok(u64::from_ne_bytes(bytes))
     }
 
@@ -143,21 +145,27 @@
     }
 }
 
-/// Has a command run under the shim, with this control file.
+/// Configures a command to run with the shim and this control file.
 ///
 /// # Errors
-/// The shim has not been built beside this program.
+/// The shim is not in the folder of this program.
 pub fn preload(control: &Path, command: &mut Command) -> io::Result<()> {
     command.env("LD_PRELOAD", shim()?).env(CONTROL_VARIABLE, control);
     Ok(())
 }
 
-/// Finds the shim beside the running program, where cargo puts both.
+/// Returns the path of the shim. It is searched in the folder of the running program and in the one above it,
+/// and in their subfolders `deps`, which is where cargo writes it.
 fn shim() -> io::Result<PathBuf> {
     let program = std::env::current_exe()?;
     let folders = program.ancestors().skip(1).take(2);
-    let places =
+    let candidates =
         folders.flat_map(|folder| [folder.join(SHIM_FILE_NAME), folder.join("deps").join(SHIM_FILE_NAME)]);
-    let missing = || io::Error::new(io::ErrorKind::NotFound, format!("{SHIM_FILE_NAME} has not been built"));
-    places.into_iter().find(|place| place.exists()).ok_or_else(missing)
+    let missing = || {
+        io::Error::new(
+            io::ErrorKind::NotFound,
+            format!("{SHIM_FILE_NAME} was not found beside the program: it has not been built"),
+        )
+    };
+    candidates.into_iter().find(|candidate| candidate.exists()).ok_or_else(missing)
 }
--- a/crates/soak/src/sender.rs
+++ b/crates/soak/src/sender.rs
@@ -216,7 +216,8 @@
         self.stop();
     }
 
-    /// Kills its process directly after the next acknowledgement that a client receives, and starts it again.
+    /// Kills its process directly after the next acknowledgement (202) that a client receives, and starts it
+    /// again.
     ///
     /// # Errors
     /// The process cannot be started again.
