--- a/crates/emulator/src/partner.rs
+++ b/crates/emulator/src/partner.rs
@@ -123,7 +123,7 @@
     random: Pcg64Mcg,
 }
 
-/// Maximum of call times that are stored for an endpoint. More calls in one window exceed any limit.
+/// Maximum number of call times that are stored for an endpoint. More calls in one window exceed any limit.
 const MAX_RECENT_CALLS: usize = 100_000;
 /// Number of stored deduplication keys from which on expired ones are removed.
 const MAX_DEDUP_KEYS: usize = 1_000_000;
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -15,7 +15,7 @@
     pub service: BTreeMap<String, Service>,
     /// Service time that each further message of a call adds, as a share of the service time of a call.
     pub each_more: f64,
-    /// Maximum of calls a second over all endpoints and senders. Calls above it are refused with 429.
+    /// Maximum number of calls a second over all endpoints and senders. Calls above it are refused with 429.
     pub rate_per_s: Option<f64>,
     /// Calls that `rate_per_s` allows at once.
     pub burst: f64,
@@ -31,11 +31,11 @@
     pub error_share: f64,
     /// Share of those errors whose messages took effect nevertheless.
     pub error_ran_share: f64,
-    /// Maximum of open connections. Further ones are closed as soon as they are accepted.
+    /// Maximum number of open connections. Further ones are closed as soon as they are accepted.
     pub connections: u32,
     /// Seconds after which an idle connection is closed.
     pub idle_s: f64,
-    /// Maximum of messages in one call.
+    /// Maximum number of messages in one call.
     pub bundle: u32,
     /// Whether a call in the queue runs even if its caller has closed the connection. One in service always
     /// does.
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -14,7 +14,7 @@
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400 + 200);
 /// Time from the submission of a message to its deadline.
 pub const MESSAGE_TIME: Duration = Duration::from_secs(6);
-/// Maximum of connections that a client keeps open.
+/// Maximum number of connections that a client keeps open.
 const MAX_KEPT_CONNECTIONS: usize = 3;
 
 static NEXT_ID: AtomicU64 = AtomicU64::new(1);
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -7,9 +7,9 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Maximum of open descriptors of a sender.
+/// Maximum number of open descriptors of a sender.
 pub const DESCRIPTORS: usize = 256;
-/// Maximum of memory of a sender, in megabytes.
+/// Maximum memory of a sender, in megabytes.
 pub const MEMORY_MB: u64 = 192;
 /// Capacity of a destination as a multiple of the messages that are submitted for it. The other parameters of
 /// its slow start are in the section `safety` of the configuration.
--- a/crates/soak/src/observations.rs
+++ b/crates/soak/src/observations.rs
@@ -24,7 +24,7 @@
 /// Time that is added to limits for the transfer over sockets.
 const SOCKET_SLACK: Duration = Duration::from_millis(50);
 
-/// Maximum of senders that are listed in a violation of the slow start.
+/// Maximum number of senders that are listed in a violation of the slow start.
 const MAX_LISTED_SENDERS: usize = 8;
 
 /// Whether a message may be carried out more than once.
@@ -38,7 +38,7 @@
     AtMostOnce,
 }
 
-/// A broken rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
     /// Name of the rule.
