--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -367,8 +367,8 @@
             self.warnings.warn(&format_args!("cannot open a connection to an endpoint, local error: {why}"));
         }
         let open = call.connection.borrow_mut().take();
-        if let Some(c) = open {
-            c.close().await;
+        if let Some(connection) = open {
+            connection.close().await;
         }
         removed.extend(call.waiting.take());
         for item in removed {
@@ -427,6 +427,7 @@
         Some(now + left.saturating_sub(DEADLINE_MARGIN))
     }
 
+    /// Ends an attempt that was made here: it can no longer be cancelled.
     fn report_end(&self, endpoint: EndpointId, item: &CallItem, end: AttemptEnd) {
         self.cancels.borrow_mut().remove(&(item.id, item.attempt));
         self.record_end(endpoint, (item.id, item.attempt), end);
@@ -451,12 +452,13 @@
         } else if outcome.never_ran() {
             journal.record_never_ran(id, attempt);
         }
-        if let (Outcome::Full { wait: Some(wait) }, Some(t)) = (outcome, self.targets.borrow().get(&endpoint))
+        if let (Outcome::Full { wait: Some(wait) }, Some(target)) =
+            (outcome, self.targets.borrow().get(&endpoint))
         {
             let until = Instant::now() + Duration::from_micros(wait);
             let mut waits = self.route_waits.borrow_mut();
-            let w = waits.entry(t.route(endpoint)).or_insert(until);
-            *w = until.max(*w);
+            let route_wait = waits.entry(target.route(endpoint)).or_insert(until);
+            *route_wait = until.max(*route_wait);
         }
         if let Some(zone_monitor) = &*self.zone_monitor.borrow() {
             zone_monitor.record_outcome(endpoint, outcome, age);
--- a/crates/daemon/src/operators/flight_recorder.rs
+++ b/crates/daemon/src/operators/flight_recorder.rs
@@ -44,15 +44,15 @@
                 dumps: Cell::new(0),
             })
         };
-        let fail = |e: &dyn std::fmt::Display| format!("recorder: {}: {e}", folder.display());
+        let describe = |e: &dyn std::fmt::Display| format!("recorder: {}: {e}", folder.display());
         let (store, existing): (Box<dyn notchpoint_recorder::store::SegmentStore>, _) = match settings.store {
             RecorderStore::Off => return Ok(flight(None)),
             RecorderStore::Memory => {
-                fs::create_dir_all(&folder).map_err(|e| fail(&e))?;
+                fs::create_dir_all(&folder).map_err(|e| describe(&e))?;
                 (Box::new(MemoryStore::default()), Vec::new())
             }
             RecorderStore::Folder => {
-                let (store, existing) = FolderStore::open(&folder).map_err(|e| fail(&e))?;
+                let (store, existing) = FolderStore::open(&folder).map_err(|e| describe(&e))?;
                 (Box::new(store), existing)
             }
         };
@@ -63,8 +63,9 @@
             settings: config.settings.clone(),
             seed: config.seed,
         };
-        let begun = Recorder::start(options, store, &existing, crate::input::CLOCK_START, clock.unix_now());
-        let flight = flight(Some(begun.map_err(|e| fail(&e))?));
+        let recorder =
+            Recorder::start(options, store, &existing, crate::input::CLOCK_START, clock.unix_now());
+        let flight = flight(Some(recorder.map_err(|e| describe(&e))?));
         tracing::info!("{settings}");
         Ok(flight)
     }
@@ -129,14 +130,14 @@
             self.clock.unix_now(),
             self.dumps.get() % 1_000
         ));
-        let half = path.with_extension("half");
-        let written = File::create(&half).and_then(|file| {
+        let partial = path.with_extension("half");
+        let written = File::create(&partial).and_then(|file| {
             let mut file = BufWriter::new(file);
             recorder.dump(&mut file)?;
             file.flush()?;
-            fs::rename(&half, &path)
+            fs::rename(&partial, &path)
         });
-        written.inspect_err(|_| drop(fs::remove_file(&half)))?;
+        written.inspect_err(|_| drop(fs::remove_file(&partial)))?;
         Ok(Some(path))
     }
 
@@ -146,9 +147,9 @@
             return;
         }
         AT_PANIC.with_borrow_mut(|f| *f = Some(self.clone()));
-        let before = std::panic::take_hook();
+        let previous_hook = std::panic::take_hook();
         std::panic::set_hook(Box::new(move |panic| {
-            before(panic);
+            previous_hook(panic);
             let flight = AT_PANIC.try_with(|f| f.try_borrow().ok().and_then(|f| f.clone())).ok().flatten();
             match flight.map(|f| f.dump()) {
                 Some(Ok(Some(path))) => tracing::warn!("recording written to {}", path.display()),
@@ -168,13 +169,13 @@
     #[test]
     fn a_panic_dumps_the_recording() {
         let folder = tempfile::tempdir().expect("a folder");
-        let set = operator::RecorderSettings {
+        let settings = operator::RecorderSettings {
             store: RecorderStore::Memory,
             folder: Some(folder.path().to_owned()),
             limit_mb: 1.0,
         };
         let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
-        let flight = FlightRecorder::open(&set, &config, Rc::new(SystemClock)).expect("begun");
+        let flight = FlightRecorder::open(&settings, &config, Rc::new(SystemClock)).expect("begun");
         flight.dump_on_panic();
         let mut sender = Sender::new(config.settings.clone(), config.seed).expect("sound");
         let mut actions = Vec::new();
@@ -197,13 +198,13 @@
     fn a_recording_that_cannot_be_written_ends_and_turns_continue() {
         let folder = tempfile::tempdir().expect("a folder");
         let path = folder.path().join("recording");
-        let set = operator::RecorderSettings {
+        let settings = operator::RecorderSettings {
             store: RecorderStore::Folder,
             folder: Some(path.clone()),
             limit_mb: 0.25,
         };
         let config = crate::settings::config::read(crate::settings::config::tests::TEXT).expect("sound");
-        let flight = FlightRecorder::open(&set, &config, Rc::new(SystemClock)).expect("begun");
+        let flight = FlightRecorder::open(&settings, &config, Rc::new(SystemClock)).expect("begun");
         // Without the folder the next segment cannot be created.
         fs::remove_dir_all(&path).expect("removed");
         let mut sender = Sender::new(config.settings.clone(), config.seed).expect("sound");
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -701,6 +701,7 @@
         self.inbound.successor.borrow_mut().take();
     }
 
+    /// Processes a frame of the owner.
     fn process_frame(&self, frame: Frame) {
         match frame {
             Frame::CancelAttempt { id, attempt } => self.inbound.calls.cancel(id, attempt),
@@ -735,6 +736,7 @@
 }
 
 impl SignalHandler {
+    /// Directs signals to a new session.
     fn start_session(
         &self,
         text: &str,
@@ -822,6 +824,7 @@
         }
     }
 
+    /// Retries the reload until the configuration can be read.
     async fn retry_reload(self: Rc<Self>, source: Rc<ConfigSource>) {
         while self.is_reload_pending.get() {
             sleep(CONFIG_RETRY_INTERVAL).await;
