--- a/crates/copies/src/witness.rs
+++ b/crates/copies/src/witness.rs
@@ -199,7 +199,7 @@
         if closed {
             return Err(Rejection::GroupClosed);
         }
-        // This witness has not received the claim of a later term, and must not vouch for it.
+        // This witness has not received the claim of a later term, and must not record anything in that term.
         if term != FIRST_TERM || caller != key.group.owner {
             return Err(Rejection::UnknownGroup);
         }
--- a/crates/daemon/src/clients/connection_table.rs
+++ b/crates/daemon/src/clients/connection_table.rs
@@ -110,7 +110,7 @@
         !self.requests.borrow().has_unserved() && self.stream.has_no_unread_data()
     }
 
-    /// Ends the connection without reading any more. The client sends a request that crosses the end again,
+    /// Ends the connection without reading any more. If a request crosses the end, the client sends it again
     /// on a new connection.
     fn evict(&self) {
         self.evicted.set();
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -167,9 +167,9 @@
 /// Messages that are still open in an earlier session of this process.
 #[derive(Default)]
 struct OpenElsewhere {
-    /// They have an attempt in flight there.
+    /// Those that have an attempt in flight there.
     attempts: BTreeSet<MessageId>,
-    /// Their clients have not received the acknowledgement yet.
+    /// Those whose clients have not received the acknowledgement yet.
     unacknowledged: BTreeSet<MessageId>,
 }
 
@@ -531,8 +531,8 @@
         let used = journal.iter().map(|(_, m)| m.class.as_str()).collect();
         ActiveSettings::new(config, journal.stored_classes(), &used)
     };
-    // If they cannot be stored, a message loses its class only by a change of that class together with a
-    // restart, so the start goes on.
+    // If the changes cannot be stored, a message loses its class only by a change of that class together with
+    // a restart, so the start goes on.
     if let Err(why) = journal.update_classes(&changes) {
         tracing::warn!("journal: cannot store the classes: {why}; they are known to this process only");
     }
--- a/crates/daemon/tests/sockets/handover.rs
+++ b/crates/daemon/tests/sockets/handover.rs
@@ -275,7 +275,7 @@
 }
 
 /// Returns a predecessor that has read the beginning of payment 1, and a successor whose write of the
-/// payment's record takes so long.
+/// payment's record takes this long.
 fn start_forwarding(by: Duration) -> (Endpoint, Node, FaultController, Client, Predecessor) {
     let endpoint = Endpoint::new(|_| ok());
     let (mut node, faults) =
@@ -331,7 +331,7 @@
     assert!(!has_run(&endpoint, 1), "it was never acknowledged");
 }
 
-/// Returns a process that serves again because its successor was killed, with payment 1, which has so much
+/// Returns a process that serves again because its successor was killed, with payment 1, which has this much
 /// time, in flight since before the hand-over.
 fn start_serving_again(time: Duration) -> (Endpoint, Node, Sender<Reply>) {
     let (endpoint, members, replies) = slow_endpoint();
--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -1,7 +1,7 @@
 //! All decisions of the library. Its interface (settings, events, actions) is in `src/interface.rs`.
 //!
-//! The main path is one fractional AIMD window for each route, after "Stop Hard-Coding Your Agent
-//! Concurrency: Let It Tune Itself From What It Observes". Everything else protects it.
+//! Calls are limited mainly by one fractional AIMD window for each route, after "Stop Hard-Coding Your Agent
+//! Concurrency: Let It Tune Itself From What It Observes". All other limits supplement it.
 
 use crate::interface::Outcome::{
     Cancelled, ConnectFailed, Failed, Full, Moot, NotSent, Reset, Served, Spoilt, TimedOut,
@@ -39,7 +39,7 @@
 const MAX_BACKOFF: Micros = 4 * SEC;
 /// The backoff after a call that this side could not send: a retry at once would not help, and costs a call.
 const LOCAL_BACKOFF: Micros = 100 * MS;
-/// The factors that a served call and a note of a refusal apply to the pace.
+/// The factor that a served call applies to the pace. That of a note of refusals is `PACE_NOTE_CUT`.
 const PACE_GROWTH: f64 = 1.3;
 /// After this many refusals in a row a limit counts as overwhelmed, not just as reached.
 const OVERWHELMED_REFUSALS: u32 = 2;
@@ -76,9 +76,9 @@
 const CALL_TIME: Micros = 300 * MS;
 /// The weight of a message's worth beside the worth that it loses by waiting.
 const WORTH_WEIGHT: f64 = 0.2;
-/// A call without an answer is no sign of its destination if its connection had been idle for this long.
+/// An unanswered call is no sign of its destination's health if its connection had been idle for this long.
 const DOUBTFUL_IDLE: Micros = 500 * MS;
-/// A connection that is reset after less idle time was closed at that instant; its age is not learned.
+/// A connection that is reset after less idle time was closed at that instant; that time is not learned.
 const MIN_LEARNED_IDLE: Micros = 20 * MS;
 /// Connections are used up to this share of the idle time after which one was found closed.
 const TRUSTED_IDLE_SHARE: f64 = 0.75;
@@ -135,7 +135,7 @@
         self.breaker = Breaker::Open { since, until: now + wait, failed, probe: None, slow_start };
     }
 
-    /// Returns how many calls the window still admits. A call whose answer is lost takes no place in it.
+    /// Returns how many calls the window still admits. Calls whose answers are presumed lost do not count.
     fn free_window(&self) -> usize {
         let limit = if self.failures > 0 { 1 } else { self.window as u32 };
         limit.saturating_sub(self.in_flight - self.lost) as usize
@@ -144,7 +144,7 @@
 
 impl Endpoint {
     /// Counts a failure and backs off, doubling, from `from` failures on. Per class, it avoids endpoints that
-    /// fail one class, which the window does not show (bad releases, accounts). Faulty messages wait in vain.
+    /// fail one class, which the window does not show (bad releases, accounts). Faulty messages gain nothing.
     fn record_failure(&mut self, class: Option<usize>, now: Micros, from: u32) {
         let (failures, until) = self.backoffs.entry(class).or_default();
         if class.is_none() && now < *until {
@@ -224,7 +224,7 @@
         spent.map(|(&id, _)| id).collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(id));
     }
 
-    /// Operators restart what they take out of service, so it returns cold after an outage without calls.
+    /// Operators restart what they take out of service, so it returns cold, as from an outage without calls.
     fn set_service(&mut self, id: EndpointId, out_of_service: bool) {
         let (changed, other_live) = self.mark_service(id, out_of_service);
         let Some(e) = self.endpoints.get_mut(&id).filter(|_| changed && !out_of_service) else { return };
@@ -321,7 +321,7 @@
             (Effect::Idempotent, _) => (has_left && h.in_flight == 0, true),
             (Effect::Deduplicated, Some((since, _))) => {
                 let known = |span| self.now + span < since + c.dedup_window;
-                // Its client retries after the longest advice at the latest, with a whole new deadline.
+                // Its client retries after the longest advised wait at the latest, with a whole new deadline.
                 let is_safe =
                     c.dedup_scope == DedupScope::All && known(self.settings.max_retry_after + c.deadline);
                 (has_left && h.in_flight == 0 && known(MIN_OVERDUE), h.in_flight == 0 && is_safe)
@@ -352,7 +352,7 @@
         }
     }
 
-    /// Ends a message that cannot be sent again. A refusal comes early, so it advises the wait of a probe.
+    /// Ends a message that cannot be sent again. A refusal precedes the deadline, so it advises `PROBE_WAIT`.
     fn give_up(&mut self, id: MessageId) {
         let (refuse, retry_after) =
             (self.permitted(&self.held[&id]).1, PROBE_WAIT.min(self.settings.max_retry_after));
@@ -373,7 +373,7 @@
     }
 
     /// Opens the breaker of a route with an overdue call if none sent since was served. This detects hung
-    /// destinations before time-outs do; it may pause a route that has only a slow message until a probe.
+    /// destinations before time-outs do; a route with merely a slow message may be held back until a probe.
     fn detect_silence(&mut self) {
         let wait = self.jitter(PROBE_WAIT);
         let mut silent = Vec::new();
@@ -394,7 +394,7 @@
                 continue;
             }
             if self.now >= c.overdue_at && (DOUBTFUL_IDLE..MAX_TIME).contains(&c.idle) {
-                // An idle connection may have been dropped silently. It is blamed first, and connections idle
+                // An idle connection may have been dropped silently. This is assumed first, and those idle
                 // for as long are closed; a hung destination shows in the next call, on a new connection.
                 let old = if self.now < self.trusted_idle.1 { self.trusted_idle.0 } else { MAX_TIME };
                 self.trusted_idle = (old.min(c.idle * 3 / 4), self.now + FORGET_AFTER);
--- a/crates/policy/src/choice/guard.rs
+++ b/crates/policy/src/choice/guard.rs
@@ -70,8 +70,8 @@
             return Some(Hold::until_event(Guard::Zone));
         }
         let mut others = self.dests[&e.dest].endpoints.iter().map(|o| &self.endpoints[o]);
-        // In slow start beside endpoints that serve, it gets one call at a time, so that it is not
-        // overloaded.
+        // An endpoint in slow start gets one call at a time while others are not in slow start, so that it is
+        // not overloaded.
         if self.now < e.warm_up_until
             && e.in_flight > 0
             && others.any(|o| o.live && self.now >= o.warm_up_until)
@@ -94,12 +94,12 @@
         !is_full(e.zone) && !self.zone_due(e) && others.any(|o| o.live && is_full(o.zone))
     }
 
-    /// Returns whether the next call to its destination goes to the endpoint's zone.
+    /// Returns whether the next call to the endpoint's destination goes to the endpoint's zone.
     pub(super) fn zone_due(&self, e: &Endpoint) -> bool {
         self.zone_shares.get(&e.zone).is_some_and(|z| z.is_due(e.dest))
     }
 
-    /// Returns whether that call is the probe of the endpoint's zone.
+    /// Returns whether the next call to the endpoint's destination is the probe of the endpoint's zone.
     pub(super) fn is_zone_probe(&self, id: EndpointId) -> bool {
         let e = &self.endpoints[&id];
         self.zone_shares.get(&e.zone).is_some_and(|z| z.is_probe_due(e.dest))
--- a/crates/policy/src/choice/notes.rs
+++ b/crates/policy/src/choice/notes.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Sender {
-    /// Sends a note about a route to all other senders, since one of hundreds sees too little of a
-    /// destination. Notes are rare: what was sent or received recently is not sent again.
+    /// Sends a note about a route to all other senders, since one sender of hundreds sees too
+    /// little of a destination. Notes are rare: what was sent or received recently is not sent again.
     pub(super) fn send_note(&mut self, route: RouteId, report: Report) {
         let Some(r) = self.routes.get_mut(&route) else { return };
         let last = if matches!(report, Report::Full | Report::Scarce) {
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -168,8 +168,8 @@
             let end = now + w.min(MAX_TIME);
             r.paused_until = r.paused_until.max(end + backoff / 4);
             r.wait_until = r.paused_until;
-            // Otherwise each sender would learn of it only by a refusal, and refused calls may use up the
-            // limit.
+            // Without a note each other sender would learn of the wait only by a refusal, and refused calls
+            // may use up the limit.
             if end > r.known_wait_until + MIN_BACKOFF && w >= MIN_BACKOFF {
                 wait_report = Some(Report::Wait((w / MS).try_into().unwrap_or(u32::MAX)));
             }
@@ -182,7 +182,8 @@
         match outcome {
             Served => {
                 e.backoffs.retain(|c, _| c.is_some_and(|c| c != class));
-                // The message was slow; the connection had not been dropped.
+                // If the connection was presumed dropped (`idle` is `MAX_TIME`), that was wrong: the message
+                // was slow.
                 self.trusted_idle.1 *= Micros::from(call.idle < MAX_TIME);
                 let is_low = allowance.is_some_and(|a| a.left < LOW_ALLOWANCE && a.limit > 0.0);
                 r.record_served(
--- a/crates/policy/src/choice/unproven.rs
+++ b/crates/policy/src/choice/unproven.rs
@@ -1,13 +1,14 @@
 //! Limits on at-most-once messages on unproven connections, which have not carried an answer yet.
 //!
-//! A new connection may stay silent for ever. An at-most-once message on it may have run, so it is lost to
-//! its client, with or without a restart. Therefore few such messages are sent on new connections to an
-//! endpoint until it has answered. Repeatable messages are sent as usual and show whether it does.
+//! A new connection may stay silent for ever. An at-most-once message on it may have run, so it cannot be
+//! repeated and is lost to its client, with or without a restart. Therefore few such messages are sent on
+//! new connections to an endpoint until it has answered. Repeatable messages are sent as usual and show
+//! whether it answers.
 
 use super::*;
 
-/// The most at-most-once messages in flight on new connections to an endpoint that has not answered since:
-/// for an endpoint that answered recently, and for any other.
+/// The most at-most-once messages in flight on new connections to an endpoint that has not answered since
+/// they were sent: for an endpoint that answered recently before, and for any other.
 const UNPROVEN_RECENT: u32 = 4;
 const UNPROVEN_OTHER: u32 = 1;
 
@@ -34,7 +35,7 @@
     }
 
     /// Returns how many at-most-once messages the next call to the endpoint may carry. A probe carries only
-    /// one message anyway, so earlier silence does not hold it.
+    /// one message anyway, so calls without an answer do not hold it back.
     pub(super) fn unproven_room(&self, id: EndpointId) -> usize {
         let e = &self.endpoints[&id];
         let is_proven = e.idle_since.iter().any(|&t| self.is_idle_open(t)) && !self.has_stale_idle(e);
--- a/crates/policy/src/credit.rs
+++ b/crates/policy/src/credit.rs
@@ -26,7 +26,7 @@
             Breaker::SlowStart { since, gap } => {
                 (now - since + gap / 2).max(gap) as f64 / settings.warm_up.max(1) as f64
             }
-            // It may have returned only now, and the probes of all senders add up.
+            // The destination may have returned only now, and the probes of all senders add up.
             Breaker::Open { .. } => 0.0,
             Breaker::Closed => return self.pace,
         };
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -134,9 +134,10 @@
     pub start_capacity: f64,
     /// The time after which a destination that returned has its full capacity again.
     pub warm_up: Micros,
-    /// A destination that is warming up fails if it receives more than this multiple of its capacity ...
+    /// A destination that is warming up fails if it receives more than this multiple of its capacity
+    /// for `overload_after`.
     pub overload_factor: f64,
-    /// ... for this long.
+    /// How long a destination that is warming up bears more than that (see `overload_factor`).
     pub overload_after: Micros,
     /// How long an ordering key is blocked after an attempt that may still run.
     pub key_rest: Micros,
@@ -428,7 +429,7 @@
         /// How long the client should wait before it retries; 0 for no advice.
         retry_after: Micros,
     },
-    /// Final: gives the message up, without a statement whether it ran.
+    /// Final: gives the message up, without stating whether it ran.
     Fail {
         /// The message.
         id: MessageId,
@@ -494,14 +495,14 @@
     Again,
     /// An earlier message with its key is open, or the key is blocked.
     Key,
-    /// Only an endpoint that drops repeats may receive the message.
+    /// Only an endpoint that would drop a repeat of the message may receive it.
     Repeat,
     /// The message may not be sent again: its effect forbids it, or no attempt is left.
     Spent,
     /// The fleet has evacuated the endpoint's zone or is returning to it, and other endpoints are available.
     Zone,
-    /// The message must not be repeated, its connection would be new, and the most such messages are already
-    /// in flight on new connections to its endpoint since that last answered.
+    /// The message must not be repeated, its connection would be new, and as many such messages as allowed
+    /// are already in flight on new connections to its endpoint since that last answered.
     Unproven,
 }
 
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -41,7 +41,8 @@
     fnv1a(h, include_bytes!("note.rs"))
 };
 
-/// The initial hash value with which the stored encoding yields the number of earlier builds with this form.
+/// The initial hash value, chosen so that the hash of the stored encoding equals the number that earlier
+/// builds with this form have.
 const STATE_FORM_START: u64 = 0x6e2b_d629_1d48_a220;
 
 /// Identifies the encoded form of a [`Sender`]'s state: another build can read the state if its number is
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -59,7 +59,8 @@
     pub late_after: Micros,
     /// The number of late stages that the call has reached, see [`LATE_STAGES`]; 0 before it is late.
     pub late_stage: usize,
-    /// How long the connection had been idle, as far as is known; 0 for a new one.
+    /// How long the connection had been idle, as far as is known; 0 for a new one, and `MAX_TIME` once an
+    /// idle one is presumed dropped.
     pub idle: Micros,
     /// The number of its messages whose attempts have not ended.
     pub open: u32,
@@ -166,9 +167,9 @@
 /// ever.
 pub const LATE_STAGES: usize = 5;
 
-/// A life table of late calls. For calls whose answers are not presumed lost (0) and those whose are (1),
-/// and for each stage, it counts the calls that reached the stage and those of them that were answered in
-/// it.
+/// A life table of late calls. It has one row for calls whose answers are not presumed lost (index 0) and
+/// one for those whose answers are (index 1). For each stage a row counts the calls that reached the stage
+/// and those of them that were answered in it.
 #[derive(Clone, Copy, Default, Serialize, Deserialize)]
 pub struct LifeTable(pub [[(f64, f64); LATE_STAGES]; 2]);
 
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -114,7 +114,7 @@
 /// Prints a plan, its violations and the timeline of a message.
 fn print_result(out: &mut impl Write, plan: &[ScheduledFault], result: &RunResult) -> io::Result<()> {
     plan.iter().try_for_each(|fault| writeln!(out, "  {fault}"))?;
-    result.violations.iter().try_for_each(|violation| writeln!(out, "  violation: {violation}"))?;
+    result.violations.iter().try_for_each(|violation| writeln!(out, "  broken: {violation}"))?;
     write!(out, "{}", result.timeline)
 }
 
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -76,8 +76,9 @@
 
 /// Checks the headers against one another and orders the segments.
 ///
-/// # Errors A header is invalid or belongs to another file or store, a segment is missing, or a segment is
-/// shorter than the next one declares.
+/// # Errors
+/// A header is invalid or belongs to another file or store, a segment is missing, or a segment is shorter
+/// than the next one declares.
 pub fn order(mut found: Vec<SegmentFile>) -> Result<Order, Corruption> {
     found.sort_by_key(|f| f.number);
     let mut log: Vec<(u32, u64, Header)> = Vec::new();
