--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -28,7 +28,7 @@
 const BAD_CLIENT_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The result of a submission.
-enum Answer {
+enum SubmitResult {
     Accepted,
     Refused(Micros),
     Failed,
@@ -98,16 +98,16 @@
             // The front assigns connections to senders in turn.
             let sender = (mix(self.seed ^ 1, order as u64) as usize + attempt as usize) % self.senders.len();
             let wait = match self.submit(id, order, sender, deadline, body, mark).await {
-                Answer::Accepted => {
+                SubmitResult::Accepted => {
                     self.accepted.borrow_mut().insert(id, (order, attempt, body));
                     return;
                 }
-                Answer::Failed => return,
-                Answer::Refused(wait) => {
+                SubmitResult::Failed => return,
+                SubmitResult::Refused(wait) => {
                     mark = "1";
                     wait
                 }
-                Answer::NoAnswer => {
+                SubmitResult::NoAnswer => {
                     mark = "again";
                     NO_ANSWER_RETRY_DELAY
                 }
@@ -125,7 +125,7 @@
         deadline: Micros,
         body: usize,
         mark: &str,
-    ) -> Answer {
+    ) -> SubmitResult {
         let until = tokio::time::Instant::now() + ANSWER_TIMEOUT;
         loop {
             let reused_wire = self.idle.borrow_mut()[sender].pop();
@@ -135,7 +135,7 @@
                 Some(wire) => wire,
                 None => match timeout_at(until, self.net.connect(self.senders[sender])).await {
                     Ok(Ok(stream)) => Wire::new(stream),
-                    _ => return Answer::NoAnswer,
+                    _ => return SubmitResult::NoAnswer,
                 },
             };
             let request = self.request(id, order, sender, deadline, body, mark);
@@ -155,15 +155,15 @@
                         idle[sender].push(wire);
                     }
                     return match answer.status {
-                        200 | 202 => Answer::Accepted,
+                        200 | 202 => SubmitResult::Accepted,
                         429 | 503 => {
                             let retry_after = answer.header("retry-after").parse::<f64>().ok();
-                            Answer::Refused(
+                            SubmitResult::Refused(
                                 retry_after
                                     .map_or(DEFAULT_RETRY_DELAY, |s| (s.clamp(0.0, 60.0) * 1e6) as Micros),
                             )
                         }
-                        _ => Answer::Failed,
+                        _ => SubmitResult::Failed,
                     };
                 }
                 // The close of a reused connection crossed the request, which is sent again on a new one.
@@ -173,7 +173,7 @@
                     if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
                         m.abandoned_at = Some(self.observations.now());
                     }
-                    return Answer::NoAnswer;
+                    return SubmitResult::NoAnswer;
                 }
             }
         }
