--- a/crates/daemon/tests/sockets/delays.rs
+++ b/crates/daemon/tests/sockets/delays.rs
@@ -11,7 +11,7 @@
 //! deadline, from which the turn itself computes the remaining time.
 
 use crate::world::*;
-use std::net::{SocketAddr, TcpListener};
+use std::net::TcpListener;
 use std::thread;
 use std::time::{Duration, Instant};
 
@@ -69,19 +69,17 @@
     assert_ended_by(&node, 1, begun + TIME);
 }
 
-/// Starts a sender with a fixed clients' address, and returns both.
-fn with_fixed_address(members: &[String], change: impl Fn(String) -> String) -> (Node, SocketAddr) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    drop(listener);
-    let fixed = format!("\"listen\": \"{address}\"");
-    (Node::new(members, |text| change(text).replacen("\"listen\": \"127.0.0.1:0\"", &fixed, 1)), address)
+/// Starts a sender with a fixed clients' address, which stays reserved for it, and returns both.
+fn with_fixed_address(members: &[String], change: impl Fn(String) -> String) -> (Node, ReservedAddress) {
+    let reserved = ReservedAddress::new();
+    let fixed = format!("\"listen\": \"{}\"", reserved.address);
+    (Node::new(members, |text| change(text).replacen("\"listen\": \"127.0.0.1:0\"", &fixed, 1)), reserved)
 }
 
 /// Kills the sender and starts it again while its address is in use by another listener for a while.
-fn restart_without_address(node: &mut Node, address: SocketAddr) {
+fn restart_without_address(node: &mut Node, reserved: &ReservedAddress) {
     node.kill();
-    let listener = TcpListener::bind(address).expect("it is free");
+    let listener = TcpListener::bind(reserved.address).expect("it is free");
     let other = thread::spawn(move || {
         thread::sleep(ADDRESS_TAKEN_FOR);
         drop(listener);
@@ -93,10 +91,10 @@
 #[test]
 fn message_of_a_start_that_waits_for_its_address_is_ended_at_its_deadline() {
     const TIME: Duration = Duration::from_secs(4);
-    let (mut node, address) = with_fixed_address(&[drained()], |text| text);
+    let (mut node, reserved) = with_fixed_address(&[drained()], |text| text);
     let begun = Instant::now();
     assert_eq!(node.submit("payment", 1, 9, TIME.as_millis() as u64, b"x").status(), 202);
-    restart_without_address(&mut node, address);
+    restart_without_address(&mut node, &reserved);
     assert_ended_by(&node, 1, (begun + TIME).max(Instant::now() + AFTER_START));
 }
 
@@ -104,10 +102,10 @@
 fn deduplicated_message_of_a_start_that_waits_for_its_address_is_not_resent_after_its_window() {
     let hangs = Endpoint::new(|_| Reply::Hang);
     let known = [member("s-1", hangs.address, "shop", 3, "up")];
-    let (mut node, address) = with_fixed_address(&known, with_deduplicated_class);
+    let (mut node, reserved) = with_fixed_address(&known, with_deduplicated_class);
     assert_eq!(node.submit("keyed", 1, 3, LONG, b"x").status(), 202);
     wait_until("a call", || hangs.calls() > 0);
-    restart_without_address(&mut node, address);
+    restart_without_address(&mut node, &reserved);
     assert!(ADDRESS_TAKEN_FOR > WINDOW, "the endpoint does not recognize a resend any more");
     wait_until("an end, or a resend", || hangs.calls() > 1 || node.platform.has_notice(1));
     assert_eq!(hangs.calls(), 1, "a deduplicated message was resent after its window");
--- a/crates/daemon/tests/sockets/main.rs
+++ b/crates/daemon/tests/sockets/main.rs
@@ -16,7 +16,6 @@
 mod watch;
 mod world;
 
-use std::net::TcpListener;
 use std::time::Duration;
 use world::*;
 
@@ -128,13 +127,11 @@
 
 #[test]
 fn at_most_once_message_is_resent_after_a_failed_connect() {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address");
-    drop(listener);
-    let node = Node::new(&[member("s-1", address, "shop", 3, "up")], unchanged);
+    let reserved = ReservedAddress::new();
+    let node = Node::new(&[member("s-1", reserved.address, "shop", 3, "up")], unchanged);
     assert_eq!(node.submit("payment", 1, 3, LONG, b"").status(), 202);
     std::thread::sleep(Duration::from_millis(300));
-    let endpoint = Endpoint::on(TcpListener::bind(address).expect("the same port"), |_| ok());
+    let endpoint = Endpoint::on(reserved.listen(), |_| ok());
     assert_eq!(endpoint.call(0).header("x-request-id"), format!("{:016x}", 1));
     assert!(!node.platform.has_notice(1));
 }
--- a/crates/daemon/tests/sockets/restart.rs
+++ b/crates/daemon/tests/sockets/restart.rs
@@ -13,12 +13,6 @@
 /// Messages submitted to each process.
 const EACH: u64 = 4;
 
-/// Returns an address at which nothing listens.
-fn nowhere() -> String {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    listener.local_addr().expect("an address").to_string()
-}
-
 /// Returns a listener that accepts connections and sends nothing, and its address.
 fn silent() -> (TcpListener, String) {
     let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
@@ -69,7 +63,8 @@
 
 #[test]
 fn thirty_processes_that_restart_at_once_are_ready_in_time_and_send_their_open_messages() {
-    restart_all(&nowhere());
+    let reserved = ReservedAddress::new();
+    restart_all(&reserved.address.to_string());
 }
 
 #[test]
--- a/crates/daemon/tests/sockets/watch.rs
+++ b/crates/daemon/tests/sockets/watch.rs
@@ -254,9 +254,8 @@
     // In between: an address that accepts the watch and sends nothing, and one that refuses it. The end of a
     // watch that was started there must not delay the current one.
     let (silent_address, _) = service(vec![silent(String::new())], String::new());
-    let refused = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let refusing_address = refused.local_addr().expect("an address").to_string();
-    drop(refused);
+    let reserved = ReservedAddress::new();
+    let refusing_address = reserved.address.to_string();
     for between in [[&silent_address, &refusing_address], [&refusing_address, &silent_address]] {
         let (first, _) = service(vec![], "\n".into());
         let (node, endpoint, call_times) = start_with_waiting_message(&first);
--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -15,6 +15,8 @@
 const FAULT_FILE: &str = "faults";
 /// How long `Client::try_submit` waits for a response.
 const CLIENT_TIMEOUT: Duration = Duration::from_millis(400);
+/// The accept backlog of a reserved address that starts to listen.
+const ACCEPT_BACKLOG: i32 = 128;
 /// How long a test waits for a condition before it fails.
 const WAIT_LIMIT: Duration = Duration::from_secs(60);
 
@@ -99,6 +101,30 @@
 
 pub type RequestLog = Arc<Mutex<Vec<HttpMessage>>>;
 
+/// An address that refuses connects and that no other socket is given. A listener may still be bound to it:
+/// both sockets have `SO_REUSEADDR`, and this one does not listen.
+pub struct ReservedAddress {
+    socket: socket2::Socket,
+    pub address: SocketAddr,
+}
+
+impl ReservedAddress {
+    pub fn new() -> Self {
+        let socket =
+            socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
+        socket.set_reuse_address(true).expect("the option is set");
+        socket.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+        let address = socket.local_addr().expect("it is bound").as_socket().expect("an IP address");
+        Self { socket, address }
+    }
+
+    /// Listens, so that connects succeed, and returns the listener.
+    pub fn listen(self) -> TcpListener {
+        self.socket.listen(ACCEPT_BACKLOG).expect("it listens");
+        self.socket.into()
+    }
+}
+
 /// An address whose accept queue is full, so that connects to it stay pending.
 pub struct Unreachable {
     listener: socket2::Socket,
