--- a/crates/daemon/tests/fleet/epochs.rs
+++ b/crates/daemon/tests/fleet/epochs.rs
@@ -2,7 +2,9 @@
 //! replica one more loss must be borne, whichever sender is lost.
 
 use crate::fleet::{Behavior, Fleet};
-use crate::world::wait_until;
+use crate::world::{Client, wait_until};
+use std::sync::atomic::{AtomicBool, Ordering};
+use std::thread;
 use std::time::Duration;
 
 const LONG: u64 = 50_000;
@@ -84,3 +86,43 @@
         fleet.assert_nothing_twice(&ids);
     }
 }
+
+#[test]
+fn messages_in_flight_when_an_epoch_begins_are_acknowledged() {
+    // Guards against a 503 for each message that waits for its replicas when its sender begins an epoch, here
+    // since n0 returned with an empty folder: n1 is up all the time and can store the copies.
+    const CLIENTS: u64 = 8;
+    /// So slow that messages are in flight at any time, and much less than the 300 ms that a copy may take.
+    const LINK_DELAY: Duration = Duration::from_millis(5);
+    let mut fleet = Fleet::new(3, 1);
+    fleet.lose_machine(0);
+    let address = fleet.senders[2].address;
+    let submit = |client: &mut Client, id: u64| {
+        let class = if id.is_multiple_of(2) { "payment" } else { "update" };
+        client.submit(class, id, 3, LONG, b"hello").status()
+    };
+    wait_until("n2 acknowledges without n0", || submit(&mut Client::new(address), 1) == 202);
+    fleet.delay(2, 1, LINK_DELAY);
+    let epoch_has_begun = AtomicBool::new(false);
+    let submit_until_epoch_has_begun = |first: u64| {
+        let (mut client, mut refused) = (Client::new(address), Vec::new());
+        for id in first.. {
+            if submit(&mut client, id) != 202 {
+                refused.push(id);
+            }
+            if epoch_has_begun.load(Ordering::Relaxed) {
+                break;
+            }
+        }
+        refused
+    };
+    let refused: Vec<u64> = thread::scope(|scope| {
+        let start_client = |n| scope.spawn(move || submit_until_epoch_has_begun(n * 1_000_000));
+        let clients: Vec<_> = (1..=CLIENTS).map(start_client).collect();
+        fleet.start(0);
+        fleet.wait_for_log(2, "n0 has lost its folder; a new epoch begins");
+        epoch_has_begun.store(true, Ordering::Relaxed);
+        clients.into_iter().flat_map(|client| client.join().expect("no client failed")).collect()
+    });
+    assert!(refused.is_empty(), "refused while n1 was up all the time: {refused:?}");
+}
