--- a/crates/daemon/tests/sockets/main.rs
+++ b/crates/daemon/tests/sockets/main.rs
@@ -11,6 +11,7 @@
 mod operations;
 mod outage;
 mod restart;
+mod reuse;
 mod store;
 mod unproven;
 mod watch;
