--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -498,17 +498,17 @@
     let Some(copies) = &inbound.copies else {
         return inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT).await;
     };
-    let is_at_most_once = {
+    let at_most_once = {
         let (journal, active) = (inbound.journal.borrow(), inbound.active_settings.borrow());
-        journal.get(id).is_none_or(|open| active.is_unsafe_to_repeat(&open.class))
+        journal.get(id).is_none_or(|open| active.counts_as_at_most_once(&open.class))
     };
     // Both run at once, since the replicas' disks are no faster than this one.
     let (is_copied, is_durable) = tokio::join!(
-        copies.replicate(id, is_at_most_once, DURABILITY_TIMEOUT),
+        copies.replicate(id, at_most_once, DURABILITY_TIMEOUT),
         inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT)
     );
     // If the confirmation is not written, the message is not promised, and a restart treats it as unpromised.
-    is_copied && is_durable && (!is_at_most_once || inbound.journal.borrow_mut().confirm(id).is_ok())
+    is_copied && is_durable && (!at_most_once || inbound.journal.borrow_mut().confirm(id).is_ok())
 }
 
 /// Returns the deadline of a message on the journal's timeline. A delay between the two clock readings makes
@@ -532,7 +532,7 @@
     }
     // A process that ends before other senders have the message has promised nothing.
     open.is_confirmed =
-        inbound.copies.is_none() || !inbound.active_settings.borrow().is_unsafe_to_repeat(&open.class);
+        inbound.copies.is_none() || !inbound.active_settings.borrow().counts_as_at_most_once(&open.class);
     // The record is written before the answer. Without a record nothing is promised.
     Ok(journal.accept(id, open).is_ok())
 }
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -305,7 +305,7 @@
         // The client may not have received the 202, and may have sent the message again.
         let is_unsure = self.copies.is_some()
             && !open.is_confirmed
-            && self.active_settings.borrow().is_unsafe_to_repeat(&open.class);
+            && self.active_settings.borrow().counts_as_at_most_once(&open.class);
         if is_unsure {
             return None;
         }
@@ -828,7 +828,7 @@
         self.calls.reasons.count_notice(verdict);
         tracing::debug!("message {:016x} given up: {verdict:?}", id.0);
         match (&self.copies, verdict) {
-            (Some(copies), Verdict::Bounced(_)) if self.is_careful(id) => {
+            (Some(copies), Verdict::Bounced(_)) if self.counts_as_at_most_once(id) => {
                 // Another sender may have taken it over, or may do so: the client may only send it again
                 // harmlessly once no sender can attempt it any more.
                 let (copies, journal, reports) = (copies.clone(), self.journal.clone(), self.reports.clone());
@@ -846,12 +846,13 @@
         }
     }
 
-    /// Whether a message must not be repeated.
-    fn is_careful(&self, id: MessageId) -> bool {
+    /// Whether a message counts as at-most-once, see [`ActiveSettings::counts_as_at_most_once`]. One that the
+    /// journal does not hold does.
+    fn counts_as_at_most_once(&self, id: MessageId) -> bool {
         self.journal
             .borrow()
             .get(id)
-            .is_none_or(|open| self.active_settings.borrow().is_unsafe_to_repeat(&open.class))
+            .is_none_or(|open| self.active_settings.borrow().counts_as_at_most_once(&open.class))
     }
 
     /// Whether the journal holds no message.
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -277,10 +277,17 @@
         start_from: &StartFrom,
     ) -> Result<Option<Rc<ReplicationService>>, Failure> {
         let Some(settings) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let is_unsafe = |open: &OpenMessage| active_settings.borrow().is_unsafe_to_repeat(&open.class);
+        let at_most_once = |open: &OpenMessage| active_settings.borrow().counts_as_at_most_once(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
-        let copies =
-            ReplicationService::open(settings, config, net, journal, durability, inputs.clone(), is_unsafe)?;
+        let copies = ReplicationService::open(
+            settings,
+            config,
+            net,
+            journal,
+            durability,
+            inputs.clone(),
+            at_most_once,
+        )?;
         copies.listen(settings.listen)?;
         // When clients are waiting already, the delay is kept as short as that of a slow disk.
         let is_taking_over = !matches!(start_from, StartFrom::Store);
--- a/crates/daemon/src/settings/active.rs
+++ b/crates/daemon/src/settings/active.rs
@@ -24,9 +24,10 @@
 }
 
 impl ActiveSettings {
-    /// Returns whether repeating a message of the class with this tag may be unsafe. An unknown class counts
-    /// as unsafe.
-    pub fn is_unsafe_to_repeat(&self, tag: &str) -> bool {
+    /// Returns whether replication treats the class with this tag as at-most-once: it records which messages
+    /// were acknowledged, and each attempt needs the replicas' consent. Deduplicated classes count too, since
+    /// their repeats are dropped only for a time and only by some endpoints; so does an unknown class.
+    pub fn counts_as_at_most_once(&self, tag: &str) -> bool {
         let class = self.classes.index_of(tag).and_then(|n| self.settings.classes.get(n));
         class.is_none_or(|c| c.effect != Effect::Idempotent)
     }
