--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -673,7 +673,12 @@
             let _ = timeout(FINAL_WRITE_TIMEOUT, written).await;
             return None;
         }
-        tracing::warn!("hand-over: the successor has ended; this process serves again ({next:?})");
+        let resumed_from = if next == AfterDisconnect::Resume {
+            "from the state that it had sent"
+        } else {
+            "from what the store holds"
+        };
+        tracing::warn!("hand-over: the successor has ended; this process serves again {resumed_from}");
         let (near, far) = transport::channel_pair();
         self.unconfirmed.drain(..).for_each(|frame| drop(near.outgoing.send(frame)));
         let attempts = state.attempts_in_flight.iter().map(|o| o.0).collect();
--- a/crates/daemon/tests/sockets/handover.rs
+++ b/crates/daemon/tests/sockets/handover.rs
@@ -300,8 +300,8 @@
 fn request_recorded_by_a_successor_that_is_killed_is_not_both_refused_and_sent() {
     // Guards against a payment that is refused with 503, which says that submitting it again is safe, and is
     // sent all the same. The predecessor took the missing response of the killed successor for "not
-    // recorded", refused, and then loaded the record from the folder ("this process serves again
-    // (ReloadFromStore)").
+    // recorded", refused, and then loaded the record from the folder ("this process serves again from what
+    // the store holds").
     let (endpoint, mut node, faults, mut client, _predecessor) = start_forwarding(Duration::from_secs(2));
     node.kill();
     faults.delay_writes(Duration::ZERO).expect("set");
