--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -48,7 +48,7 @@
         if let Some(unfit) = used.take_if(|c| !c.is_reusable()) {
             unfit.close().await;
         }
-        let (mut recorded, mut has_asked_consent) = (None, self.copies.is_none());
+        let (mut recorded_up_to, mut has_asked_consent) = (None, self.copies.is_none());
         loop {
             let is_reused = used.is_some();
             let mut conn = match used.take() {
@@ -64,13 +64,13 @@
             let is_open = |i: &CallItem| self.journal.borrow().get(i.id).is_some_and(|m| m.verdict.is_none());
             let gone = remove_matching(waiting, |i| !is_open(i));
             gone.iter().for_each(|i| self.report_end(endpoint, i, Outcome::Moot.into()));
-            if recorded.is_none() {
+            if recorded_up_to.is_none() {
                 self.record_attempts(endpoint, waiting);
             }
             // An attempt's record has to be durable before its first byte is written.
-            let mark = *recorded.get_or_insert_with(|| self.durability.log_end());
-            if !self.durability.is_durable(&mark) {
-                if !self.durability.wait_until_durable(&mark, DURABLE_WITHIN).await {
+            let log_end = *recorded_up_to.get_or_insert_with(|| self.durability.log_end());
+            if !self.durability.is_durable(&log_end) {
+                if !self.durability.wait_until_durable(&log_end, DURABLE_WITHIN).await {
                     self.release(endpoint, conn).await;
                     return Ok(CallResult::SameForAll(Outcome::NotSent.into()));
                 }
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -455,9 +455,9 @@
             OperatorCommand::Enter(name) => self.set_endpoint_out(name, true),
             OperatorCommand::Exit(name) => self.set_endpoint_out(name, false),
         };
-        let mark = || self.journal.borrow().log_end();
+        let log_end = || self.journal.borrow().log_end();
         self.pending_replies
-            .push((reply, result.map(|description| AppliedCommand { description, mark: mark() })));
+            .push((reply, result.map(|description| AppliedCommand { description, log_end: log_end() })));
     }
 
     fn set_standby(&mut self, wanted: bool) -> Result<String, Rejection> {
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -79,11 +79,12 @@
 /// The result of an operator's command.
 pub type CommandResult = Result<AppliedCommand, Rejection>;
 
-/// A command that is in effect. It outlasts the process once the store is durable up to the mark.
+/// A command that is in effect. It outlasts the process once the store is durable up to `log_end`.
 #[derive(Debug)]
 pub struct AppliedCommand {
     pub description: String,
-    pub mark: LogPosition,
+    /// The position behind the command's records.
+    pub log_end: LogPosition,
 }
 
 /// Answers an operator's command, once.
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -227,7 +227,7 @@
     let _ = context.inputs.send(Input::OperatorCommand(command, CommandReply(reply)));
     let applied =
         timeout(DECISION_WITHIN, replied).await.map_err(|_| too_late())?.map_err(|_| too_late())??;
-    if !context.durability.wait_until_durable(&applied.mark, DURABLE_WITHIN).await {
+    if !context.durability.wait_until_durable(&applied.log_end, DURABLE_WITHIN).await {
         return Err(too_late());
     }
     Ok(serde_json::json!({ "ok": true, "done": applied.description }))
