--- a/crates/daemon/src/copies/link.rs
+++ b/crates/daemon/src/copies/link.rs
@@ -33,11 +33,11 @@
 }
 
 impl SendQueue {
-    /// Adds a frame, which is written once the folder is durable up to `mark`.
-    pub fn push(&self, frame: &Frame, mark: LogPosition) {
+    /// Adds a frame, which is written once the folder is durable up to `log_end`.
+    pub fn push(&self, frame: &Frame, log_end: LogPosition) {
         let bytes = write_frame(frame);
         self.bytes.set(self.bytes.get() + bytes.len());
-        self.frames.borrow_mut().push_back((bytes, mark));
+        self.frames.borrow_mut().push_back((bytes, log_end));
         if self.bytes.get() > MAX_QUEUED_BYTES {
             // The peer reads nothing, or far too slowly. What it has missed is sent on the next link.
             self.end();
@@ -53,7 +53,8 @@
         self.changed.notify_one();
     }
 
-    /// Returns the next frames as one buffer, and the mark up to which the folder must be durable first.
+    /// Returns the next frames as one buffer, and the position up to which the folder's log must be durable
+    /// first.
     async fn next_batch(&self) -> Option<(Vec<u8>, LogPosition)> {
         while !self.ended.get() {
             if let Some(next) = self.take_batch() {
@@ -66,16 +67,16 @@
 
     fn take_batch(&self) -> Option<(Vec<u8>, LogPosition)> {
         let mut frames = self.frames.borrow_mut();
-        let (mut all, mut mark) = frames.pop_front()?;
+        let (mut all, mut log_end) = frames.pop_front()?;
         while let Some((more, _)) = frames.front()
             && all.len() + more.len() <= MAX_WRITE_BYTES
             && let Some((more, last)) = frames.pop_front()
         {
             all.extend(more);
-            mark = last;
+            log_end = last;
         }
         self.bytes.set(self.bytes.get().saturating_sub(all.len()));
-        Some((all, mark))
+        Some((all, log_end))
     }
 }
 
@@ -121,7 +122,7 @@
 }
 
 /// Transfers frames in both directions until the link ends, and returns the reason. `wait_until_durable`
-/// waits until the folder is durable up to a mark.
+/// waits until the folder is durable up to a position in its log.
 pub async fn run(
     stream: Rc<dyn Stream>,
     queue: &SendQueue,
@@ -159,11 +160,11 @@
     };
     let writing = async {
         loop {
-            let Some((bytes, mark)) = queue.next_batch().await else {
+            let Some((bytes, log_end)) = queue.next_batch().await else {
                 return io::Error::new(io::ErrorKind::TimedOut, "the peer neither reads nor responds");
             };
             // A response confirms that something is stored, which must be durable first.
-            if !wait_until_durable(&mark).await {
+            if !wait_until_durable(&log_end).await {
                 return io::Error::other("the folder is not durable");
             }
             if let Err(e) = write_all(&*stream, &bytes).await {
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -479,8 +479,8 @@
 
     fn wait_until_durable(&self) -> impl AsyncFn(&notchpoint_store::LogPosition) -> bool + use<> {
         let durability = self.durability.clone();
-        async move |mark| {
-            durability.is_durable(mark) || durability.wait_until_durable(mark, CONNECT_TIMEOUT).await
+        async move |log_end| {
+            durability.is_durable(log_end) || durability.wait_until_durable(log_end, CONNECT_TIMEOUT).await
         }
     }
 
