--- a/crates/daemon/src/cli.rs
+++ b/crates/daemon/src/cli.rs
@@ -111,8 +111,8 @@
         Some(Command::Replay { file }) => replay_command(&file),
         Some(Command::Store { what }) => storage::run(what),
         Some(Command::Explain { file, message, dest, from, to, json, svg }) => {
-            let question = Query { message, dest: dest.map(DestinationId), from, to };
-            explain_command(&file, question, json, svg.as_deref())
+            let query = Query { message, dest: dest.map(DestinationId), from, to };
+            explain_command(&file, query, json, svg.as_deref())
         }
         Some(Command::Fleet { files, dest }) => fleet_command(&files, dest.map(DestinationId)),
         Some(Command::Check { file }) if file.extension().is_some_and(|e| e == "json") => check_config(&file),
@@ -197,32 +197,36 @@
 }
 
 /// Replays a recording and reports on standard error what limits the result.
-fn replay_file(file: &Path, bytes: &[u8], watcher: &mut dyn ReplayObserver) -> Result<ReplayReport, Failure> {
+fn replay_file(
+    file: &Path,
+    bytes: &[u8],
+    observer: &mut dyn ReplayObserver,
+) -> Result<ReplayReport, Failure> {
     let recording = Recording::read(bytes);
-    let done = replay(&recording, watcher);
-    for d in &done.damage {
-        eprintln!("{}: {d}", file.display());
+    let report = replay(&recording, observer);
+    for damage in &report.damage {
+        eprintln!("{}: {damage}", file.display());
     }
-    for (run, segment, why) in &done.skipped {
+    for (run, segment, why) in &report.skipped {
         eprintln!("{}: segment {segment} of process {run} was not replayed: {why}", file.display());
     }
-    for other in &done.other_builds {
+    for other in &report.other_builds {
         eprintln!(
             "{}: recorded by another version of the policy ({other:016x}; this build has \
              {FINGERPRINT:016x})",
             file.display()
         );
     }
-    if let Some((run, segment)) = done.state_differs {
+    if let Some((run, segment)) = report.state_differs {
         eprintln!(
             "{}: process {run}: the state at segment {segment} differs from the recorded one",
             file.display()
         );
     }
-    if done.segments == 0 {
+    if report.segments == 0 {
         return Err(format!("{}: no segment could be replayed", file.display()).into());
     }
-    Ok(done)
+    Ok(report)
 }
 
 fn fleet_command(files: &[PathBuf], dest: Option<DestinationId>) -> Result<ExitCode, Failure> {
@@ -247,51 +251,47 @@
     Ok(ExitCode::from(u8::from(!is_complete)))
 }
 
-fn exit_code(done: &ReplayReport) -> ExitCode {
-    ExitCode::from(u8::from(!done.is_equal()))
+fn exit_code(report: &ReplayReport) -> ExitCode {
+    ExitCode::from(u8::from(!report.is_equal()))
 }
 
 fn replay_command(file: &Path) -> Result<ExitCode, Failure> {
-    let done = replay_file(file, &load(file)?, &mut NoObserver)?;
-    let (turns, segments, runs, states) = (done.turns, done.segments, done.runs, done.states);
+    let report = replay_file(file, &load(file)?, &mut NoObserver)?;
+    let (turns, segments, runs, states) = (report.turns, report.segments, report.runs, report.states);
     print(&format!(
         "{turns} turns identical, in {segments} segments of {runs} processes; {states} states identical\n"
     ))?;
-    if let Some(d) = &done.difference {
+    if let Some(d) = &report.difference {
         print(&format!("{d}\n"))?;
     }
-    Ok(exit_code(&done))
+    Ok(exit_code(&report))
 }
 
-fn explain_command(
-    file: &Path,
-    question: Query,
-    json: bool,
-    svg: Option<&Path>,
-) -> Result<ExitCode, Failure> {
+fn explain_command(file: &Path, query: Query, json: bool, svg: Option<&Path>) -> Result<ExitCode, Failure> {
     let bytes = load(file)?;
-    let mut explainer = Explainer::new(question.clone());
-    let done = replay_file(file, &bytes, &mut explainer)?;
-    if let Some(d) = &done.difference {
+    let mut explainer = Explainer::new(query.clone());
+    let report = replay_file(file, &bytes, &mut explainer)?;
+    if let Some(d) = &report.difference {
         eprintln!("{}: {d}\nturns after this one are not explained", file.display());
     }
-    let all = explainer.finish();
-    let is_found = all.iter().any(|e| !e.timelines.is_empty());
-    if let (Some(id), false) = (question.message, is_found) {
+    let explanations = explainer.finish();
+    let is_found = explanations.iter().any(|e| !e.timelines.is_empty());
+    if let (Some(id), false) = (query.message, is_found) {
         return Err(format!("{}: message {:016x} is not in the recording", file.display(), id.0).into());
     }
-    for e in &all {
+    for explanation in &explanations {
         if json {
-            print(&format!("{}\n", serde_json::to_string(e)?))?;
+            print(&format!("{}\n", serde_json::to_string(explanation)?))?;
         } else {
-            print(&text::render(e))?;
+            print(&text::render(explanation))?;
         }
     }
     // Of several processes, draws the one with the most points.
-    if let (Some(path), Some(dest)) = (svg, question.dest)
-        && let Some(e) = all.iter().max_by_key(|e| e.points.len())
+    if let (Some(path), Some(dest)) = (svg, query.dest)
+        && let Some(explanation) = explanations.iter().max_by_key(|e| e.points.len())
     {
-        std::fs::write(path, plot::draw(e, dest.0)).map_err(|e| format!("{}: {e}", path.display()))?;
+        std::fs::write(path, plot::draw(explanation, dest.0))
+            .map_err(|e| format!("{}: {e}", path.display()))?;
     }
-    Ok(exit_code(&done))
+    Ok(exit_code(&report))
 }
