--- a/crates/daemon/src/endpoint_list.rs
+++ b/crates/daemon/src/endpoint_list.rs
@@ -24,8 +24,8 @@
 }
 
 impl From<RawList> for EndpointList {
-    /// Skips members that cannot be read. A list with such members counts as incomplete: that a member could
-    /// not be read does not mean that it was removed.
+    /// Skips members that cannot be read. A list with such members counts as incomplete, since a member that
+    /// cannot be read is not one that was removed.
     fn from(raw: RawList) -> Self {
         let all = raw.members.len();
         let read = |member: &RawValue| {
@@ -59,6 +59,7 @@
     pub phase: MemberPhase,
 }
 
+/// The state of an endpoint in the list.
 #[derive(Clone, Copy, Debug, Deserialize, Serialize, PartialEq, Eq)]
 #[serde(rename_all = "lowercase")]
 pub enum MemberPhase {
--- a/crates/daemon/src/platform/discovery.rs
+++ b/crates/daemon/src/platform/discovery.rs
@@ -1,9 +1,9 @@
-//! The watch on the list of endpoints. The decision module decides when to retry after a failure.
+//! The watch on the list of endpoints. The policy decides when to retry after a failure.
 //!
 //! A change has to be known at most 6 s after the list service had it and was reachable, regardless of
 //! earlier failures. Of that time, [`SILENCE_TIMEOUT`] passes until a silent watch is detected, and the next
 //! one begins at once. An attempt that began before the service was reachable takes up to [`ANSWER_TIMEOUT`],
-//! and the decision module's delay after it takes at most as long. In both cases the attempt that succeeds
+//! and the policy's delay after it takes at most as long. In both cases the attempt that succeeds
 //! begins at least a second before the 6 s are over.
 
 use crate::endpoint_list::EndpointList;
@@ -29,14 +29,14 @@
 /// The time without a heartbeat or a complete value after which a watch counts as silent. A heartbeat comes
 /// every 2 s, and the rest allows for the network. Bytes that complete nothing do not keep a watch alive.
 const SILENCE_TIMEOUT: Duration = Duration::from_millis(2_600);
-/// The time from a malformed value to the start of a new watch. That watch begins before the malformed value,
-/// whose content has to be known after 6 s. Until then valid values after it are read. The delay also limits
-/// the requests to a service whose values are never valid.
+/// The time from a malformed value to the start of a new watch. That watch begins at the revision before the
+/// malformed value, whose content has to be known after 6 s. Until then, valid values after it are read. The
+/// delay also limits the requests to a service whose values are never valid.
 const REREAD_DELAY: Duration = Duration::from_secs(2);
 /// The time-out from the start of an attempt until the head of the answer.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The part of it for connecting. A connection that was attempted during a network partition reports nothing,
-/// not even after the partition has ended.
+/// The part of [`ANSWER_TIMEOUT`] for connecting. An attempt to connect that began during a network partition
+/// may stay without a result even after the partition has ended.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(1_500);
 
 /// The delay before a retry if this machine could not make the connection. Such a retry costs the service
@@ -168,7 +168,7 @@
     let (mut parser, mut items) = (WatchParser::default(), Vec::new());
     let mut last_received = Instant::now();
     // The revision that this watch has reached, and since when a value of it is missing. The next watch has
-    // to begin before the missing value.
+    // to begin at the revision before the missing value.
     let (mut known, mut missing_since) = (revision.get(), None::<Instant>);
     loop {
         let until = missing_since.map_or(last_received + SILENCE_TIMEOUT, |since| {
--- a/crates/daemon/src/platform/reports.rs
+++ b/crates/daemon/src/platform/reports.rs
@@ -23,7 +23,7 @@
 
 /// The time-out of a post. Its notices have been posted again on another connection long before.
 const POST_TIMEOUT: Duration = Duration::from_secs(2);
-/// The age from which on a confirmed notice is logged as late. 300 ms are allowed.
+/// A notice that is confirmed later than this is logged. 300 ms are allowed.
 const LOGGED_AGE: Duration = Duration::from_millis(150);
 
 type Failure = Box<dyn std::error::Error>;
--- a/crates/daemon/src/platform/zone_monitor.rs
+++ b/crates/daemon/src/platform/zone_monitor.rs
@@ -1,6 +1,6 @@
 //! Connects the state machine of `crates/zones`, which detects failing zones, to the sender. Outcomes of
 //! calls and received notes go to the state machine, its notes to other senders, its findings to the log, and
-//! the share of calls for each zone to the decision module. Nothing is decided here.
+//! the share of calls for each zone to the policy. Nothing is decided here.
 
 use crate::input::Input;
 use crate::platform::note_sender::NoteSender;
@@ -27,12 +27,13 @@
 /// Runs the zone state machine of this sender.
 pub struct ZoneMonitor {
     state_machine: RefCell<ZoneStateMachine>,
-    /// The settings of the operator, and the platform's settings of cold endpoints. Both may change.
+    /// The settings of the operator, and the platform's settings for endpoints that are warming up. Both may
+    /// change.
     settings: RefCell<(ZoneSettings, ColdStart)>,
     numbers: SenderNumbers,
     started: Instant,
     names: RefCell<BTreeMap<ZoneId, String>>,
-    /// The names of zones, in the order of their numbers in the decision module.
+    /// The names of zones, in the order of their numbers in the policy.
     zones: Vec<String>,
     /// The zone and the destination of each listed endpoint.
     endpoints: RefCell<BTreeMap<EndpointId, (ZoneId, DestinationHash, DestinationId)>>,
@@ -138,7 +139,7 @@
         self.apply_settings();
     }
 
-    /// Applies changed settings of cold endpoints, from the platform.
+    /// Applies the platform's changed settings for endpoints that are warming up.
     pub fn update_cold_settings(&self, settings: &Settings) {
         self.settings.borrow_mut().1 = cold_settings(settings);
         self.apply_settings();
@@ -214,8 +215,8 @@
         is_zone_note
     }
 
-    /// Starts the timer of the state machine and its notes. Zones that an earlier process had left get their
-    /// whole share until this process has received the state of other senders.
+    /// Starts the timer of the state machine and the sending of its notes. Zones that an earlier process had
+    /// evacuated get their whole share until this process has received the state of other senders.
     pub fn start(self: &Rc<Self>, note_sender: Option<Rc<NoteSender>>) {
         for zone in 0..self.zones.len() as u32 {
             let _ = self.inputs.send(Input::Event(Event::Zone {
--- a/crates/daemon/src/settings/active.rs
+++ b/crates/daemon/src/settings/active.rs
@@ -10,7 +10,7 @@
 /// The settings in force.
 #[derive(Debug)]
 pub struct ActiveSettings {
-    /// The settings of the decision module, with all classes that messages use, by index.
+    /// The settings of the policy, with all classes that messages use, by index.
     pub settings: Settings,
     pub classes: ClassTable,
     /// The names of tenants, kinds and zones, which do not change while the process runs. The names of
--- a/crates/daemon/src/settings/classes.rs
+++ b/crates/daemon/src/settings/classes.rs
@@ -1,9 +1,8 @@
 //! The table of message classes. A message keeps the class definition with which it arrived, whatever the
 //! configuration makes of the class later. This module has no I/O.
 //!
-//! A definition has a tag, by which the store's records refer to it, and an index, by which the decision
-//! module does. A class that is changed gets a new tag and a new index. The old ones are freed once no
-//! message uses them.
+//! A definition has a tag, by which the store's records refer to it, and an index, by which the policy does.
+//! A class that is changed gets a new tag and a new index. The old ones are freed once no message uses them.
 
 use notchpoint_policy::Class;
 use std::collections::{BTreeMap, BTreeSet};
@@ -27,6 +26,7 @@
     is_current: bool,
 }
 
+/// The definitions that the configuration has or messages use, by index.
 #[derive(Clone, Debug, Default)]
 pub struct ClassTable {
     entries: Vec<Entry>,
@@ -124,6 +124,7 @@
         self.entries.iter().position(|e| e.tag == tag && !tag.is_empty())
     }
 
+    /// Returns the tag of the definition at this index.
     pub fn tag_at(&self, index: usize) -> &str {
         self.entries.get(index).map_or("", |e| &e.tag)
     }
@@ -143,7 +144,7 @@
         Self { entries: entries.iter().map(entry).collect() }
     }
 
-    /// Returns the definitions by index, for the decision module.
+    /// Returns the definitions by index, for the policy.
     pub fn definitions(&self) -> Vec<Class> {
         self.entries.iter().map(|e| e.class.clone()).collect()
     }
--- a/crates/daemon/src/settings/config.rs
+++ b/crates/daemon/src/settings/config.rs
@@ -1,5 +1,5 @@
-//! Reads `config.json` into the values that the program and the decision module need. Unknown keys are
-//! ignored, since later versions of the platform may add some. Waits are rounded up, deadlines down.
+//! Reads `config.json` into the values that the program and the policy need. Unknown keys are ignored, since
+//! later versions of the platform may add some. Waits are rounded up, deadlines down.
 
 use crate::endpoint_list::EndpointList;
 use notchpoint_policy::*;
@@ -56,12 +56,12 @@
     pub disk_bytes: u64,
     /// The endpoint list as it was when the configuration was written.
     pub initial_list: EndpointList,
-    /// The settings of the decision module.
+    /// The settings of the policy.
     pub settings: Settings,
     pub names: Names,
 }
 
-/// The names that requests and endpoint lists use. The decision module uses indexes instead.
+/// The names that requests and endpoint lists use. The policy uses indexes instead.
 #[derive(Clone, Debug, Default)]
 pub struct Names {
     pub classes: Vec<String>,
--- a/crates/daemon/src/settings/descriptors.rs
+++ b/crates/daemon/src/settings/descriptors.rs
@@ -32,6 +32,7 @@
 }
 
 impl DescriptorBudget {
+    /// Divides the descriptors that the configuration allows.
     pub fn new(config: &Config) -> Self {
         Self::split(config.max_descriptors, config.settings.slots as usize)
     }
--- a/crates/daemon/src/settings/operator.rs
+++ b/crates/daemon/src/settings/operator.rs
@@ -96,7 +96,7 @@
     1_500
 }
 
-/// Each further replica is a further wait for every message, and no operator has asked for more than this.
+/// Each further replica makes every message wait longer for its answer, and operators need no more than this.
 const MAX_COPIES: usize = 3;
 /// A sender may hold a connection to each of the others.
 const MAX_SENDERS: usize = 1_024;
@@ -112,7 +112,10 @@
             errors.push(format!("copies.count: {} is not within 0 to {MAX_COPIES}", self.count));
         }
         if self.senders.len() > MAX_SENDERS {
-            errors.push(format!("copies.senders: {} are over {MAX_SENDERS}", self.senders.len()));
+            errors.push(format!(
+                "copies.senders: {} entries exceed the limit of {MAX_SENDERS}",
+                self.senders.len()
+            ));
         }
         if !SILENCE_RANGE.contains(&self.silence_ms) {
             errors.push(format!("copies.silence_ms: {} is not within 300 to 60000", self.silence_ms));
@@ -209,10 +212,10 @@
     pub from_zones: usize,
 }
 
-/// Any zone may have a lower share of failures for a while; a higher one occurs only once no sender tries any
-/// more.
+/// A lower share of failed calls may occur in any zone for a while; a higher one occurs only once no sender
+/// calls the zone any more.
 const FAILED_SHARE_RANGE: std::ops::RangeInclusive<f64> = 0.2..=0.95;
-/// The maximum length of each list of pinned zones; the platform names few zones.
+/// The maximum length of each list of pinned zones (`out` and `stay`); the platform names few zones.
 const MAX_PINNED: usize = 16;
 /// A single destination, sender or zone never suffices.
 const THRESHOLD_RANGE: std::ops::RangeInclusive<usize> = 2..=100;
@@ -267,14 +270,14 @@
     fn check(&self) -> Result<(), String> {
         for (key, names) in [("out", &self.out), ("stay", &self.stay)] {
             if names.len() > MAX_PINNED {
-                return Err(format!("zones.{key}: {} are over {MAX_PINNED}", names.len()));
+                return Err(format!("zones.{key}: {} entries exceed the limit of {MAX_PINNED}", names.len()));
             }
             if names.iter().any(String::is_empty) {
                 return Err(format!("zones.{key}: a zone without a name"));
             }
         }
         if self.give_way && !self.leave {
-            return Err("zones.give_way: goes with zones.leave".into());
+            return Err("zones.give_way: requires zones.leave".into());
         }
         if let Some(both) = self.out.iter().find(|name| self.stay.contains(name)) {
             return Err(format!("zones.stay: {both} is in zones.out as well"));
@@ -300,8 +303,8 @@
         }
         write!(
             f,
-            "zones are watched: a zone fails if {} destinations lose {} of their calls there, as seen by \
-             {} senders in {} zones; {}",
+            "zones are watched: a zone fails if {} destinations have a share of {} failed calls there, as \
+             seen by {} senders in {} zones; {}",
             self.destinations,
             self.share,
             self.senders,
--- a/crates/daemon/src/state/timeline/tests.rs
+++ b/crates/daemon/src/state/timeline/tests.rs
@@ -79,7 +79,7 @@
                 assert_eq!(open.deadline, wall + 24 * SECOND);
             }
             let started_at = |id| journal.get(MessageId(id)).expect("open").attempts[0].started_at;
-            // The decision module's clock starts at least as far from its zero as the longest window.
+            // The policy's clock starts at least as far from its zero as the longest window.
             assert!(journal.unix_now() - started_at(1) >= 24 * HOUR, "{}", started_at(1));
             assert_eq!(started_at(2), 100 * HOUR, "it never ran");
         }
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn the_longest_allowed_span_does_not_reach_before_the_decision_modules_zero() {
+fn the_longest_allowed_span_does_not_reach_before_the_policys_zero() {
     // Settings with spans of more than 2^50 us are rejected.
     const { assert!(CLOCK_START >= 1 << 50) };
 }
