--- a/crates/daemon/src/calls.rs
+++ b/crates/daemon/src/calls.rs
@@ -44,9 +44,9 @@
 /// A response that arrives less than this before a message's deadline may have been written after it: the
 /// client's time began a little before its message was read here.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(10);
-/// The same if the process was delayed before it read the message. A response that arrives less than this
-/// before the deadline counts as a delivery, and a notice is sent for its message all the same, which does no
-/// harm.
+/// The same margin for a process that was delayed before it read the message. A response that arrives less
+/// than this before the deadline counts as a delivery, and a notice is sent for its message all the same,
+/// which does no harm.
 const UNCERTAINTY_MARGIN: Duration = Duration::from_millis(170);
 /// No message has a longer time to its deadline.
 const MAX_LIFETIME: Duration = Duration::from_secs(365 * 24 * 60 * 60);
@@ -85,7 +85,8 @@
 
 /// An attempt, by its message and number.
 type AttemptId = (MessageId, u32);
-/// A route shares one limit and its waits: a destination, or one endpoint of it where they are apart.
+/// A route: a destination, or a single endpoint of it if `Target::per_endpoint` is set. A wait that a
+/// destination asks for applies to a whole route.
 type Route = (DestinationId, Option<EndpointId>);
 
 /// All calls to endpoints and the connections for them.
@@ -129,6 +130,8 @@
 }
 
 impl Calls {
+    /// Creates the calls and starts the task that closes expired connections. It has to be called within a
+    /// `LocalSet`.
     pub fn new(
         config: &Config,
         net: Rc<dyn Network>,
@@ -263,6 +266,7 @@
         self.targets.borrow().keys().copied().collect()
     }
 
+    /// Whether the list has this endpoint.
     pub fn is_listed(&self, id: EndpointId) -> bool {
         self.targets.borrow().contains_key(&id)
     }
@@ -295,16 +299,17 @@
     pub fn start(self: &Rc<Self>, endpoint: EndpointId, mut items: Vec<CallItem>) {
         let (cancel, cancelled) = unbounded_channel();
         let shortest = items.iter().map(|i| i.timeout).min().unwrap_or_default();
-        for i in &mut items {
+        for item in &mut items {
             if !self.parallel_attempts {
-                // A message that is sent again while this call goes on for the others would be a second copy.
-                i.timeout = shortest;
+                // Otherwise a message could be sent again while this call goes on for the others, and two
+                // attempts of it would be in flight.
+                item.timeout = shortest;
             }
-            self.cancels.borrow_mut().insert((i.id, i.attempt), (endpoint, cancel.clone()));
+            self.cancels.borrow_mut().insert((item.id, item.attempt), (endpoint, cancel.clone()));
         }
         self.active_calls.set(self.active_calls.get() + 1);
-        // Taken now, not when the task runs: the policy decided without a connection that becomes idle in
-        // between, and would count it twice.
+        // The connection is taken now, not when the task runs: one that becomes idle in between is not part
+        // of the policy's decision, and would be counted twice.
         let idle = self.take_idle(endpoint);
         let calls = self.clone();
         tokio::task::spawn_local(async move {
--- a/crates/daemon/src/calls/answer.rs
+++ b/crates/daemon/src/calls/answer.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// The result of a call: the same for all messages, or one for each (a message that is missing may have run).
+/// The result of a call: one for all messages, or one for each of them. A message without a result may have
+/// run.
 pub(super) enum CallResult {
     SameForAll(AttemptEnd),
     PerMessage(BTreeMap<MessageId, AttemptEnd>),
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -20,10 +20,10 @@
 
 /// An attempt whose record is not durable within this time is not made.
 const DURABLE_WITHIN: Duration = Duration::from_secs(1);
-/// A response arrives in one piece. What has not arrived within this time after its first byte, which leaves
-/// room to resend a lost packet, will not arrive.
+/// The time after a response's first byte in which the rest has to arrive. Responses arrive in one piece, and
+/// this leaves time to resend a lost packet.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same after the status line has settled the call: the rest is awaited only to keep the connection.
+/// The same time if the status line has settled the call: the rest is awaited only to keep the connection.
 const SETTLED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Calls {
@@ -175,7 +175,7 @@
         waits
     }
 
-    /// Returns once the rest of a response that has begun is not awaited any longer.
+    /// Waits until the time for the rest of a response that has begun is over.
     async fn response_overdue(&self, call: &Call, progress: &Progress) {
         loop {
             let since = progress.received.borrow().first_byte_at;
--- a/crates/daemon/src/calls/pool.rs
+++ b/crates/daemon/src/calls/pool.rs
@@ -34,7 +34,7 @@
 }
 
 impl Connection {
-    /// Whether the connection may carry a call: it is open, and nothing has arrived that no call waits for.
+    /// Whether the connection may carry a call: it is open, and no bytes have arrived outside of a call.
     pub(super) fn is_reusable(&self) -> bool {
         self.sender.is_ready() && self.stream.has_no_unread_data()
     }
--- a/crates/daemon/src/calls/tests.rs
+++ b/crates/daemon/src/calls/tests.rs
@@ -144,7 +144,7 @@
 
 #[test]
 fn bytes_that_arrive_on_an_idle_connection_before_its_next_call_are_no_response_to_that_call() {
-    // Guards against counting a message as delivered that no partner has received: a duplicate of an earlier
+    // Guards against counting a message as delivered that no endpoint has received: a duplicate of an earlier
     // response that arrives after the connection was taken from the pool would pass for the new call's.
     run_on_sockets(async {
         let mut harness = Harness::new(1).await;
@@ -291,7 +291,7 @@
 #[test]
 fn a_response_that_arrives_at_a_messages_deadline_is_no_delivery() {
     // Guards against losing a message: it was counted as delivered by a response that was written after its
-    // deadline, which the partner does not count as a delivery. An unnecessary notice does no harm.
+    // deadline, which the endpoint does not count as a delivery. An unnecessary notice does no harm.
     run_on_sockets(async {
         let ok = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
         assert_eq!(respond_at_deadline(&[1_000], ok).await, [(1, Outcome::TimedOut)]);
--- a/crates/daemon/src/decision_loop.rs
+++ b/crates/daemon/src/decision_loop.rs
@@ -89,7 +89,8 @@
     /// The number of attempts of each message that is open or has an attempt in flight.
     attempts: HashMap<MessageId, AttemptCounts>,
     /// When the policy asked to be called, by its own clock. It is cleared by the same comparison as in the
-    /// policy: if only one of the two considered the time to have passed, neither would wait for the next.
+    /// policy: if the two disagreed on whether this time has passed, the policy might not be called at the
+    /// next one.
     wake_at: Option<Micros>,
     last_turn_at: Option<Instant>,
     events: Vec<Event>,
@@ -303,10 +304,10 @@
             expires_in: self.time_left(id),
         };
         // The client may not have received the 202, and may have sent the message again.
-        let is_unsure = self.copies.is_some()
+        let may_be_resent = self.copies.is_some()
             && !open.is_confirmed
             && self.active_settings.borrow().counts_as_at_most_once(&open.class);
-        if is_unsure {
+        if may_be_resent {
             return None;
         }
         Some(Event::Resumed { message, attempts, ran_ago: self.first_possible_run(id) })
@@ -411,7 +412,7 @@
         let (config, text) = self.pending_config.take()?;
         self.discovery.relocate(config.discovery_addr);
         self.reports.relocate(config.discovery_addr);
-        let (active_settings, changes, waits) = {
+        let (active_settings, changes, needs_restart) = {
             let (active_settings, journal) = (self.active_settings.borrow(), self.journal.borrow());
             // Includes the classes of accepted messages that the policy has not received yet.
             let mut in_use: BTreeSet<usize> = self.sender.classes_in_use();
@@ -426,8 +427,11 @@
         }
         self.config_text = text;
         tracing::info!("configuration reloaded: discovery at {}", config.discovery_addr);
-        if !waits.is_empty() {
-            tracing::warn!("configuration: changes that take effect at the next start: {}", waits.join(", "));
+        if !needs_restart.is_empty() {
+            tracing::warn!(
+                "configuration: changes that take effect at the next start: {}",
+                needs_restart.join(", ")
+            );
         }
         let is_changed = active_settings.settings != self.active_settings.borrow().settings;
         if let Some(zone_monitor) = self.zone_monitor.as_ref().filter(|_| is_changed) {
@@ -504,8 +508,8 @@
     /// Processes one input; most of them become an event for the next turn.
     fn process_input(&mut self, input: Input) {
         let event = match input {
-            // The message is withdrawn, and its record is deleted. It is known here only if the store was
-            // read before its client had gone.
+            // The message's record is deleted already. The message is known here only if the store was read
+            // before its client had gone.
             Input::Unacknowledged(id) => {
                 self.unacknowledged.remove(&id);
                 if !self.attempts.contains_key(&id) {
@@ -786,18 +790,19 @@
     /// that it has not received yet.
     fn check_held_messages(&self) {
         let journal = self.journal.borrow();
-        let owed = journal.iter().filter(|(id, m)| m.verdict.is_none() && self.attempts.contains_key(id));
-        let owed: Vec<MessageId> = owed.map(|(id, _)| id).collect();
+        let open = journal.iter().filter(|(id, m)| m.verdict.is_none() && self.attempts.contains_key(id));
+        let open: Vec<MessageId> = open.map(|(id, _)| id).collect();
         // A message that the status line of its response has settled has ended in the journal; the policy is
         // informed once the rest of the response has arrived or is overdue.
         let is_settled =
             |id| journal.get(id).is_none() && self.attempts.get(&id).is_some_and(|a| a.in_flight > 0);
         let held = self.sender.open_messages().into_iter().map(|o| o.0).filter(|id| !is_settled(*id));
         let held: Vec<MessageId> = held.collect();
-        assert_eq!(held, owed, "messages that the policy holds, and open messages of the journal");
+        assert_eq!(held, open, "messages that the policy holds, and open messages of the journal");
     }
 
-    /// Adds a message to a call that this turn makes to the endpoint, as far as its kind allows.
+    /// Adds a message to a call that this turn makes to the endpoint. A call that has as many messages as the
+    /// endpoint's kind allows is followed by another one.
     fn add_to_call(
         &mut self,
         new_calls: &mut Vec<(EndpointId, Vec<CallItem>)>,
@@ -829,8 +834,8 @@
         tracing::debug!("message {:016x} given up: {verdict:?}", id.0);
         match (&self.copies, verdict) {
             (Some(copies), Verdict::Bounced(_)) if self.counts_as_at_most_once(id) => {
-                // Another sender may have taken it over, or may do so: the client may only send it again
-                // harmlessly once no sender can attempt it any more.
+                // Another sender may have taken it over, or may still do so: that the client sends it again
+                // is harmless only once no sender can attempt it any more.
                 let (copies, journal, reports) = (copies.clone(), self.journal.clone(), self.reports.clone());
                 tokio::task::spawn_local(async move {
                     let verdict = if copies.close_message(id).await { verdict } else { Verdict::Dead };
--- a/crates/daemon/src/handover/protocol.rs
+++ b/crates/daemon/src/handover/protocol.rs
@@ -52,7 +52,7 @@
     pub waits: Vec<RouteWait>,
     pub members: Vec<Member>,
     pub revision: u64,
-    /// Classes by position: tag, definition, and whether clients may use it.
+    /// Classes by index: tag, definition, and whether clients may use it.
     pub classes: Vec<(String, Class, bool)>,
 }
 
@@ -73,7 +73,7 @@
 /// The owner's response to a forwarded request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ForwardResult {
-    /// The message was recorded; `class` is the position of its class.
+    /// The message was recorded; `class` is the index of its class.
     Recorded { class: u32 },
     /// There is no room: the client is advised to retry later.
     RetryLater,
@@ -81,6 +81,7 @@
     Conflict,
 }
 
+/// A frame of the hand-over protocol.
 #[derive(Clone, Serialize, Deserialize)]
 pub enum Frame {
     /// From the predecessor: the hand-over is refused for this reason, and the predecessor goes on serving.
@@ -187,6 +188,8 @@
     Exit,
 }
 
+/// Decides what the predecessor does. `owned` says whether the successor reported that it owns the store,
+/// `ending` whether this process was asked to end.
 pub fn after_disconnect(owned: bool, ending: bool) -> AfterDisconnect {
     match (owned, ending) {
         (_, true) => AfterDisconnect::Exit,
@@ -196,7 +199,7 @@
 }
 
 impl HandoverState {
-    /// Subtracts the time that has passed since the state was taken from what was to last for a time.
+    /// Shortens the waits by the time that has passed since the state was taken.
     pub fn subtract_elapsed(&mut self, elapsed: Micros) {
         self.waits.iter_mut().for_each(|w| w.2 = w.2.saturating_sub(elapsed));
     }
--- a/crates/daemon/src/handover/successor.rs
+++ b/crates/daemon/src/handover/successor.rs
@@ -1,4 +1,5 @@
-//! The successor as its predecessor sees it: requests that are still read here are recorded there.
+//! The predecessor's side of its successor: requests that this process still reads are recorded by the
+//! successor.
 
 use crate::handover::protocol::{ForwardResult, ForwardedRequest, Frame};
 use notchpoint_policy::MessageId;
@@ -7,6 +8,7 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
+/// The process that has taken over or, once that has ended, the next session of this process.
 pub struct Successor {
     outgoing: RefCell<UnboundedSender<Frame>>,
     next_number: Cell<u64>,
@@ -21,6 +23,7 @@
 }
 
 impl Successor {
+    /// Creates the successor that receives these frames.
     pub fn new(outgoing: UnboundedSender<Frame>) -> Self {
         Self { outgoing: RefCell::new(outgoing), next_number: Cell::new(0), pending: RefCell::default() }
     }
@@ -57,9 +60,9 @@
         !self.pending.borrow().is_empty()
     }
 
-    /// Replaces a successor that has ended by another owner. The first one may have recorded requests that
-    /// it did not respond to: only the process that reads the store next can know, so the same requests are
-    /// sent again, and none is refused before that.
+    /// Replaces a successor that has ended by the next owner of the store. The ended one may have recorded
+    /// requests that it did not respond to: only the process that reads the store next can know, so the same
+    /// requests are sent again, and none is refused before that.
     pub fn redirect(&self, outgoing: UnboundedSender<Frame>) {
         *self.outgoing.borrow_mut() = outgoing;
         for (&number, pending) in &*self.pending.borrow() {
--- a/crates/daemon/src/handover/transport.rs
+++ b/crates/daemon/src/handover/transport.rs
@@ -12,10 +12,10 @@
 
 /// Name of the local socket on which the serving process accepts requests for a hand-over.
 pub const SOCKET_NAME: &str = "notchpoint.handover";
-/// A process that connects sends its greeting within this time.
+/// The time in which a process that connects has to send its greeting.
 const HELLO_TIMEOUT: Duration = Duration::from_millis(500);
-/// The state arrives within this time, or the successor starts from the store. A process that is stopped or
-/// starved of CPU sends nothing.
+/// The time in which the state has to arrive; after it, the successor starts from the store. A predecessor
+/// that is stopped or starved of CPU sends nothing.
 const STATE_TIMEOUT: Duration = Duration::from_secs(2);
 /// The state holds no bodies; each message and attempt takes some hundred bytes.
 const MAX_FRAME_BYTES: usize = 64 << 20;
@@ -112,7 +112,7 @@
     let _ = timeout(HELLO_TIMEOUT, write_frame(stream, &Frame::Refused(why.to_owned()))).await;
 }
 
-/// What became of the request for a hand-over that a starting process makes.
+/// The reply to the request for a hand-over that a starting process makes.
 pub enum HandoverReply {
     /// No process serves, or none accepts the connection.
     NoPredecessor,
--- a/crates/daemon/src/input.rs
+++ b/crates/daemon/src/input.rs
@@ -10,16 +10,16 @@
 use std::collections::BTreeSet;
 use tokio::sync::oneshot;
 
-/// The policy's clock starts at this value, so that no time span reaches back beyond zero: the settings
-/// refuse longer ones.
+/// The policy's clock starts at this value. Settings with longer durations are rejected, so no duration that
+/// is subtracted from a time leads below zero.
 pub const CLOCK_START: Micros = 1 << 50;
 
-/// A message that was accepted. Its deadline stands in its record alone: a remaining time that is counted
-/// here as well would start late behind a slow disk, or on the way from another process.
+/// A message that was accepted. Only the message's record has its deadline: a remaining time kept here would
+/// begin to run too late, after a slow write to the disk or the transfer from another process.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AcceptedMessage {
     pub id: MessageId,
-    /// Position of the class, as `tenant` is the position of the tenant.
+    /// The index of the class in the settings, as `tenant` is the index of the tenant.
     pub class: u32,
     pub tenant: Option<u32>,
     pub dest: DestinationId,
@@ -70,9 +70,9 @@
     DeliveryUncertain(MessageId),
     /// The pause of a message is over.
     PauseElapsed(MessageId),
-    /// Whether clients are to be sent to other senders, because the zone of this sender is evacuated.
+    /// Whether clients are to be directed to other senders, because the zone of this sender is evacuated.
     RedirectClients(bool),
-    /// An operator's command, and where it is answered once it is in effect.
+    /// An operator's command, and the reply to send once it is in effect.
     OperatorCommand(OperatorCommand, CommandReply),
 }
 
--- a/crates/daemon/src/io.rs
+++ b/crates/daemon/src/io.rs
@@ -1,5 +1,5 @@
-//! Streams whose reads and writes an observer sees: what a peer can have received, and what it has sent,
-//! decide what may be done next.
+//! Reading and writing of streams, with retries, and streams whose reads and writes are reported to an
+//! observer: what a peer can have received, and what it has sent, decide what may be done next.
 
 use hyper::rt::{Read, ReadBufCursor, Write};
 use notchpoint_seam::Stream;
@@ -152,6 +152,7 @@
 type RetryDelay = Option<Pin<Box<Sleep>>>;
 
 impl<O> ObservedStream<O> {
+    /// Wraps a stream, whose reads and writes the observer is notified of.
     pub fn new(stream: Rc<dyn Stream>, observer: O) -> Self {
         Self { stream, observer, read_delay: None, write_delay: None }
     }
--- a/crates/daemon/src/operations.rs
+++ b/crates/daemon/src/operations.rs
@@ -3,7 +3,7 @@
 use hyper::{Method, StatusCode};
 use std::borrow::Cow;
 
-/// Longest endpoint id. An id is a few dozen bytes; discovery's longest line bounds what it could be.
+/// Longest endpoint id. An id is a few dozen bytes; the endpoint list limits it only by its own length.
 const MAX_ID_BYTES: usize = 1 << 10;
 
 /// A command from an operator.
@@ -36,6 +36,7 @@
 }
 
 impl Rejection {
+    /// Creates a rejection with this status and reason.
     pub fn new(status: StatusCode, why: impl Into<Cow<'static, str>>) -> Self {
         Self { status, why: why.into(), allow: None }
     }
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -64,7 +64,7 @@
 const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of the retries to open the socket for hand-overs.
 const SOCKET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Limit of the mistakes in a configuration that are logged.
+/// The most mistakes in one configuration that are logged.
 const MAX_LOGGED_MISTAKES: usize = 20;
 
 /// Any error that ends a command or the start of the sender.
@@ -79,8 +79,8 @@
         |name: &str| std::env::var_os(name).map(PathBuf::from).ok_or_else(|| format!("{name} is not set"));
     let local_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
     let (state, config) = (variable("BALANCER_STATE")?, variable("BALANCER_CONFIG")?);
-    // Checked before anything else is opened: otherwise a file that is opened here could get a number that
-    // was not open at the start, and pass for the socket.
+    // The descriptor is checked before anything else is opened: if it is not open yet, a file that is opened
+    // here could get its number and pass for the socket.
     let client_listener = match std::env::var("BALANCER_ACCEPT_FD").ok().filter(|n| !n.is_empty()) {
         Some(number) => Some(
             (number.parse().map_err(|e: std::num::ParseIntError| e.to_string()))
@@ -321,10 +321,10 @@
         source: &Rc<ConfigSource>,
     ) -> Result<Option<StartFrom>, Failure> {
         let options = storage::options(&config, &self.operator.store);
-        let Some((journal, notes)) = self.open_store(options, &mut start_from).await? else {
+        let Some((journal, report)) = self.open_store(options, &mut start_from).await? else {
             return Ok(None);
         };
-        tracing::info!("journal: {notes}");
+        tracing::info!("journal: {report}");
         if let StartFrom::Handover(state, channel) = &start_from {
             let _ = channel.outgoing.send(Frame::Owned);
             (config, text) = (crate::settings::config::read(&state.config_text)?, state.config_text.clone());
@@ -474,8 +474,8 @@
                 stream = handover_request => stream,
             };
             let Some(stream) = stream else { continue };
-            // Nothing awaits from here until the frames are queued, so that no event is lost between the
-            // owners.
+            // There is no await from here until the frames are queued, so that no event is lost between the
+            // two owners.
             let released = journal.borrow_mut().release();
             if let Err(why) = released {
                 tracing::warn!("hand-over: the store cannot be released: {why}");
@@ -550,8 +550,8 @@
     active_settings
 }
 
-/// Processes the frames of the predecessor until it has ended. A process in between may have recorded the
-/// messages in `unacknowledged` and ended before it could respond.
+/// Processes the frames of the predecessor until it has ended. The messages in `unacknowledged` may have been
+/// recorded already, by an earlier successor that ended before it could respond.
 async fn follow_predecessor(
     inbound: Rc<Inbound>,
     channel: FrameChannel,
@@ -738,7 +738,7 @@
     session: RefCell<Option<SessionHandle>>,
 }
 
-/// What signals change in a session.
+/// The parts of a session that signals act on.
 struct SessionHandle {
     /// Text of the configuration in force.
     config_text: String,
@@ -795,11 +795,11 @@
             Ok(new) => new,
             Err(why) => return tracing::warn!("operator's file not reloaded: {why}"),
         };
-        let waits = self.operator.changes_needing_restart(&new);
-        if !waits.is_empty() {
+        let needs_restart = self.operator.changes_needing_restart(&new);
+        if !needs_restart.is_empty() {
             tracing::warn!(
                 "operator's file: changes that take effect at the next start: {}",
-                waits.join(", ")
+                needs_restart.join(", ")
             );
         }
         if let Some(zone_monitor) = self.session.borrow().as_ref().and_then(|s| s.zone_monitor.as_ref()) {
@@ -808,7 +808,7 @@
     }
 
     /// Reads the configuration again, checks it as a whole, and passes it to the decision loop in one step. A
-    /// configuration with a mistake changes nothing; one that cannot be read is retried.
+    /// configuration with a mistake changes nothing; reading one that cannot be read is retried.
     fn reload(self: &Rc<Self>, source: &Rc<ConfigSource>) {
         let mut session = self.session.borrow_mut();
         // Without a session the process is starting, and reads the file itself.
--- a/crates/daemon/src/startup.rs
+++ b/crates/daemon/src/startup.rs
@@ -13,7 +13,8 @@
 const RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Whether an error of a start-up step may be transient, and there is time left to retry. Waiting does not
-/// help against a mistake in the settings, a missing permission or damaged data.
+/// help against a mistake in the settings, a missing permission or damaged data. `WouldBlock` means that
+/// another process has locked the state folder.
 pub fn should_retry(why: &io::Error, begun: Instant) -> bool {
     let is_permanent = matches!(
         why.kind(),
