--- a/crates/daemon/src/clients/connection_table.rs
+++ b/crates/daemon/src/clients/connection_table.rs
@@ -29,7 +29,7 @@
 /// client to send a request that it has ready. Clients in the accept queue wait 400 ms at most, and a request
 /// that crosses the end of an idle connection is sent again on a new one.
 const MIN_IDLE_TO_EVICT: Duration = Duration::from_millis(50);
-/// The longest time for which a connection is read beyond its end, while bytes keep arriving.
+/// The longest time for which a connection is read beyond its time-out, while bytes keep arriving.
 pub const READ_GRACE: Duration = Duration::from_millis(100);
 /// The time for which a connection is read and its bytes discarded after this side has ended it. Closing it
 /// with unread bytes would reset it, and a reset destroys the last answer.
--- a/crates/daemon/src/clients/inbound.rs
+++ b/crates/daemon/src/clients/inbound.rs
@@ -43,7 +43,7 @@
 const MAX_IDEMPOTENCY_KEY_BYTES: usize = 255;
 /// The longest head. A head has a few hundred bytes; the rest is for headers that proxies add.
 const MAX_HEAD_BYTES: usize = 16 << 10;
-/// How often a connection that is to end is checked for the gap between two requests.
+/// How often a connection that is to be closed is checked for a gap between two requests.
 const CLOSE_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// The memory that a connection takes: hyper's two buffers, its task and its state.
 const CONNECTION_BYTES: u64 = 32 << 10;
@@ -67,7 +67,7 @@
     pub active_settings: Rc<RefCell<ActiveSettings>>,
     pub journal: Rc<RefCell<Journal>>,
     pub durability: Rc<DurabilityTracker>,
-    /// If copies are kept, a message is promised only after other senders have it.
+    /// If copies are kept, a message is acknowledged only after other senders have it.
     pub copies: Option<Rc<ReplicationService>>,
     pub calls: Rc<Calls>,
     pub inputs: UnboundedSender<Input>,
@@ -418,7 +418,7 @@
         return Ok(refuse(inbound, Refusal::NoRoom));
     }
     let (position, mut record) =
-        (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(headers.id) });
+        (inbound.durability.log_end(), UnacknowledgedRecord { inbound, id: Some(headers.id) });
     if !wait_until_safe(inbound, headers.id, &position).await {
         return if record.withdraw() {
             Ok(refuse(inbound, Refusal::NotDurable))
@@ -484,7 +484,8 @@
         Ok(false) => return ForwardResult::RetryLater,
         Err(_) => return ForwardResult::Conflict,
     }
-    let (position, mut record) = (inbound.durability.log_end(), UnpromisedRecord { inbound, id: Some(id) });
+    let (position, mut record) =
+        (inbound.durability.log_end(), UnacknowledgedRecord { inbound, id: Some(id) });
     if !wait_until_safe(inbound, id, &position).await {
         return if record.withdraw() { ForwardResult::RetryLater } else { ForwardResult::Conflict };
     }
@@ -492,8 +493,8 @@
     ForwardResult::Recorded { class: class as u32 }
 }
 
-/// Waits until a record is durable and copied as far as the settings ask for. Returns whether it may be
-/// promised.
+/// Waits until a record is durable and copied as far as the settings ask for. Returns whether its message may
+/// be acknowledged.
 async fn wait_until_safe(inbound: &Inbound, id: MessageId, position: &LogPosition) -> bool {
     let Some(copies) = &inbound.copies else {
         return inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT).await;
@@ -507,7 +508,7 @@
         copies.replicate(id, at_most_once, DURABILITY_TIMEOUT),
         inbound.durability.wait_until_durable(position, DURABILITY_TIMEOUT)
     );
-    // If the confirmation is not written, the message is not promised, and a restart treats it as unpromised.
+    // If the confirmation is not written, the message is not acknowledged, and a restart treats it so.
     is_copied && is_durable && (!at_most_once || inbound.journal.borrow_mut().confirm(id).is_ok())
 }
 
@@ -530,20 +531,20 @@
     if is_expired || journal.held_count() >= inbound.active_settings.borrow().settings.max_held as usize {
         return Ok(false);
     }
-    // A process that ends before other senders have the message has promised nothing.
+    // A process that ends before other senders have the message has not acknowledged it.
     open.is_confirmed =
         inbound.copies.is_none() || !inbound.active_settings.borrow().counts_as_at_most_once(&open.class);
-    // The record is written before the answer. Without a record nothing is promised.
+    // The record is written before the answer. A message without a record is not acknowledged.
     Ok(journal.accept(id, open).is_ok())
 }
 
-/// Withdraws the record of a message on drop, unless the message was promised and `id` cleared.
-struct UnpromisedRecord<'a> {
+/// Withdraws the record of a message on drop, unless `id` was cleared, since the message may be acknowledged.
+struct UnacknowledgedRecord<'a> {
     inbound: &'a Inbound,
     id: Option<MessageId>,
 }
 
-impl UnpromisedRecord<'_> {
+impl UnacknowledgedRecord<'_> {
     /// Withdraws the record and returns whether that is written. If not, the next process would find the
     /// message and send it, so the client must not learn that a resend is harmless.
     fn withdraw(&mut self) -> bool {
@@ -551,7 +552,7 @@
     }
 }
 
-impl Drop for UnpromisedRecord<'_> {
+impl Drop for UnacknowledgedRecord<'_> {
     fn drop(&mut self) {
         self.withdraw();
     }
--- a/crates/daemon/src/clients/inbound/tests.rs
+++ b/crates/daemon/src/clients/inbound/tests.rs
@@ -209,7 +209,7 @@
             served.await.expect("it ended");
             let answer = String::from_utf8(answer).expect("text");
             let is_accepted = matches!(received.try_recv(), Ok(Input::Acknowledged(..)));
-            // The message is passed on and recorded exactly if it was promised.
+            // The message is passed on and recorded exactly if it was answered with 202.
             assert_eq!(is_accepted, answer.starts_with("HTTP/1.1 202"), "{answer}");
             assert_eq!(inbound.journal.borrow().get(MessageId(0xa1)).is_some(), is_accepted);
             assert!(!(is_evicted && is_accepted), "the connection was evicted before the request was read");
--- a/crates/daemon/src/state/journal.rs
+++ b/crates/daemon/src/state/journal.rs
@@ -2,7 +2,7 @@
 //! records are in the store's table of messages; open messages are held in memory as well.
 //!
 //! Written records outlast the process without a sync. If the operator asks for more (`[store]`),
-//! `durability.rs` waits for the sync before anything is promised or sent.
+//! `durability.rs` waits for the sync before anything is acknowledged or sent.
 
 use crate::rate_limited_warning::RateLimitedWarning;
 use crate::settings::classes;
@@ -26,7 +26,7 @@
 
 /// The space in the log that a verdict and an end of one message take. It is reserved for each open message.
 const END_RESERVE_BYTES: u64 = 96;
-/// A step of the wall clock, in microseconds, from which on it is logged at a start.
+/// The smallest step of the wall clock, in microseconds, that is logged at the start.
 const MIN_LOGGED_CLOCK_STEP: u64 = 1_000_000;
 /// The time recorded for attempts whose time is not known.
 const UNKNOWN_TIME: u64 = 0;
@@ -47,8 +47,7 @@
     /// Definitions of classes that messages may have, by tag, as they were when the journal was opened.
     stored_classes: BTreeMap<String, Class>,
     /// Verdicts, ends and the timeline that could not be written yet, oldest first: at most a few for each
-    /// open message.
-    /// They are written before anything else, see `pending_writes.rs`.
+    /// open message. They are written before anything else, see `pending_writes.rs`.
     pending_writes: VecDeque<Batch>,
     /// Notified when a pending write is added.
     pending_write_signal: Rc<Notify>,
@@ -78,7 +77,7 @@
         clock: Rc<dyn Clock>,
         options: Options,
     ) -> Result<(Self, RecoveryReport), Error> {
-        let (mut store, notes) = Store::open(disk.clone(), options)?;
+        let (mut store, report) = Store::open(disk.clone(), options)?;
         legacy::migrate(&*disk, &mut store)?;
         let mut open = BTreeMap::new();
         let (mut operator_marks, mut stored_classes, mut unreadable) =
@@ -100,8 +99,8 @@
                 unreadable.get_or_insert_with(|| format!("{kind} record cannot be read: key {key:02x?}"));
             }
         })?;
-        // Without the record of its message, an attempt or a verdict leaves an entry with no deadline. There
-        // is nothing to deliver or to report for it.
+        // An attempt or a verdict whose message has no record leaves an entry without a deadline, for which
+        // there is nothing to deliver or to report.
         open.retain(|_, m: &mut OpenMessage| m.deadline > 0);
         if let Some(error) = unreadable {
             return Err(io::Error::new(io::ErrorKind::InvalidData, error).into());
@@ -133,7 +132,7 @@
         };
         journal.reserve_for_ends();
         journal.start_timeline();
-        Ok((journal, notes))
+        Ok((journal, report))
     }
 
     /// Dates records by this process's timeline from now on. After a boot the age of attempts is not known,
@@ -248,8 +247,8 @@
         Ok(self.append(&batch, if only_deletes { WriteKind::End } else { WriteKind::New })?)
     }
 
-    /// Takes over a message that another sender had promised, and writes rows of copies in the same batch.
-    /// After an error nothing has changed.
+    /// Takes over a message that another sender had acknowledged, and writes rows of copies in the same
+    /// batch. After an error nothing has changed.
     pub fn adopt<'a>(
         &mut self,
         id: MessageId,
@@ -266,7 +265,7 @@
         Ok(())
     }
 
-    /// Records that an unconfirmed message may be promised to its client. After an error it must not be.
+    /// Records that an unconfirmed message may be acknowledged. After an error it must not be.
     pub fn confirm(&mut self, id: MessageId) -> io::Result<()> {
         if self.open.get(&id).is_none_or(|o| o.is_confirmed) {
             return Ok(());
@@ -314,7 +313,7 @@
         Ok(())
     }
 
-    /// Records an attempt, before its first byte is written. After an error that byte must not be written.
+    /// Records an attempt before its first byte is sent. After an error that byte must not be sent.
     pub fn record_attempt(&mut self, id: MessageId, number: u32, endpoint: EndpointId) -> io::Result<()> {
         let started_at = self.unix_now();
         if !self.open.contains_key(&id) {
--- a/crates/daemon/src/state/pending_writes.rs
+++ b/crates/daemon/src/state/pending_writes.rs
@@ -34,7 +34,7 @@
 
 /// Waits until a verdict that allows the client to resend is written, and returns the verdict to report. A
 /// kill would lose an unwritten verdict, and the next process would send the message again. If the message's
-/// time runs out first, the verdict becomes `Dead`, which promises the client nothing.
+/// time runs out first, the verdict becomes `Dead`, which does not say that a resend is harmless.
 pub async fn wait_for_verdict_write(
     journal: &Rc<RefCell<Journal>>,
     id: MessageId,
--- a/crates/daemon/src/state/record.rs
+++ b/crates/daemon/src/state/record.rs
@@ -68,10 +68,15 @@
 }
 
 // The kinds of records of a message.
+/// The message itself, see [`encode_message`].
 pub const MESSAGE: u8 = b'T';
+/// An attempt, see [`encode_attempt`].
 pub const ATTEMPT: u8 = b'A';
+/// The verdict, see [`encode_verdict`].
 pub const VERDICT: u8 = b'V';
+/// A record without content, which exists while the message is not confirmed.
 pub const UNCONFIRMED: u8 = b'U';
+/// The idempotency key as text, if the client sent one.
 pub const IDEMPOTENCY_KEY: u8 = b'K';
 
 /// Returns the key of a message's record. `number` is the attempt's number, for records of attempts.
