--- a/crates/seam/src/disk.rs
+++ b/crates/seam/src/disk.rs
@@ -49,7 +49,7 @@
     /// Syncs the directory: files created, renamed and removed so far survive a loss of power.
     ///
     /// # Errors
-    /// Any of these changes may be lost.
+    /// After an error any of these changes may be lost.
     fn sync_directory(&self) -> io::Result<()>;
 
     /// Locks the folder against other processes until the returned value is dropped.
@@ -64,20 +64,20 @@
     /// Appends all these bytes. They survive the process.
     ///
     /// # Errors
-    /// A part of the bytes may have been written.
+    /// After an error a part of the bytes may have been written.
     fn write_all(&mut self, bytes: &[u8]) -> io::Result<()>;
 
     /// Truncates the file to this length.
     ///
     /// # Errors
-    /// The length is unknown.
+    /// After an error the length of the file is unknown.
     fn set_len(&mut self, len: u64) -> io::Result<()>;
 
     /// Syncs the file: what was written so far survives a loss of power.
     ///
     /// # Errors
-    /// What was written so far may be lost, even if a later sync of the same file succeeds: the system may
-    /// have dropped the data that it failed to write.
+    /// After an error, what was written so far may be lost, even if a later sync of the same file succeeds:
+    /// the system may have dropped the data that it failed to write.
     fn sync(&self) -> io::Result<()>;
 
     /// Does the same as [`Self::sync`], without blocking the caller.
--- a/crates/seam/src/system.rs
+++ b/crates/seam/src/system.rs
@@ -177,7 +177,7 @@
 /// # Errors
 /// There is no such descriptor, it is not a socket, or it does not listen.
 pub fn inherited_listener(descriptor: i32) -> io::Result<Rc<dyn Listener>> {
-    // Safe Rust has no other way to take a descriptor by its number than the one for other processes.
+    // In safe Rust, only the call that duplicates descriptors of other processes takes one by its number.
     let own = pidfd_open(getpid(), PidfdFlags::empty())?;
     let socket = pidfd_getfd(&own, descriptor, PidfdGetfdFlags::empty())?;
     if !rustix::net::sockopt::socket_acceptconn(&socket)? {
