--- a/crates/daemon/src/calls/answer.rs
+++ b/crates/daemon/src/calls/answer.rs
@@ -43,7 +43,7 @@
 ) -> Result<(CallResult, bool), CallError> {
     let response = response.await.map_err(|_| CallError::Broken)?;
     if progress.received.borrow().early {
-        // No request was waiting for it: it is left over from an earlier call and does not apply to this one.
+        // It began before the request was written completely, so it is left over from an earlier call.
         return Err(CallError::Broken);
     }
     let is_reusable = !closes_connection(&response);
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -213,10 +213,10 @@
         }
         many => {
             let mut lines = Vec::new();
-            for i in many {
-                let key = if i.idempotency_key.is_empty() { "-" } else { &i.idempotency_key };
-                lines.extend(format!("{:016x} {key} {}\r\n", i.id.0, i.body.len()).into_bytes());
-                lines.extend(&i.body);
+            for item in many {
+                let key = if item.idempotency_key.is_empty() { "-" } else { &item.idempotency_key };
+                lines.extend(format!("{:016x} {key} {}\r\n", item.id.0, item.body.len()).into_bytes());
+                lines.extend(&item.body);
                 lines.extend(b"\r\n");
             }
             (builder, lines.into())
--- a/crates/daemon/src/calls/progress.rs
+++ b/crates/daemon/src/calls/progress.rs
@@ -22,8 +22,8 @@
 pub(super) struct ReceivedBytes {
     /// When the first byte was received.
     pub(super) first_byte_at: Option<Instant>,
-    /// The first byte was received before the request's last byte was written, so it belongs to something
-    /// else.
+    /// The first byte was received before the request's last byte was written, so it does not belong to a
+    /// response to this request.
     pub(super) early: bool,
     total_bytes: usize,
     status_line: Vec<u8>,
--- a/crates/daemon/src/operators/admin.rs
+++ b/crates/daemon/src/operators/admin.rs
@@ -35,6 +35,7 @@
 /// A response has to follow within a second: if the decision loop has not executed a command within this
 /// time, the operator receives an error.
 const DECISION_WITHIN: Duration = Duration::from_millis(700);
+/// The rest of that second, less a margin, in which an executed command has to be durable.
 const DURABLE_WITHIN: Duration = Duration::from_millis(200);
 /// Delay after `accept` failed, and while all connections are in use.
 const RETRY_DELAY: Duration = Duration::from_millis(10);
--- a/crates/daemon/src/operators/flight_recorder.rs
+++ b/crates/daemon/src/operators/flight_recorder.rs
@@ -15,7 +15,7 @@
 /// The number of dumps that are kept; the oldest is deleted for a new one.
 const MAX_DUMPS: usize = 4;
 
-/// The recorder, or nothing where it is switched off or has failed, and what dumps need.
+/// Records turns unless the recorder is switched off or has failed, and writes dumps of the recording.
 pub struct FlightRecorder {
     clock: Rc<dyn Clock>,
     recorder: RefCell<Option<Recorder>>,
--- a/crates/daemon/src/reasons.rs
+++ b/crates/daemon/src/reasons.rs
@@ -1,5 +1,5 @@
 //! Counts, by reason, how often requests are refused, connections end, attempts end and messages are given
-//! up. The sets of reasons are closed, and operators see the counts by `/status`.
+//! up. The sets of reasons are fixed; `/status` shows the counts.
 
 use crate::state::journal::Verdict;
 use notchpoint_policy::Outcome;
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -102,13 +102,13 @@
 /// The sender could not start.
 pub async fn run(environment: Environment, operator: OperatorSettings) -> Result<(), Failure> {
     let Environment { net, clock, disk, signals, config: source, admin_addr, client_listener } = environment;
-    let operators = Rc::new(AdminServer::default());
+    let admin_server = Rc::new(AdminServer::default());
     let signal_handler = Rc::new(SignalHandler { operator: operator.clone(), ..SignalHandler::default() });
     let source = Rc::new(source);
     tokio::task::spawn_local(signal_handler.clone().run(signals, source.clone()));
     let warnings = RateLimitedWarning::default();
     let process =
-        Process { net, clock, disk, client_listener, operator, operators, signal_handler, warnings };
+        Process { net, clock, disk, client_listener, operator, admin_server, signal_handler, warnings };
     let own_config = match process.run_with_retries("configuration", || source()).await {
         Ok(None) => return Ok(()),
         Ok(Some(text)) => crate::settings::config::read(&text).map(|c| (c, text)).map_err(Failure::from),
@@ -180,7 +180,7 @@
     disk: Rc<dyn Disk>,
     client_listener: Option<Rc<dyn Listener>>,
     operator: OperatorSettings,
-    operators: Rc<AdminServer>,
+    admin_server: Rc<AdminServer>,
     signal_handler: Rc<SignalHandler>,
     /// Warnings about failures during the start.
     warnings: RateLimitedWarning,
@@ -202,7 +202,7 @@
         let opened = self.run_with_retries(&what, || self.net.listen(address)).await;
         let Some(listener) = opened.map_err(|e| format!("{what}: {e}"))? else { return Ok(false) };
         tracing::info!("operators at {}", listener.local_addr()?);
-        tokio::task::spawn_local(admin::serve(self.operators.clone(), listener));
+        tokio::task::spawn_local(admin::serve(self.admin_server.clone(), listener));
         Ok(true)
     }
 
@@ -333,7 +333,7 @@
         if let Some(warning) = descriptors.warning(&config) {
             tracing::warn!("{warning}: {}", descriptors.describe(&config));
         }
-        self.operators.limit(descriptors.operator_connections);
+        self.admin_server.limit(descriptors.operator_connections);
         let journal = Rc::new(RefCell::new(journal));
         let active_settings =
             Rc::new(RefCell::new(initial_settings(&config, &start_from, &mut journal.borrow_mut())));
@@ -452,7 +452,7 @@
             zone_monitor: zone_monitor.clone(),
             reasons: calls.reasons.clone(),
         };
-        self.operators.open(&config.name, &admission, &durability, status_sources, &inputs);
+        self.admin_server.open(&config.name, &admission, &durability, status_sources, &inputs);
         self.signal_handler.reload_if_changed(source);
         let mut handover_listener = None;
         loop {
@@ -493,7 +493,7 @@
             let (channel, written) = transport::send_state(stream, state.clone());
             *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(channel.outgoing.clone())));
             admission.close_signal.set();
-            self.operators.close();
+            self.admin_server.close();
             tracing::info!("hand-over: state sent; {} calls end in this process", calls.active_calls());
             let retired = RetiredSession { inbound, received, unconfirmed: Vec::new() };
             return Ok(retired.finish(&self.signal_handler.terminate, state, channel, written).await);
--- a/crates/daemon/src/settings/operator.rs
+++ b/crates/daemon/src/settings/operator.rs
@@ -100,7 +100,8 @@
 const MAX_COPIES: usize = 3;
 /// A sender may hold a connection to each of the others.
 const MAX_SENDERS: usize = 1_024;
-/// In milliseconds. Less can pass with one heartbeat and one lost packet; more is longer than messages live.
+/// In milliseconds. A shorter time can pass between two heartbeats if one packet is lost; a longer one
+/// exceeds the lifetime of messages.
 const SILENCE_RANGE: std::ops::RangeInclusive<u64> = 300..=60_000;
 const KEEP_MB_RANGE: std::ops::RangeInclusive<f64> = 0.1..=1e5;
 
