--- a/crates/daemon/src/calls/answer.rs
+++ b/crates/daemon/src/calls/answer.rs
@@ -27,7 +27,8 @@
     }
 }
 
-/// The result of a call: the same for all messages, or one for each (a message that is missing may have run).
+/// The result of a call: one for all messages, or one for each of them. A message without a result may have
+/// run.
 pub(super) enum CallResult {
     SameForAll(AttemptEnd),
     PerMessage(BTreeMap<MessageId, AttemptEnd>),
@@ -42,7 +43,7 @@
 ) -> Result<(CallResult, bool), CallError> {
     let response = response.await.map_err(|_| CallError::Broken)?;
     if progress.received.borrow().early {
-        // No request was waiting for it: it is left over from an earlier call and does not apply to this one.
+        // It began before the request was written completely, so it is left over from an earlier call.
         return Err(CallError::Broken);
     }
     let is_reusable = !closes_connection(&response);
--- a/crates/daemon/src/calls/exchange.rs
+++ b/crates/daemon/src/calls/exchange.rs
@@ -20,10 +20,10 @@
 
 /// An attempt whose record is not durable within this time is not made.
 const DURABLE_WITHIN: Duration = Duration::from_secs(1);
-/// A response arrives in one piece. What has not arrived within this time after its first byte, which leaves
-/// room to resend a lost packet, will not arrive.
+/// The time after a response's first byte in which the rest has to arrive. Responses arrive in one piece, and
+/// this leaves time to resend a lost packet.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(500);
-/// The same after the status line has settled the call: the rest is awaited only to keep the connection.
+/// The same time if the status line has settled the call: the rest is awaited only to keep the connection.
 const SETTLED_RESPONSE_TIMEOUT: Duration = Duration::from_millis(50);
 
 impl Calls {
@@ -48,7 +48,7 @@
         if let Some(unfit) = used.take_if(|c| !c.is_reusable()) {
             unfit.close().await;
         }
-        let (mut recorded, mut has_asked_consent) = (None, self.copies.is_none());
+        let (mut recorded_up_to, mut has_asked_consent) = (None, self.copies.is_none());
         loop {
             let is_reused = used.is_some();
             let mut conn = match used.take() {
@@ -64,13 +64,13 @@
             let is_open = |i: &CallItem| self.journal.borrow().get(i.id).is_some_and(|m| m.verdict.is_none());
             let gone = remove_matching(waiting, |i| !is_open(i));
             gone.iter().for_each(|i| self.report_end(endpoint, i, Outcome::Moot.into()));
-            if recorded.is_none() {
+            if recorded_up_to.is_none() {
                 self.record_attempts(endpoint, waiting);
             }
             // An attempt's record has to be durable before its first byte is written.
-            let mark = *recorded.get_or_insert_with(|| self.durability.log_end());
-            if !self.durability.is_durable(&mark) {
-                if !self.durability.wait_until_durable(&mark, DURABLE_WITHIN).await {
+            let log_end = *recorded_up_to.get_or_insert_with(|| self.durability.log_end());
+            if !self.durability.is_durable(&log_end) {
+                if !self.durability.wait_until_durable(&log_end, DURABLE_WITHIN).await {
                     self.release(endpoint, conn).await;
                     return Ok(CallResult::SameForAll(Outcome::NotSent.into()));
                 }
@@ -175,7 +175,7 @@
         waits
     }
 
-    /// Returns once the rest of a response that has begun is not awaited any longer.
+    /// Waits until the time for the rest of a response that has begun is over.
     async fn response_overdue(&self, call: &Call, progress: &Progress) {
         loop {
             let since = progress.received.borrow().first_byte_at;
@@ -213,10 +213,10 @@
         }
         many => {
             let mut lines = Vec::new();
-            for i in many {
-                let key = if i.idempotency_key.is_empty() { "-" } else { &i.idempotency_key };
-                lines.extend(format!("{:016x} {key} {}\r\n", i.id.0, i.body.len()).into_bytes());
-                lines.extend(&i.body);
+            for item in many {
+                let key = if item.idempotency_key.is_empty() { "-" } else { &item.idempotency_key };
+                lines.extend(format!("{:016x} {key} {}\r\n", item.id.0, item.body.len()).into_bytes());
+                lines.extend(&item.body);
                 lines.extend(b"\r\n");
             }
             (builder, lines.into())
--- a/crates/daemon/src/sender.rs
+++ b/crates/daemon/src/sender.rs
@@ -64,7 +64,7 @@
 const CONFIG_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 /// Interval of the retries to open the socket for hand-overs.
 const SOCKET_RETRY_INTERVAL: Duration = Duration::from_secs(1);
-/// Limit of the mistakes in a configuration that are logged.
+/// The most mistakes in one configuration that are logged.
 const MAX_LOGGED_MISTAKES: usize = 20;
 
 /// Any error that ends a command or the start of the sender.
@@ -79,8 +79,8 @@
         |name: &str| std::env::var_os(name).map(PathBuf::from).ok_or_else(|| format!("{name} is not set"));
     let local_dir = std::env::var_os("TMPDIR").map(PathBuf::from);
     let (state, config) = (variable("BALANCER_STATE")?, variable("BALANCER_CONFIG")?);
-    // Checked before anything else is opened: otherwise a file that is opened here could get a number that
-    // was not open at the start, and pass for the socket.
+    // The descriptor is checked before anything else is opened: if it is not open yet, a file that is opened
+    // here could get its number and pass for the socket.
     let client_listener = match std::env::var("BALANCER_ACCEPT_FD").ok().filter(|n| !n.is_empty()) {
         Some(number) => Some(
             (number.parse().map_err(|e: std::num::ParseIntError| e.to_string()))
@@ -102,13 +102,13 @@
 /// The sender could not start.
 pub async fn run(environment: Environment, operator: OperatorSettings) -> Result<(), Failure> {
     let Environment { net, clock, disk, signals, config: source, admin_addr, client_listener } = environment;
-    let operators = Rc::new(AdminServer::default());
+    let admin_server = Rc::new(AdminServer::default());
     let signal_handler = Rc::new(SignalHandler { operator: operator.clone(), ..SignalHandler::default() });
     let source = Rc::new(source);
     tokio::task::spawn_local(signal_handler.clone().run(signals, source.clone()));
     let warnings = RateLimitedWarning::default();
     let process =
-        Process { net, clock, disk, client_listener, operator, operators, signal_handler, warnings };
+        Process { net, clock, disk, client_listener, operator, admin_server, signal_handler, warnings };
     let own_config = match process.run_with_retries("configuration", || source()).await {
         Ok(None) => return Ok(()),
         Ok(Some(text)) => crate::settings::config::read(&text).map(|c| (c, text)).map_err(Failure::from),
@@ -180,7 +180,7 @@
     disk: Rc<dyn Disk>,
     client_listener: Option<Rc<dyn Listener>>,
     operator: OperatorSettings,
-    operators: Rc<AdminServer>,
+    admin_server: Rc<AdminServer>,
     signal_handler: Rc<SignalHandler>,
     /// Warnings about failures during the start.
     warnings: RateLimitedWarning,
@@ -202,7 +202,7 @@
         let opened = self.run_with_retries(&what, || self.net.listen(address)).await;
         let Some(listener) = opened.map_err(|e| format!("{what}: {e}"))? else { return Ok(false) };
         tracing::info!("operators at {}", listener.local_addr()?);
-        tokio::task::spawn_local(admin::serve(self.operators.clone(), listener));
+        tokio::task::spawn_local(admin::serve(self.admin_server.clone(), listener));
         Ok(true)
     }
 
@@ -277,10 +277,17 @@
         start_from: &StartFrom,
     ) -> Result<Option<Rc<ReplicationService>>, Failure> {
         let Some(settings) = self.operator.copies.as_ref().filter(|c| c.count > 0) else { return Ok(None) };
-        let is_unsafe = |open: &OpenMessage| active_settings.borrow().is_unsafe_to_repeat(&open.class);
+        let at_most_once = |open: &OpenMessage| active_settings.borrow().counts_as_at_most_once(&open.class);
         let (net, journal, durability) = (self.net.clone(), journal.clone(), durability.clone());
-        let copies =
-            ReplicationService::open(settings, config, net, journal, durability, inputs.clone(), is_unsafe)?;
+        let copies = ReplicationService::open(
+            settings,
+            config,
+            net,
+            journal,
+            durability,
+            inputs.clone(),
+            at_most_once,
+        )?;
         copies.listen(settings.listen)?;
         // When clients are waiting already, the delay is kept as short as that of a slow disk.
         let is_taking_over = !matches!(start_from, StartFrom::Store);
@@ -314,10 +321,10 @@
         source: &Rc<ConfigSource>,
     ) -> Result<Option<StartFrom>, Failure> {
         let options = storage::options(&config, &self.operator.store);
-        let Some((journal, notes)) = self.open_store(options, &mut start_from).await? else {
+        let Some((journal, report)) = self.open_store(options, &mut start_from).await? else {
             return Ok(None);
         };
-        tracing::info!("journal: {notes}");
+        tracing::info!("journal: {report}");
         if let StartFrom::Handover(state, channel) = &start_from {
             let _ = channel.outgoing.send(Frame::Owned);
             (config, text) = (crate::settings::config::read(&state.config_text)?, state.config_text.clone());
@@ -326,7 +333,7 @@
         if let Some(warning) = descriptors.warning(&config) {
             tracing::warn!("{warning}: {}", descriptors.describe(&config));
         }
-        self.operators.limit(descriptors.operator_connections);
+        self.admin_server.limit(descriptors.operator_connections);
         let journal = Rc::new(RefCell::new(journal));
         let active_settings =
             Rc::new(RefCell::new(initial_settings(&config, &start_from, &mut journal.borrow_mut())));
@@ -445,7 +452,7 @@
             zone_monitor: zone_monitor.clone(),
             reasons: calls.reasons.clone(),
         };
-        self.operators.open(&config.name, &admission, &durability, status_sources, &inputs);
+        self.admin_server.open(&config.name, &admission, &durability, status_sources, &inputs);
         self.signal_handler.reload_if_changed(source);
         let mut handover_listener = None;
         loop {
@@ -467,8 +474,8 @@
                 stream = handover_request => stream,
             };
             let Some(stream) = stream else { continue };
-            // Nothing awaits from here until the frames are queued, so that no event is lost between the
-            // owners.
+            // There is no await from here until the frames are queued, so that no event is lost between the
+            // two owners.
             let released = journal.borrow_mut().release();
             if let Err(why) = released {
                 tracing::warn!("hand-over: the store cannot be released: {why}");
@@ -486,7 +493,7 @@
             let (channel, written) = transport::send_state(stream, state.clone());
             *inbound.successor.borrow_mut() = Some(Rc::new(Successor::new(channel.outgoing.clone())));
             admission.close_signal.set();
-            self.operators.close();
+            self.admin_server.close();
             tracing::info!("hand-over: state sent; {} calls end in this process", calls.active_calls());
             let retired = RetiredSession { inbound, received, unconfirmed: Vec::new() };
             return Ok(retired.finish(&self.signal_handler.terminate, state, channel, written).await);
@@ -543,8 +550,8 @@
     active_settings
 }
 
-/// Processes the frames of the predecessor until it has ended. A process in between may have recorded the
-/// messages in `unacknowledged` and ended before it could respond.
+/// Processes the frames of the predecessor until it has ended. The messages in `unacknowledged` may have been
+/// recorded already, by an earlier successor that ended before it could respond.
 async fn follow_predecessor(
     inbound: Rc<Inbound>,
     channel: FrameChannel,
@@ -666,7 +673,12 @@
             let _ = timeout(FINAL_WRITE_TIMEOUT, written).await;
             return None;
         }
-        tracing::warn!("hand-over: the successor has ended; this process serves again ({next:?})");
+        let resumed_from = if next == AfterDisconnect::Resume {
+            "from the state that it had sent"
+        } else {
+            "from what the store holds"
+        };
+        tracing::warn!("hand-over: the successor has ended; this process serves again {resumed_from}");
         let (near, far) = transport::channel_pair();
         self.unconfirmed.drain(..).for_each(|frame| drop(near.outgoing.send(frame)));
         let attempts = state.attempts_in_flight.iter().map(|o| o.0).collect();
@@ -726,7 +738,7 @@
     session: RefCell<Option<SessionHandle>>,
 }
 
-/// What signals change in a session.
+/// The parts of a session that signals act on.
 struct SessionHandle {
     /// Text of the configuration in force.
     config_text: String,
@@ -783,11 +795,11 @@
             Ok(new) => new,
             Err(why) => return tracing::warn!("operator's file not reloaded: {why}"),
         };
-        let waits = self.operator.changes_needing_restart(&new);
-        if !waits.is_empty() {
+        let needs_restart = self.operator.changes_needing_restart(&new);
+        if !needs_restart.is_empty() {
             tracing::warn!(
                 "operator's file: changes that take effect at the next start: {}",
-                waits.join(", ")
+                needs_restart.join(", ")
             );
         }
         if let Some(zone_monitor) = self.session.borrow().as_ref().and_then(|s| s.zone_monitor.as_ref()) {
@@ -796,7 +808,7 @@
     }
 
     /// Reads the configuration again, checks it as a whole, and passes it to the decision loop in one step. A
-    /// configuration with a mistake changes nothing; one that cannot be read is retried.
+    /// configuration with a mistake changes nothing; reading one that cannot be read is retried.
     fn reload(self: &Rc<Self>, source: &Rc<ConfigSource>) {
         let mut session = self.session.borrow_mut();
         // Without a session the process is starting, and reads the file itself.
