--- a/crates/limits/examples/curve.rs
+++ b/crates/limits/examples/curve.rs
@@ -3,7 +3,7 @@
 //! a rate limit admits from senders with a fixed backoff after a refusal and from senders paced by
 //! [`AdaptiveRate`]. It also measures the cost of an event in each estimator.
 //!
-//! `cargo run--release -p notchpoint-limits --example curve -- FOLDER` writes `resets.csv`, `resets.svg`,
+//! `cargo run --release -p notchpoint-limits --example curve -- FOLDER` writes `resets.csv`, `resets.svg`,
 //! `admitted.csv` and `admitted.svg`.
 
 use notchpoint_limits::{AdaptiveRate, ConnectionFailures, FailureCause, Latency};
@@ -128,22 +128,25 @@
     for (senders, per_s, counts_refused) in cases {
         for (how, paced) in [("rests", false), ("Rate", true)] {
             let all = simulate_limit(Limit { senders, per_s, counts_refused }, paced);
-            for (second, (a, r)) in all.iter().enumerate() {
-                writeln!(csv, "{senders},{per_s},{counts_refused},{how},{second},{a:.3},{r:.3}")?;
+            for (second, (admitted, refused)) in all.iter().enumerate() {
+                writeln!(
+                    csv,
+                    "{senders},{per_s},{counts_refused},{how},{second},{admitted:.3},{refused:.3}"
+                )?;
             }
             let phase = PHASE_S as usize;
-            let sum = |from: usize, to: usize, of: fn(&(f64, f64)) -> f64| {
-                all[from..to].iter().map(of).sum::<f64>()
+            let sum = |from: usize, to: usize, value: fn(&(f64, f64)) -> f64| {
+                all[from..to].iter().map(value).sum::<f64>()
             };
-            let (a, r) = (sum(0, phase, |x| x.0), sum(0, phase, |x| x.1));
-            let after = |from: usize, limit: f64| sum(from, from + 10, |x| x.0) / 10.0 / limit;
+            let (admitted, refused) = (sum(0, phase, |x| x.0), sum(0, phase, |x| x.1));
+            let share_after = |from: usize, limit: f64| sum(from, from + 10, |x| x.0) / 10.0 / limit;
             println!(
                 "{senders:>7}  {per_s:>7}  {:>13}  {how:<5}  {:>17.2}  {:>13.2}  {:>21.2}  {:>7.2}",
                 if counts_refused { "yes" } else { "no" },
-                a / phase as f64 / per_s,
-                r / (a + r),
-                after(phase, per_s / 2.0),
-                after(2 * phase, per_s)
+                admitted / phase as f64 / per_s,
+                refused / (admitted + refused),
+                share_after(phase, per_s / 2.0),
+                share_after(2 * phase, per_s)
             );
             if (senders, per_s, counts_refused) == (3, 12.0, true) {
                 shown.push((how, all));
@@ -189,11 +192,11 @@
     let (mut each, mut learned) = (Vec::new(), Vec::new());
     for step in 0..=40 {
         let share = f64::from(step) / 400.0;
-        let simple = mean_window(share, |f| {
-            f.record_failure();
+        let simple = mean_window(share, |failures| {
+            failures.record_failure();
             true
         });
-        let estimated = mean_window(share, |f| f.record_failure() == FailureCause::Destination);
+        let estimated = mean_window(share, |failures| failures.record_failure() == FailureCause::Destination);
         writeln!(csv, "{share},{simple:.2},{estimated:.2}")?;
         each.push((share * 100.0, simple));
         learned.push((share * 100.0, estimated));
--- a/crates/limits/src/connection_failures.rs
+++ b/crates/limits/src/connection_failures.rs
@@ -20,12 +20,13 @@
     Destination,
 }
 
-/// The share of calls to a route whose connection broke or was not established, and the current run of them.
+/// The share of calls to a route whose connection broke or was not established, and how many of the last
+/// calls in a row did.
 ///
 /// A sender that takes every single reset for congestion halves its window once in about sixty calls if the
-/// network resets connections at random, and its window stays at the floor. For the same reason TCP Westwood
-/// and DCTCP cut in proportion to the affected packets. Here the result is yes or no, since the cut is by
-/// half.
+/// network resets connections at random, and its window stays at its minimum. For the same reason TCP
+/// Westwood and DCTCP cut in proportion to the affected packets. Here a cut is always by half, so the
+/// estimator only decides whether a failure counts.
 ///
 /// ```
 /// use notchpoint_limits::{ConnectionFailures, FailureCause};
--- a/crates/limits/src/lib.rs
+++ b/crates/limits/src/lib.rs
@@ -22,17 +22,17 @@
 
 /// Identifies the source text of the estimators (FNV-1a). Recordings carry it, since decisions depend on it.
 pub const FINGERPRINT: u64 = {
-    let h = fnv1a(0xcbf2_9ce4_8422_2325, include_bytes!("connection_failures.rs"));
-    let h = fnv1a(h, include_bytes!("latency.rs"));
-    fnv1a(h, include_bytes!("rate.rs"))
+    let hash = fnv1a(0xcbf2_9ce4_8422_2325, include_bytes!("connection_failures.rs"));
+    let hash = fnv1a(hash, include_bytes!("latency.rs"));
+    fnv1a(hash, include_bytes!("rate.rs"))
 };
 
 /// Continues an FNV-1a hash with a text.
-pub const fn fnv1a(mut h: u64, text: &[u8]) -> u64 {
+pub const fn fnv1a(mut hash: u64, text: &[u8]) -> u64 {
     let mut n = 0;
     while n < text.len() {
-        h = (h ^ text[n] as u64).wrapping_mul(0x0100_0000_01b3);
+        hash = (hash ^ text[n] as u64).wrapping_mul(0x0100_0000_01b3);
         n += 1;
     }
-    h
+    hash
 }
--- a/crates/limits/src/rate.rs
+++ b/crates/limits/src/rate.rs
@@ -8,21 +8,21 @@
 /// second, short enough to follow a limit that changes in steps.
 const AVERAGE_SPAN_S: f64 = 3.0;
 /// The factor that a refusal applies to the average admitted rate. The result is below the limit, so that
-/// calls that piled up there drain. CUBIC (RFC 9438, section 4.6) leaves 0.7 of a window; this cut is
-/// smaller, since the limit is shared with other senders and their shares are not this sender's to give up.
+/// calls that are queued at the limit drain. CUBIC (RFC 9438, section 4.6) leaves 0.7 of a window; this cut
+/// is smaller, since other senders share the limit and cut their own rates.
 const CUT: f64 = 0.85;
-/// One refusal leaves at least this share of the rate: that others took the whole limit for an instant shows
-/// little about this sender's share.
+/// One refusal leaves at least this share of the rate: it may only show that other senders took the whole
+/// limit for an instant.
 const MIN_CUT_SHARE: f64 = 0.6;
-/// Each admitted call closes this part of the gap to the rate at which the limit was met (the concave part of
-/// CUBIC's curve) ...
+/// Below `PROBE_FROM`, each admitted call closes this part of the gap to the rate at which the limit was last
+/// met (the concave part of CUBIC's curve).
 const RECOVERY: f64 = 0.2;
-/// ... and from this share of that rate on, each raises the rate by a step, which starts at this part of it,
-/// ...
+/// From this share of the rate at which the limit was last met on, each admitted call raises the rate by a
+/// relative step (the convex part of the curve).
 const PROBE_FROM: f64 = 0.95;
+/// The first step, the growth of the step with each admitted call, and its maximum. A limit that was doubled
+/// is found in about twenty calls.
 const PROBE_STEP: f64 = 0.03;
-/// ... and grows by this factor (the convex part) up to this maximum. A limit that was doubled is found in
-/// about twenty calls.
 const PROBE_STEP_GROWTH: f64 = 1.2;
 const MAX_PROBE_STEP: f64 = 0.25;
 /// The factor that each admitted call applies to the rate while no refusal has shown where the limit is.
@@ -42,12 +42,12 @@
 /// The calls per second that a route admits from this sender, as far as refusals show, and a token bucket
 /// that paces calls under that rate.
 ///
-/// Nobody announces a rate limit; it shows as refusals while calls are short. A sender that reacts with a
-/// fixed backoff retries too early at a low limit and too late at a high one. If refused calls count against
-/// the limit, too, the retries themselves keep it exhausted. Therefore calls are spaced by a token bucket
-/// (as in RFC 2697): a refusal sets its rate slightly below the recent average of admitted calls, and each
-/// admitted call raises it towards the limit and beyond, along the curve of CUBIC (RFC 9438). Senders that
-/// share a limit converge on their shares by the same refusals.
+/// A destination does not announce its rate limit: the limit shows only as refusals, while calls stay short.
+/// A sender that reacts with a fixed backoff retries too early at a low limit and too late at a high one. If
+/// refused calls count against the limit, too, the retries themselves keep it exhausted. Therefore calls are
+/// spaced by a token bucket (as in RFC 2697): a refusal sets its rate slightly below the recent average of
+/// admitted calls, and each admitted call raises it towards the limit and beyond, along the curve of CUBIC
+/// (RFC 9438). Senders that share a limit converge on their shares by the same refusals.
 ///
 /// ```
 /// use notchpoint_limits::AdaptiveRate;
@@ -73,7 +73,8 @@
     probe_step: f64,
     tokens: f64,
     tokens_updated: Micros,
-    /// Whether the last call had to wait for its token. A rate that is not used is not raised (RFC 7661).
+    /// Whether the last call had to wait for its token. A rate that is not fully used is not raised
+    /// (RFC 7661).
     was_limiting: bool,
     /// The average rate of admitted calls per second since the first one.
     average: f64,
@@ -115,7 +116,7 @@
     /// Records that a call was sent.
     pub fn record_sent(&mut self, now: Micros) {
         if self.rate > 0.0 {
-            // The pace was limiting if the call was sent less than one token's time after it became possible.
+            // The rate was limiting if the call was sent less than one token's time after it became possible.
             let tokens = self.tokens + self.rate * now.saturating_sub(self.tokens_updated) as f64 / SEC;
             self.was_limiting = tokens < 2.0;
             (self.tokens, self.tokens_updated) = (self.tokens(now) - 1.0, now);
--- a/crates/limits/tests/estimators.rs
+++ b/crates/limits/tests/estimators.rs
@@ -35,7 +35,7 @@
     (0..100).for_each(|_| failures.record_answer());
     let causes: Vec<FailureCause> = (0..10).map(|_| failures.record_failure()).collect();
     assert_eq!(causes[0], FailureCause::Random);
-    assert!(causes[1..].iter().all(|s| *s == FailureCause::Destination));
+    assert!(causes[1..].iter().all(|cause| *cause == FailureCause::Destination));
     // Once it answers again, a single reset counts as random again, but not at once, since many recent calls
     // failed.
     failures.record_answer();
@@ -53,7 +53,7 @@
             failures.record_failure()
         })
         .collect();
-    assert!(causes[20..].iter().all(|s| *s == FailureCause::Destination));
+    assert!(causes[20..].iter().all(|cause| *cause == FailureCause::Destination));
 }
 
 proptest! {
--- a/crates/limits/tests/rate.rs
+++ b/crates/limits/tests/rate.rs
@@ -101,11 +101,12 @@
         world.run(20);
         doubled.push(world.run(60));
     }
-    let mean = |all: &[Totals], of: fn(&Totals) -> f64| all.iter().map(of).sum::<f64>() / all.len() as f64;
+    let mean =
+        |all: &[Totals], value: fn(&Totals) -> f64| all.iter().map(value).sum::<f64>() / all.len() as f64;
     for (name, totals, limit) in
         [("steady", &steady, 3.0), ("halved", &halved, 1.5), ("doubled", &doubled, 3.0)]
     {
-        let (used, refused) = (mean(totals, |c| c.admitted) / limit, mean(totals, |c| c.refused));
+        let (used, refused) = (mean(totals, |t| t.admitted) / limit, mean(totals, |t| t.refused));
         assert!(used > 0.75 && refused < 0.3, "{name}: {used:.2} used, {refused:.2} refused");
     }
 }
