--- a/crates/simhost/src/host.rs
+++ b/crates/simhost/src/host.rs
@@ -29,7 +29,7 @@
     /// Returns the id of an address, its FNV-1a hash, which is the same at every sender unless two hashes
     /// collide.
     fn endpoint(&mut self, address: &str) -> EndpointId {
-        let step = |h: u64, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3);
+        let step = |hash: u64, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
         let mut id = EndpointId(address.bytes().fold(0xcbf2_9ce4_8422_2325, step));
         while self.addresses.entry(id).or_insert_with(|| address.to_owned()) != address {
             id.0 = id.0.wrapping_add(1);
@@ -39,13 +39,13 @@
 
     /// Translates the entries of a list.
     fn entries(&mut self, list: &[NamedEntry]) -> Parsed<Vec<ListEntry>> {
-        let translate = |l: &NamedEntry| {
+        let translate = |entry: &NamedEntry| {
             Ok(ListEntry {
-                endpoint: self.endpoint(&l.endpoint),
-                dest: DestinationId(l.dest),
-                zone: position(&self.names.zones, &l.zone, "zone").unwrap_or(u32::MAX),
-                kind: position(&self.names.kinds, &l.kind, "kind")?,
-                phase: l.phase,
+                endpoint: self.endpoint(&entry.endpoint),
+                dest: DestinationId(entry.dest),
+                zone: position(&self.names.zones, &entry.zone, "zone").unwrap_or(u32::MAX),
+                kind: position(&self.names.kinds, &entry.kind, "kind")?,
+                phase: entry.phase,
             })
         };
         list.iter().map(translate).collect()
@@ -62,20 +62,20 @@
     /// The endpoint lists that the simulator has defined, by number.
     lists: BTreeMap<u8, Vec<NamedEntry>>,
     /// The list that is being read, and the number of its missing entries.
-    filling: Option<(u8, usize)>,
+    incomplete_list: Option<(u8, usize)>,
 }
 
 impl Host {
     /// Processes one line and returns the reply if the line ends a batch.
     pub fn process_line(&mut self, line: &str) -> Parsed<Option<String>> {
         let mut parts = Parts::new(line);
-        if let Some((list, left)) = self.filling {
+        if let Some((list, left)) = self.incomplete_list {
             if parts.name() != "ENTRY" {
                 return Err(Malformed(format!("expected an ENTRY line, found {}", parts.name())));
             }
             let entry = entry(&mut parts)?;
             self.lists.entry(list).or_default().push(entry);
-            self.filling = (left > 1).then_some((list, left - 1));
+            self.incomplete_list = (left > 1).then_some((list, left - 1));
             return Ok(None);
         }
         match (parts.name(), self.batch) {
@@ -101,17 +101,17 @@
                 }
                 let count: usize = parts.number("items")?;
                 self.lists.insert(list, Vec::new());
-                self.filling = (count > 0).then_some((list, count));
+                self.incomplete_list = (count > 0).then_some((list, count));
                 Ok(None)
             }
             _ => self.event(parts).map(|()| None),
         }
     }
 
-    /// Processes a line that is addressed to an instance.
+    /// Processes a line that is addressed to an instance: adds an event, or starts or removes the instance.
     fn event(&mut self, mut parts: Parts) -> Parsed<()> {
         let name = parts.name();
-        if !EVENTS.contains(&name) {
+        if !INSTANCE_LINES.contains(&name) {
             return Err(Malformed(format!("unknown message {name:?}")));
         }
         let number: u32 = parts.number("i")?;
@@ -143,8 +143,9 @@
                 let expires_in = parts.seconds("expiresInS", Round::Down)?;
                 parts.optional("workHintS")?;
                 let dest = DestinationId(parts.number("addresseeNo")?);
-                let bits: u32 = parts.number("bitmap")?;
-                let is_retry = bits & (2 | 16) != 0;
+                let flags: u32 = parts.number("bitmap")?;
+                // Either flag marks a message that was submitted before.
+                let is_retry = flags & (2 | 16) != 0;
                 Event::Taken(Message { id, class, tenant, key, dest, is_retry, expires_in })
             }
             "REPORT_BACK" => {
@@ -190,7 +191,7 @@
                     other => return Err(Malformed(format!("unknown scope {other}"))),
                 })
             }
-            // Streams are not used here, so their start changes nothing.
+            // `STREAMING`: streams are not used here, so their start changes nothing.
             _ => return Ok(()),
         };
         instance.events.push(event);
@@ -215,7 +216,7 @@
 }
 
 /// The names of the lines that are addressed to an instance.
-const EVENTS: [&str; 10] = [
+const INSTANCE_LINES: [&str; 10] = [
     "BEGIN",
     "KILL",
     "WORK_ITEM",
@@ -250,7 +251,7 @@
 
 /// Appends an action to a reply.
 fn write_action(text: &mut String, number: u32, action: &Action, addresses: &BTreeMap<EndpointId, String>) {
-    let address = |e: &EndpointId| addresses.get(e).map_or("-", String::as_str);
+    let address = |id: &EndpointId| addresses.get(id).map_or("-", String::as_str);
     // Writes to a `String` never fail.
     let _ = match action {
         Action::Send { id, endpoint, timeout, .. } => {
--- a/crates/simhost/src/wire.rs
+++ b/crates/simhost/src/wire.rs
@@ -3,7 +3,7 @@
 use notchpoint_policy::*;
 use std::collections::BTreeMap;
 
-/// The reason why a line could not be parsed.
+/// The reason why a line could not be parsed or does not fit the state.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Malformed(pub String);
 
@@ -109,8 +109,8 @@
 }
 
 /// Formats microseconds as seconds, without loss.
-pub fn format_seconds(t: Micros) -> String {
-    format!("{}.{:06}", t / 1_000_000, t % 1_000_000)
+pub fn format_seconds(time: Micros) -> String {
+    format!("{}.{:06}", time / 1_000_000, time % 1_000_000)
 }
 
 /// Encodes bytes as hex digits.
@@ -129,16 +129,16 @@
         .collect()
 }
 
-/// Parses an outcome; `hold` is the requested wait in milliseconds.
-pub fn outcome(code: &str, hold: Option<&str>) -> Parsed<Outcome> {
+/// Parses an outcome; `wait_ms` is the requested wait in milliseconds.
+pub fn outcome(code: &str, wait_ms: Option<&str>) -> Parsed<Outcome> {
     Ok(match code {
         "completed" => Outcome::Served,
         "errored" => Outcome::Failed,
         "saturated" => {
-            let ms: u64 = match hold {
+            let ms: u64 = match wait_ms {
                 None => 0,
-                Some(h) => {
-                    h.parse().or_else(|_| malformed(format!("'holdMs' is not a whole number: {h}")))?
+                Some(text) => {
+                    text.parse().or_else(|_| malformed(format!("'holdMs' is not a whole number: {text}")))?
                 }
             };
             Outcome::Full { wait: (ms > 0).then(|| ms.saturating_mul(1000)) }
@@ -228,15 +228,15 @@
 
 /// Parses the settings of a `BEGIN` line. Unknown keys are ignored.
 pub fn settings<'a>(pairs: impl Iterator<Item = &'a str>) -> Parsed<(Settings, Names)> {
-    let mut map = BTreeMap::new();
+    let mut values = BTreeMap::new();
     for pair in pairs {
         match pair.split_once('=') {
-            Some((k, v)) => drop(map.insert(k, v)),
+            Some((key, value)) => drop(values.insert(key, value)),
             None if pair.is_empty() || pair == "-" => {}
             None => return malformed(format!("not a setting: {pair}")),
         }
     }
-    let config = Config(map);
+    let config = Config(values);
     let mut names =
         Names { classes: vec![], tenants: vec![], kinds: config.list("kinds"), zones: config.list("zones") };
     let mut classes = Vec::new();
@@ -278,7 +278,7 @@
                 .or_else(|_| malformed(format!("setting familyInfo.bundleMax is not a list of numbers: {b}")))
         });
         Ok(Kind {
-            per_endpoint: per_endpoint.get(i).is_some_and(|a| a == "true" || a == "1"),
+            per_endpoint: per_endpoint.get(i).is_some_and(|text| text == "true" || text == "1"),
             max_bundle: max_bundle?.max(1),
         })
     });
