--- a/crates/store/examples/compare.rs
+++ b/crates/store/examples/compare.rs
@@ -18,7 +18,7 @@
 type Failure = Box<dyn Error>;
 
 const BODY_LEN: usize = 1_000;
-const T: Table = Table(1);
+const TABLE: Table = Table(1);
 
 /// A store under test, with the operations for a message: accept it, record an attempt, and end it.
 trait Journal {
@@ -53,21 +53,21 @@
 impl Journal for Segmented {
     fn accept(&mut self, id: u64, body: &[u8]) -> Result<(), Failure> {
         let mut batch = Batch::default();
-        batch.put(T, &key(id, b'T'), body);
+        batch.put(TABLE, &key(id, b'T'), body);
         self.store.apply(&batch, WriteKind::New)?;
         Ok(())
     }
 
     fn attempt(&mut self, id: u64) -> Result<(), Failure> {
         let mut batch = Batch::default();
-        batch.put(T, &key(id, b'A'), &[0; 17]);
+        batch.put(TABLE, &key(id, b'A'), &[0; 17]);
         self.store.apply(&batch, WriteKind::Update)?;
         Ok(())
     }
 
     fn end(&mut self, id: u64) -> Result<(), Failure> {
         let mut batch = Batch::default();
-        batch.delete_prefix(T, &id.to_be_bytes());
+        batch.delete_prefix(TABLE, &id.to_be_bytes());
         self.store.apply(&batch, WriteKind::End)?;
         Ok(())
     }
@@ -84,6 +84,7 @@
 struct OneFile {
     disk: Folder,
     file: Box<dyn notchpoint_seam::File>,
+    /// The body of each open message, and whether it was attempted.
     open: BTreeMap<u64, (Vec<u8>, bool)>,
     size: u64,
     limit: u64,
@@ -249,11 +250,11 @@
     let started = Instant::now();
     let store = Segmented::open(folder, state, Durability::Process)?.store;
     let elapsed: Duration = started.elapsed();
-    let s = store.stats();
+    let stats = store.stats();
     println!(
         "next start: {} keys, {:.0} MB of log in {elapsed:.2?}, {:.0} MB resident at peak",
-        s.key_count,
-        s.log_bytes as f64 / 1e6,
+        stats.key_count,
+        stats.log_bytes as f64 / 1e6,
         max_resident_mb()
     );
     Ok(())
@@ -269,7 +270,8 @@
     let (state, messages) = (number(0, 3)? * 1_000_000, number(1, 20_000)?);
     let base = args.get(2).map_or_else(std::env::temp_dir, PathBuf::from);
     println!(
-        "{} MB in force, bodies of {BODY_LEN} bytes, {messages} messages accepted, attempted and ended",
+        "{} MB of open messages, bodies of {BODY_LEN} bytes, {messages} more messages accepted, attempted \
+         and ended",
         state / 1_000_000
     );
     let folder = |name: &str| -> Result<PathBuf, Failure> {
@@ -277,15 +279,16 @@
         std::fs::create_dir_all(&path)?;
         Ok(path)
     };
-    let (one, seg, power, tree) = (folder("one")?, folder("seg")?, folder("power")?, folder("tree")?);
-    run("one file, rewritten (before 0.3)", &mut OneFile::open(&one, state)?, state, messages, 1)?;
+    let (one_file, segmented, power, tree) =
+        (folder("one")?, folder("seg")?, folder("power")?, folder("tree")?);
+    run("one file, rewritten (before 0.3)", &mut OneFile::open(&one_file, state)?, state, messages, 1)?;
     {
-        let mut journal = Segmented::open(&seg, state, Durability::Process)?;
+        let mut journal = Segmented::open(&segmented, state, Durability::Process)?;
         run("store, process", &mut journal, state, messages, 1)?;
         println!("{:?}", journal.store.stats());
     }
     let exe = std::env::current_exe()?;
-    std::process::Command::new(exe).arg("recover").arg(&seg).arg(state.to_string()).status()?;
+    std::process::Command::new(exe).arg("recover").arg(&segmented).arg(state.to_string()).status()?;
     let synced_messages = messages.min(2_000);
     run(
         "store, power, a sync for each message",
@@ -320,8 +323,8 @@
         let keys = read.begin_write()?.open_table(REDB_TABLE)?.iter()?.count();
         println!("({keys} keys in the last store)");
     }
-    for f in [one, seg, power, tree] {
-        std::fs::remove_dir_all(f)?;
+    for folder in [one_file, segmented, power, tree] {
+        std::fs::remove_dir_all(folder)?;
     }
     Ok(())
 }
--- a/crates/store/examples/crashes.rs
+++ b/crates/store/examples/crashes.rs
@@ -24,6 +24,7 @@
         return ExitCode::from(2);
     };
     let started = std::time::Instant::now();
+    // For each kind of fault: the number of cases, and how many of them were wrong.
     let mut counts: BTreeMap<&str, (u64, u64)> = BTreeMap::new();
     let mut total_wrong = 0u64;
     let mut record = |fault_name: &'static str,
@@ -54,7 +55,7 @@
                     }
                 }
                 if at < 12 {
-                    continue; // The first operations belong to the start, whose errors the caller gets.
+                    continue; // The first operations belong to `Store::open`, whose errors the caller gets.
                 }
                 for (fault_name, fault) in [
                     ("disk full, once", Fault::Once(ErrorKind::StorageFull)),
--- a/crates/store/src/format.rs
+++ b/crates/store/src/format.rs
@@ -35,7 +35,7 @@
     pub number: u32,
     /// The sequence number of the segment's first frame.
     pub first_seq: u64,
-    /// Segments with lower numbers had been dropped when this one was started.
+    /// The number of the first segment of the log when this one was started; lower ones had been dropped.
     pub log_start: u32,
     /// The number of bytes of the previous segment that are part of the log.
     pub previous_len: u32,
@@ -309,6 +309,7 @@
     })
 }
 
+/// Decodes the record at an offset, and returns it with the offset of its end.
 fn record(payload: &[u8], offset: usize) -> Option<(Record<'_>, usize)> {
     let (&operation, &key_len) = (payload.get(offset)?, payload.get(offset + 1)?);
     let value_len = u32::from_le_bytes(*payload.get(offset + 2..)?.first_chunk()?) as usize;
--- a/crates/store/src/index.rs
+++ b/crates/store/src/index.rs
@@ -53,13 +53,17 @@
 }
 
 impl Index {
-    /// Applies a record. `frame` is the offset of its frame in the segment, and `payload` the offset of the
+    /// Applies a record. `frame` is the offset of its frame in the segment, and `payload_offset` that of the
     /// frame's records.
-    pub fn apply(&mut self, record: &Record<'_>, segment: u32, frame: u32, payload: u32) {
+    pub fn apply(&mut self, record: &Record<'_>, segment: u32, frame: u32, payload_offset: u32) {
         match *record {
             Record::Put { table, key, value, value_offset } => {
-                let place =
-                    Place { segment, frame, value: payload + value_offset as u32, len: value.len() as u32 };
+                let place = Place {
+                    segment,
+                    frame,
+                    value: payload_offset + value_offset as u32,
+                    len: value.len() as u32,
+                };
                 self.insert(key_with_table(table, key), place);
             }
             Record::Delete { table, key } => {
@@ -137,9 +141,9 @@
         self.segments.remove(&segment);
     }
 
-    /// Returns all segments, oldest first.
+    /// Returns the number and the usage of all segments, oldest first.
     pub fn segments(&self) -> impl Iterator<Item = (u32, SegmentUsage)> {
-        self.segments.iter().map(|(n, u)| (*n, *u))
+        self.segments.iter().map(|(number, usage)| (*number, *usage))
     }
 
     /// Returns the bytes of all live records.
--- a/crates/store/src/inspect.rs
+++ b/crates/store/src/inspect.rs
@@ -40,7 +40,7 @@
             tables.insert(table, (keys, bytes));
         }
     }
-    let segments = index.segments().map(|(n, u)| (n, u.len, u.live_bytes)).collect();
+    let segments = index.segments().map(|(number, usage)| (number, usage.len, usage.live_bytes)).collect();
     Ok(CheckReport { recovery: loaded.report, tables, segments })
 }
 
@@ -78,19 +78,22 @@
 /// The folder cannot be read.
 pub fn walk(disk: &dyn Disk, mut visitor: impl FnMut(u32, LogItem<'_>)) -> Result<(), Error> {
     let mut found = read_headers(disk)?;
-    found.sort_by_key(|f| f.number);
+    found.sort_by_key(|file| file.number);
     // A segment without a valid header is read with the store id of another segment.
-    let store = found.iter().find_map(|f| f.header.as_ref().ok()).map_or(0, |h| h.store_id);
+    let store = found.iter().find_map(|file| file.header.as_ref().ok()).map_or(0, |h| h.store_id);
     let mut expected_seq: Option<u64> = None;
-    for (n, f) in found.iter().enumerate() {
-        let number = f.number;
-        let seed = checksum_seed(f.header.as_ref().map_or(store, |h| h.store_id), number);
+    for (n, file) in found.iter().enumerate() {
+        let number = file.number;
+        let seed = checksum_seed(file.header.as_ref().map_or(store, |h| h.store_id), number);
         let mut bytes = disk.read(&segment_file_name(number))?.unwrap_or_default();
-        let next = found.get(n + 1).filter(|x| x.number == number + 1).and_then(|x| x.header.as_ref().ok());
+        let next = found
+            .get(n + 1)
+            .filter(|next| next.number == number + 1)
+            .and_then(|next| next.header.as_ref().ok());
         if let Some(next) = next {
             bytes.truncate(next.previous_len as usize);
         }
-        if f.header.is_err() {
+        if file.header.is_err() {
             visitor(number, LogItem::Unreadable { from: 0, to: HEADER_LEN.min(bytes.len()) as u64 });
         }
         let (mut offset, mut unreadable_from) = (HEADER_LEN.min(bytes.len()), None);
@@ -103,7 +106,7 @@
             if let Some(from) = unreadable_from.take() {
                 visitor(number, LogItem::Unreadable { from: from as u64, to: offset as u64 });
             }
-            if let Some(from) = expected_seq.filter(|e| *e < frame.seq) {
+            if let Some(from) = expected_seq.filter(|seq| *seq < frame.seq) {
                 visitor(number, LogItem::MissingFrames { from, to: frame.seq });
             }
             for record in records(frame.payload).flatten() {
--- a/crates/store/src/recover.rs
+++ b/crates/store/src/recover.rs
@@ -80,35 +80,35 @@
 /// A header is invalid or belongs to another file or store, a segment is missing, or a segment is shorter
 /// than the next one declares.
 pub fn order(mut found: Vec<SegmentFile>) -> Result<Order, Corruption> {
-    found.sort_by_key(|f| f.number);
+    found.sort_by_key(|file| file.number);
     let mut log: Vec<(u32, u64, Header)> = Vec::new();
-    for f in &found {
+    for file in &found {
         // A segment's file gets its final name once the header is complete, so a crash leaves no file with an
         // incomplete header.
         let invalid = |(offset, expected, found): &(usize, String, String)| {
-            corruption(f.number, *offset as u64, expected.clone(), found.clone())
+            corruption(file.number, *offset as u64, expected.clone(), found.clone())
         };
-        let header = *f.header.as_ref().map_err(invalid)?;
-        if header.number != f.number {
+        let header = *file.header.as_ref().map_err(invalid)?;
+        if header.number != file.number {
             let found = format!("segment {}", header.number);
-            return Err(corruption(f.number, 24, format!("segment {}", f.number), found));
+            return Err(corruption(file.number, 24, format!("segment {}", file.number), found));
         }
-        log.push((f.number, f.len, header));
+        log.push((file.number, file.len, header));
     }
-    let Some(store) = log.last().map(|l| l.2.store_id) else {
+    let Some(store) = log.last().map(|segment| segment.2.store_id) else {
         return Ok(Order { log, below_gap: Vec::new() });
     };
-    if let Some(l) = log.iter().find(|l| l.2.store_id != store) {
-        let found = format!("store {:016x}", l.2.store_id);
-        return Err(corruption(l.0, 16, format!("store {store:016x}, as in the last segment"), found));
+    if let Some(foreign) = log.iter().find(|segment| segment.2.store_id != store) {
+        let found = format!("store {:016x}", foreign.2.store_id);
+        return Err(corruption(foreign.0, 16, format!("store {store:016x}, as in the last segment"), found));
     }
     // After a loss of power any of the removed files may exist again, so there may be gaps among them.
-    let gap = log.windows(2).rposition(|w| w[1].0 != w[0].0 + 1).map_or(0, |n| n + 1);
-    let below_gap = log.drain(..gap).map(|l| l.0).collect();
-    for w in log.windows(2) {
-        let ((number, len, _), next) = (w[0], w[1].2);
+    let gap = log.windows(2).rposition(|pair| pair[1].0 != pair[0].0 + 1).map_or(0, |n| n + 1);
+    let below_gap = log.drain(..gap).map(|segment| segment.0).collect();
+    for pair in log.windows(2) {
+        let ((number, len, _), next) = (pair[0], pair[1].2);
         if len < u64::from(next.previous_len) {
-            let found = format!("the end of the file (according to {})", segment_file_name(w[1].0));
+            let found = format!("the end of the file (according to {})", segment_file_name(pair[1].0));
             return Err(corruption(number, len, format!("{} bytes", next.previous_len), found));
         }
     }
@@ -199,10 +199,15 @@
     }
 
     fn index_frame(&mut self, number: u32, offset: usize, frame: &Frame<'_>) -> Result<(), Corruption> {
-        let payload = offset + crate::format::FRAME_HEADER_LEN;
+        let payload_offset = offset + crate::format::FRAME_HEADER_LEN;
         for record in records(frame.payload) {
             let invalid = |record_offset: usize| {
-                corruption(number, (payload + record_offset) as u64, "a record", "bytes that are no record")
+                corruption(
+                    number,
+                    (payload_offset + record_offset) as u64,
+                    "a record",
+                    "bytes that are no record",
+                )
             };
             let record = record.map_err(invalid)?;
             match record {
@@ -210,7 +215,7 @@
                 Record::Put { table, .. } if table.0 >= TABLE_COUNT => return Err(invalid(0)),
                 _ => {}
             }
-            self.index.apply(&record, number, offset as u32, payload as u32);
+            self.index.apply(&record, number, offset as u32, payload_offset as u32);
         }
         Ok(())
     }
@@ -248,16 +253,16 @@
     corruption(number, offset as u64, format!("frame {seq}"), found)
 }
 
-/// Finds a valid frame after an invalid place that proves that the place was durable before. Returns the
-/// frame's offset and sequence number.
+/// Finds a valid frame after an invalid place that proves that the place was durable before. `bytes` starts
+/// at the place, whose offset in the segment is `from`. Returns the frame's offset and sequence number.
 fn find_proof_of_damage(bytes: &[u8], seed: u32, from: usize, seq: u64) -> Option<(usize, u64)> {
-    (1..bytes.len()).find_map(|n| {
+    (1..bytes.len()).find_map(|offset| {
         // The sequence number excludes most offsets, so the costly checksum is rarely computed.
-        let found = crate::format::u64_at(&bytes[n..], 8);
-        if found <= seq || found - seq > bytes.len() as u64 {
+        let found_seq = crate::format::u64_at(&bytes[offset..], 8);
+        if found_seq <= seq || found_seq - seq > bytes.len() as u64 {
             return None;
         }
-        let frame = read_frame(&bytes[n..], seed).ok()?;
-        (frame.durable_len as usize > from).then_some((from + n, frame.seq))
+        let frame = read_frame(&bytes[offset..], seed).ok()?;
+        (frame.durable_len as usize > from).then_some((from + offset, frame.seq))
     })
 }
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -22,10 +22,10 @@
 const RESERVE_FILE: &str = "reserve";
 /// Deferred writes are buffered up to this number of bytes.
 const MAX_DEFERRED_BYTES: usize = 32 << 10;
-/// Compaction steps that a new item waits for before it is refused: one or two milliseconds.
+/// The number of compaction steps that a new item waits for before it is refused: one or two milliseconds.
 const MAX_COMPACT_STEPS_FOR_NEW: usize = 4;
-/// Writes between the removal of the reserve file, or a failure to create it, and the next attempt to create
-/// it.
+/// The number of writes between the removal of the reserve file, or a failure to create it, and the next
+/// attempt to create it.
 const RESERVE_RETRY_WRITES: u32 = 256;
 
 /// The segment that is written to.
@@ -172,20 +172,24 @@
         });
     };
     let checkpoint = disk.read(checkpoint::FILE)?.map(|bytes| checkpoint::read(&bytes, first.store_id));
-    let log_bytes: u64 = order.log.iter().map(|l| l.1).sum();
+    let log_bytes: u64 = order.log.iter().map(|segment| segment.1).sum();
     let is_long = options.checkpoint_interval > 0 && log_bytes >= 2 * options.checkpoint_interval;
     let checkpoint = match checkpoint {
-        Some(Ok(c)) => {
-            let newest = order.log.last().map_or(0, |l| l.0);
-            if c.segment > newest {
+        Some(Ok(checkpoint)) => {
+            let newest = order.log.last().map_or(0, |segment| segment.0);
+            if checkpoint.segment > newest {
                 let (expected, found) =
                     ("this segment, which the index checkpoint refers to", "no such file");
                 let (expected, found) = (expected.into(), found.into());
-                return Err(
-                    Corruption { file: segment_file_name(c.segment), offset: 0, expected, found }.into()
-                );
+                return Err(Corruption {
+                    file: segment_file_name(checkpoint.segment),
+                    offset: 0,
+                    expected,
+                    found,
+                }
+                .into());
             }
-            Some(c).filter(|c| is_long && c.segment >= oldest)
+            Some(checkpoint).filter(|c| is_long && c.segment >= oldest)
         }
         Some(Err(reason)) => {
             report.unused_checkpoint = Some(reason);
@@ -199,7 +203,7 @@
     };
     let mut last = None;
     for (n, (number, len, header)) in order.log.iter().enumerate() {
-        let next = order.log.get(n + 1).map(|l| &l.2);
+        let next = order.log.get(n + 1).map(|segment| &segment.2);
         if *number < from {
             recovery.index.set_segment_len(*number, *len);
             recovery.index.set_log_len(*number, next.map_or(0, |h| h.previous_len));
@@ -624,7 +628,7 @@
     /// # Errors
     /// It cannot be read, or its frame is damaged.
     pub fn get(&self, table: Table, key: &[u8]) -> Result<Option<Vec<u8>>, Error> {
-        self.index.get(table, key).map(|p| self.read_value(p)).transpose()
+        self.index.get(table, key).map(|place| self.read_value(place)).transpose()
     }
 
     fn read_value(&self, place: Place) -> Result<Vec<u8>, Error> {
@@ -825,11 +829,11 @@
     frames: &[Frame<'_>],
 ) -> Result<ActiveSegment, Error> {
     let mut bytes = header.encode().to_vec();
-    for (n, f) in frames.iter().enumerate() {
+    for (n, old) in frames.iter().enumerate() {
         let durable_len = if options.durability == Durability::Process { bytes.len() as u32 } else { 0 };
         bytes.extend(frame(
-            f.payload,
-            f.count,
+            old.payload,
+            old.count,
             checksum_seed(header.store_id, header.number),
             header.first_seq + n as u64,
             durable_len,
--- a/crates/store/tests/room.rs
+++ b/crates/store/tests/room.rs
@@ -8,17 +8,17 @@
 use std::io::ErrorKind;
 use std::rc::Rc;
 
-const T: Table = Table(1);
+const TABLE: Table = Table(1);
 
 fn put(key: u64, len: usize) -> Batch {
     let mut batch = Batch::default();
-    batch.put(T, &key.to_be_bytes(), &vec![7; len]);
+    batch.put(TABLE, &key.to_be_bytes(), &vec![7; len]);
     batch
 }
 
 fn end(key: u64) -> Batch {
     let mut batch = Batch::default();
-    batch.delete_prefix(T, &key.to_be_bytes());
+    batch.delete_prefix(TABLE, &key.to_be_bytes());
     batch
 }
 
@@ -74,7 +74,9 @@
         store.apply(&put(n, 10), WriteKind::New).expect("space");
     }
     assert!(sim.files().contains_key("reserve"));
-    assert!(!store.contains_key(T, &1u64.to_be_bytes()) && !store.contains_key(T, &50u64.to_be_bytes()));
+    assert!(
+        !store.contains_key(TABLE, &1u64.to_be_bytes()) && !store.contains_key(TABLE, &50u64.to_be_bytes())
+    );
 }
 
 #[test]
@@ -85,7 +87,7 @@
     let before = sim.files()["0000000001.log"].len();
     store.apply(&put(1, 50), WriteKind::Deferred).expect("buffered");
     assert_eq!(sim.files()["0000000001.log"].len(), before);
-    assert_eq!(store.get(T, &1u64.to_be_bytes()).expect("read"), Some(vec![7; 50]));
+    assert_eq!(store.get(TABLE, &1u64.to_be_bytes()).expect("read"), Some(vec![7; 50]));
     store.apply(&put(2, 50), WriteKind::Update).expect("written");
     assert!(sim.files()["0000000001.log"].len() > before + 150);
     store.apply(&put(3, 50), WriteKind::Deferred).expect("buffered");
@@ -110,8 +112,8 @@
     let damage = store.compaction_error().expect("compaction found the damage").to_string();
     assert!(damage.starts_with("0000000001.log, byte 64"), "{damage}");
     assert!(sim.files().contains_key("0000000001.log"), "the damaged segment is kept");
-    assert!(store.get(T, &0u64.to_be_bytes()).is_err(), "and its damaged frame is not read");
-    assert!(store.get(T, &29u64.to_be_bytes()).is_ok_and(|v| v.is_some()));
+    assert!(store.get(TABLE, &0u64.to_be_bytes()).is_err(), "and its damaged frame is not read");
+    assert!(store.get(TABLE, &29u64.to_be_bytes()).is_ok_and(|v| v.is_some()));
 }
 
 #[test]
@@ -120,7 +122,7 @@
         Store::open(Rc::new(ProcessDisk(SimDisk::new(1, None))), Options::new(5, 1 << 30)).expect("a store");
     assert!(matches!(store.apply(&put(1, 2 << 20), WriteKind::New), Err(Error::TooLong)));
     let mut long = Batch::default();
-    long.put(T, &[1; 300], &[]);
+    long.put(TABLE, &[1; 300], &[]);
     assert!(matches!(store.apply(&long, WriteKind::New), Err(Error::TooLong)));
     assert_eq!(store.stats().key_count, 0);
 }
--- a/crates/store/tests/sim/mod.rs
+++ b/crates/store/tests/sim/mod.rs
@@ -94,7 +94,7 @@
                 Err(ErrorKind::BrokenPipe.into())
             }
             Some((at, Fault::Once(kind))) if n == at => Err(kind.into()),
-            Some((at, Fault::Span(kind, many))) if (at..at + many).contains(&n) => Err(kind.into()),
+            Some((at, Fault::Span(kind, count))) if (at..at + count).contains(&n) => Err(kind.into()),
             _ => Ok(()),
         }
     }
