--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -103,9 +103,9 @@
         self.failures > 0 || !matches!(self.breaker, Breaker::Closed) || self.latency.is_slow(SLOW_FACTOR)
     }
 
-    fn record_served(&mut self, now: Micros, latency: Micros, low: bool, limit: f64, probe_rate: f64) {
+    fn record_served(&mut self, now: Micros, latency: Micros, is_low: bool, limit: f64, probe_rate: f64) {
         self.latency.observe(latency);
-        if !low && self.last_cut.is_none_or(|t| now >= t + CUT_COOLDOWN) {
+        if !is_low && self.last_cut.is_none_or(|t| now >= t + CUT_COOLDOWN) {
             self.window = (self.window + WINDOW_STEP).min(limit.max(MIN_WINDOW));
         }
         self.pace = (self.pace * PACE_GROWTH).min(1.0);
@@ -145,14 +145,14 @@
 impl Endpoint {
     /// Counts a failure and backs off, doubling, from `from` failures on. Per class, it avoids endpoints that
     /// fail one class, which the window does not show (bad releases, accounts). Faulty messages gain nothing.
-    fn record_failure(&mut self, class: Option<usize>, now: Micros, from: u32) {
+    fn record_failure(&mut self, class: Option<usize>, now: Micros, threshold: u32) {
         let (failures, until) = self.backoffs.entry(class).or_default();
         if class.is_none() && now < *until {
             return; // The call was sent before the backoff began: it is the same failure.
         }
         *failures += 1;
-        if *failures >= from {
-            *until = now + (ENDPOINT_BACKOFF << (*failures - from).min(3));
+        if *failures >= threshold {
+            *until = now + (ENDPOINT_BACKOFF << (*failures - threshold).min(3));
         }
     }
 }
@@ -163,9 +163,9 @@
         self.now = now.clamp(self.now, MAX_TIME);
         self.wake_at = self.wake_at.filter(|&w| w > self.now);
         self.sent_this_turn.clear();
-        for e in events {
-            match e {
-                Event::Taken(m) => self.accept(m, 0, None),
+        for event in events {
+            match event {
+                Event::Taken(message) => self.accept(message, 0, None),
                 Event::Resumed { message, attempts, ran_ago } => self.resume(message, *attempts, *ran_ago),
                 Event::Ended { id, attempt, outcome, is_final, allowance } => {
                     self.end_attempt(*id, *attempt, *outcome, *is_final, *allowance);
@@ -194,8 +194,8 @@
         actions.append(&mut self.actions);
     }
 
-    fn jitter(&mut self, span: Micros) -> Micros {
-        (span as f64 * (0.75 + 0.5 * self.rng.f64())) as Micros
+    fn jitter(&mut self, duration: Micros) -> Micros {
+        (duration as f64 * (0.75 + 0.5 * self.rng.f64())) as Micros
     }
 
     fn update_list(&mut self, update: &ListUpdate) {
@@ -204,10 +204,10 @@
             self.watch_at = if ask { self.now + self.jitter(WATCH_RETRY) } else { self.watch_at };
             return;
         }
-        for route in self.apply_list(update) {
+        for route_id in self.apply_list(update) {
             let credit = self.rng.f64();
             let new_route = || Route { window: MIN_WINDOW, pace: 1.0, credit, ..Route::default() };
-            self.routes.entry(route).or_insert_with(new_route);
+            self.routes.entry(route_id).or_insert_with(new_route);
         }
         self.forget_unlisted(FORGET_AFTER);
         let dests = &self.dests;
@@ -238,11 +238,11 @@
     }
 
     /// Resumes a message of an earlier process. Earlier attempts count, as does one that may have run.
-    fn resume(&mut self, m: &Message, attempts: u32, ran_ago: Option<(Micros, EndpointId)>) {
+    fn resume(&mut self, message: &Message, attempts: u32, ran_ago: Option<(Micros, EndpointId)>) {
         let ran_at = ran_ago.map(|(ago, endpoint)| (self.now.saturating_sub(ago), endpoint));
-        self.accept(m, attempts, ran_at);
-        if self.held.get(&m.id).is_some_and(|h| !h.done && !self.permitted(h).0) {
-            self.give_up(m.id);
+        self.accept(message, attempts, ran_at);
+        if self.held.get(&message.id).is_some_and(|h| !h.done && !self.permitted(h).0) {
+            self.give_up(message.id);
         }
     }
 
@@ -261,8 +261,8 @@
         let due = if is_new { self.now + target } else { (expires + target).saturating_sub(deadline) };
         let over_share = m.tenant.is_some_and(|t| self.charge_tenant(t as usize));
         let key = m.key.clone().filter(|_| in_order);
-        if let Some(k) = &key {
-            self.keys.entry(k.clone()).or_default().0.push_back(m.id);
+        if let Some(key) = &key {
+            self.keys.entry(key.clone()).or_default().0.push_back(m.id);
         }
         let class = m.class as usize;
         // This number of earlier attempts belongs to no call of this process.
@@ -272,11 +272,11 @@
         self.held.insert(m.id, held);
         self.open_count += 1;
         let now = self.now;
-        let d = self.enqueue(m.dest, m.id);
-        let (rate, share) = (d.arrival_rate(now), d.route_share());
-        d.record_arrival(now);
-        for (_, r) in self.routes.range_mut(routes_of(m.dest)) {
-            r.accrue_credit(&self.settings, self.now, share, rate);
+        let dest = self.enqueue(m.dest, m.id);
+        let (rate, share) = (dest.arrival_rate(now), dest.route_share());
+        dest.record_arrival(now);
+        for (_, route) in self.routes.range_mut(routes_of(m.dest)) {
+            route.accrue_credit(&self.settings, self.now, share, rate);
         }
         self.accrue_zones(m.dest);
         let room = self.settings.max_held as f64 * (1.0 - FREE_SHARE);
@@ -287,9 +287,9 @@
     /// destination, or failed destinations, from displacing other messages; it errs if the wait is misjudged.
     fn shed(&mut self) -> bool {
         let mut least: Option<(f64, MessageId)> = None;
-        for (dest, d) in self.waiting() {
-            let wait = self.expected_wait(dest, d);
-            for &id in d.queue.iter().filter(|id| self.permitted(&self.held[id]).1) {
+        for (dest_id, dest) in self.waiting() {
+            let wait = self.expected_wait(dest_id, dest);
+            for &id in dest.queue.iter().filter(|id| self.permitted(&self.held[id]).1) {
                 let worth = self.held[&id].worth_at(&self.settings, self.now + wait) / wait as f64;
                 if least.is_none_or(|v| worth <= v.0) {
                     least = Some((worth, id));
@@ -313,40 +313,40 @@
 
     /// Returns whether a message may be sent, and whether it may be refused. No other code decides it, so
     /// that nothing that may have run is sent or refused beyond what its effect allows.
-    fn permitted(&self, h: &Held) -> (bool, bool) {
-        let c = &self.settings.classes[h.class];
-        let has_left = h.attempt_count() < self.settings.max_attempts as usize;
-        match (c.effect, h.ran_at) {
-            (_, None) => (has_left && h.in_flight == 0, h.in_flight == 0),
-            (Effect::Idempotent, _) => (has_left && h.in_flight == 0, true),
+    fn permitted(&self, held: &Held) -> (bool, bool) {
+        let class = &self.settings.classes[held.class];
+        let has_attempts = held.attempt_count() < self.settings.max_attempts as usize;
+        match (class.effect, held.ran_at) {
+            (_, None) => (has_attempts && held.in_flight == 0, held.in_flight == 0),
+            (Effect::Idempotent, _) => (has_attempts && held.in_flight == 0, true),
             (Effect::Deduplicated, Some((since, _))) => {
-                let known = |span| self.now + span < since + c.dedup_window;
+                let known = |after| self.now + after < since + class.dedup_window;
                 // Its client retries after the longest advised wait at the latest, with a whole new deadline.
-                let is_safe =
-                    c.dedup_scope == DedupScope::All && known(self.settings.max_retry_after + c.deadline);
-                (has_left && h.in_flight == 0 && known(MIN_OVERDUE), h.in_flight == 0 && is_safe)
+                let is_safe = class.dedup_scope == DedupScope::All
+                    && known(self.settings.max_retry_after + class.deadline);
+                (has_attempts && held.in_flight == 0 && known(MIN_OVERDUE), held.in_flight == 0 && is_safe)
             }
             (Effect::AtMostOnce, _) => (false, false),
         }
     }
 
     /// Returns how long an attempt may take to begin: a repeat must arrive within the deduplication window.
-    fn start_within(&self, h: &Held) -> Micros {
-        let c = &self.settings.classes[h.class];
-        let known = h
+    fn start_within(&self, held: &Held) -> Micros {
+        let class = &self.settings.classes[held.class];
+        let repeat_until = held
             .ran_at
-            .filter(|_| c.effect == Effect::Deduplicated)
-            .map(|(since, _)| (since + c.dedup_window).saturating_sub(REPEAT_MARGIN));
-        known.map_or(h.expires, |at| at.min(h.expires)).saturating_sub(self.now)
+            .filter(|_| class.effect == Effect::Deduplicated)
+            .map(|(since, _)| (since + class.dedup_window).saturating_sub(REPEAT_MARGIN));
+        repeat_until.map_or(held.expires, |until| until.min(held.expires)).saturating_sub(self.now)
     }
 
     /// Returns whether the endpoint may receive the message: a repeat goes only where it would be dropped.
-    fn may_go_to(&self, h: &Held, id: EndpointId) -> bool {
-        let c = &self.settings.classes[h.class];
-        match (c.effect, h.ran_at, c.dedup_scope) {
-            (Effect::Deduplicated, Some((_, e)), DedupScope::Endpoint) => e == id,
-            (Effect::Deduplicated, Some((_, e)), DedupScope::Zone) => {
-                self.endpoints.get(&e).map(|x| x.zone) == Some(self.endpoints[&id].zone)
+    fn may_go_to(&self, held: &Held, endpoint: EndpointId) -> bool {
+        let class = &self.settings.classes[held.class];
+        match (class.effect, held.ran_at, class.dedup_scope) {
+            (Effect::Deduplicated, Some((_, first)), DedupScope::Endpoint) => first == endpoint,
+            (Effect::Deduplicated, Some((_, first)), DedupScope::Zone) => {
+                self.endpoints.get(&first).map(|e| e.zone) == Some(self.endpoints[&endpoint].zone)
             }
             _ => true,
         }
@@ -354,9 +354,9 @@
 
     /// Ends a message that cannot be sent again. A refusal precedes the deadline, so it advises `PROBE_WAIT`.
     fn give_up(&mut self, id: MessageId) {
-        let (refuse, retry_after) =
+        let (may_refuse, retry_after) =
             (self.permitted(&self.held[&id]).1, PROBE_WAIT.min(self.settings.max_retry_after));
-        self.actions.push(if refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
+        self.actions.push(if may_refuse { Action::Refuse { id, retry_after } } else { Action::Fail { id } });
         self.finish(id);
     }
 
@@ -364,12 +364,12 @@
         let due = self.held.iter().filter(|(_, h)| !h.done && self.now >= self.give_up_at(h));
         due.map(|(&id, _)| id).collect::<Vec<_>>().into_iter().for_each(|id| self.give_up(id));
         let now = self.now;
-        self.keys.retain(|_, k| !k.0.is_empty() || k.1 > now);
+        self.keys.retain(|_, queue| !queue.0.is_empty() || queue.1 > now);
     }
 
     /// Returns when a message is given up: at its deadline if an attempt is in flight, else two ticks before.
-    fn give_up_at(&self, h: &Held) -> Micros {
-        if h.in_flight > 0 { h.expires } else { h.expires.saturating_sub(2 * self.settings.tick) }
+    fn give_up_at(&self, held: &Held) -> Micros {
+        if held.in_flight > 0 { held.expires } else { held.expires.saturating_sub(2 * self.settings.tick) }
     }
 
     /// Opens the breaker of a route with an overdue call if none sent since was served. This detects hung
@@ -377,7 +377,7 @@
     fn detect_silence(&mut self) {
         let wait = self.jitter(PROBE_WAIT);
         let mut silent = Vec::new();
-        for (&id, c) in &mut self.calls {
+        for (&number, c) in &mut self.calls {
             let Some(r) = self.routes.get_mut(&c.route) else { continue };
             if self.now >= c.overdue_at && r.last_served > c.sent && !c.lost {
                 // A later call was served, so only this connection is silent or the message is slow. The call
@@ -396,15 +396,15 @@
             if self.now >= c.overdue_at && (DOUBTFUL_IDLE..MAX_TIME).contains(&c.idle) {
                 // An idle connection may have been dropped silently. This is assumed first, and those idle
                 // for as long are closed; a hung destination shows in the next call, on a new connection.
-                let old = if self.now < self.trusted_idle.1 { self.trusted_idle.0 } else { MAX_TIME };
-                self.trusted_idle = (old.min(c.idle * 3 / 4), self.now + FORGET_AFTER);
+                let previous = if self.now < self.trusted_idle.1 { self.trusted_idle.0 } else { MAX_TIME };
+                self.trusted_idle = (previous.min(c.idle * 3 / 4), self.now + FORGET_AFTER);
                 (c.idle, c.overdue_at) = (MAX_TIME, c.overdue_at + (c.overdue_at - c.sent));
                 continue;
             }
             match r.breaker {
                 _ if self.now < c.overdue_at || r.last_served > c.sent => {}
                 // The next probe does not wait for the time-out of this one, which may be long.
-                Breaker::Open { probe: Some(t), .. } if t == id => r.open_breaker(self.now, false, wait),
+                Breaker::Open { probe: Some(t), .. } if t == number => r.open_breaker(self.now, false, wait),
                 Breaker::Open { .. } => {}
                 _ => {
                     r.open_breaker(self.now, false, 0);
@@ -417,8 +417,8 @@
     }
 
     fn slot_limit(&self, dest: DestinationId) -> f64 {
-        let troubled = self.routes.range(routes_of(dest)).any(|(_, r)| r.is_troubled());
-        let share = if troubled { SLOT_SHARE_TROUBLED } else { SLOT_SHARE };
+        let is_troubled = self.routes.range(routes_of(dest)).any(|(_, r)| r.is_troubled());
+        let share = if is_troubled { SLOT_SHARE_TROUBLED } else { SLOT_SHARE };
         (self.settings.slots as f64 * share).floor().max(1.0)
     }
 
@@ -426,16 +426,16 @@
         self.queued.retain(|id| !self.dests[id].queue.is_empty());
         for &id in &self.queued {
             let rate = self.dests[&id].arrival_rate(self.now);
-            for (_, r) in self.routes.range_mut(routes_of(id)) {
-                r.accrue_credit(&self.settings, self.now, 0.0, rate);
+            for (_, route) in self.routes.range_mut(routes_of(id)) {
+                route.accrue_credit(&self.settings, self.now, 0.0, rate);
             }
         }
         let mut excluded: Vec<EndpointId> = Vec::new();
         while self.calls.len() < self.settings.slots as usize {
             let mut best: Option<(f64, EndpointId, MessageId)> = None;
-            for (id, d) in self.waiting() {
-                let candidate = self.best_candidate(id, d, &excluded);
-                if candidate.is_some_and(|f| best.is_none_or(|b| f.0 > b.0)) {
+            for (id, dest) in self.waiting() {
+                let candidate = self.best_candidate(id, dest, &excluded);
+                if candidate.is_some_and(|found| best.is_none_or(|b| found.0 > b.0)) {
                     best = candidate;
                 }
             }
@@ -461,8 +461,8 @@
             if excluded.contains(&id) || self.endpoint_hold(id).is_some() {
                 continue;
             }
-            let Some(r) = self.routes.get(&(dest, d.per_endpoint.then_some(id))) else { continue };
-            let Ok(probe) = self.check_route(r, rate) else { continue };
+            let Some(route) = self.routes.get(&(dest, d.per_endpoint.then_some(id))) else { continue };
+            let Ok(probe) = self.check_route(route, rate) else { continue };
             let max_idle = self.settings.conn_idle.min(d.max_idle(self.now));
             let new = !e.idle_since.iter().any(|&t| t + max_idle > self.now);
             let until = self.backoff_until(e).unwrap_or(0);
@@ -476,8 +476,8 @@
                 if probe { self.settings.classes[self.held[id].class].effect } else { Effect::Idempotent }
             };
             let sendable = d.queue.iter().filter(|id| self.is_sendable(**id, endpoint));
-            let found = sendable.min_by(|a, b| risk(a).cmp(&risk(b)).then(self.compare_priority(a, b, wait)));
-            if let Some(&id) = found {
+            let first = sendable.min_by(|a, b| risk(a).cmp(&risk(b)).then(self.compare_priority(a, b, wait)));
+            if let Some(&id) = first {
                 let priority = |q: &MessageId| self.priority(&self.held[q], wait);
                 let mut rest: Vec<MessageId> = Vec::new();
                 if !probe && d.max_bundle > 1 {
@@ -493,9 +493,9 @@
     }
 
     /// Returns the priority of a message: the worth lost by waiting `wait` longer, and part of its worth.
-    fn priority(&self, h: &Held, wait: Micros) -> f64 {
-        let now = h.worth_at(&self.settings, self.now + CALL_TIME);
-        now - h.worth_at(&self.settings, self.now + CALL_TIME + wait) + WORTH_WEIGHT * now
+    fn priority(&self, held: &Held, wait: Micros) -> f64 {
+        let worth = held.worth_at(&self.settings, self.now + CALL_TIME);
+        worth - held.worth_at(&self.settings, self.now + CALL_TIME + wait) + WORTH_WEIGHT * worth
     }
 
     fn compare_priority(&self, a: &MessageId, b: &MessageId, wait: Micros) -> std::cmp::Ordering {
@@ -504,26 +504,26 @@
     }
 
     fn send_call(&mut self, endpoint: EndpointId, id: MessageId, excluded: &mut Vec<EndpointId>) {
-        let dest = self.endpoints[&endpoint].dest;
-        let d = &self.dests[&dest];
-        let route_id = (dest, d.per_endpoint.then_some(endpoint));
-        let probe = self.is_probe(endpoint);
+        let dest_id = self.endpoints[&endpoint].dest;
+        let dest = &self.dests[&dest_id];
+        let route_id = (dest_id, dest.per_endpoint.then_some(endpoint));
+        let is_probe = self.is_probe(endpoint);
         let mut bundle = vec![id];
-        if d.max_bundle > 1 {
+        if dest.max_bundle > 1 {
             excluded.push(endpoint);
-            let wait = self.expected_wait(dest, d);
+            let wait = self.expected_wait(dest_id, dest);
             let in_backoff =
                 |q: &MessageId| self.endpoints[&endpoint].backoffs.contains_key(&Some(self.held[q].class));
             // A call ends when the first of its messages expires, so messages close to that share a call.
             let soon = |q: &MessageId| self.held[q].expires < self.now + MIN_OVERDUE;
             let fits =
                 |q: &MessageId| !in_backoff(q) && soon(q) == soon(&id) && self.is_sendable(*q, endpoint);
-            let others = |q: &&MessageId| **q != id && !probe && fits(q);
-            let mut rest: Vec<MessageId> = d.queue.iter().filter(others).copied().collect();
+            let others = |q: &&MessageId| **q != id && !is_probe && fits(q);
+            let mut rest: Vec<MessageId> = dest.queue.iter().filter(others).copied().collect();
             rest.sort_by(|a, b| self.compare_priority(a, b, wait));
-            bundle = self.fill_bundle(endpoint, id, rest, d.max_bundle);
+            bundle = self.fill_bundle(endpoint, id, rest, dest.max_bundle);
         }
-        let call = self.next_call;
+        let number = self.next_call;
         self.next_call += 1;
         let r = &self.routes[&route_id];
         let class = self.held[&id].class;
@@ -548,13 +548,13 @@
         let unproven = if used.is_none() { at_most_once } else { 0 };
         let credit = 0.75 + 0.5 * self.rng.f64();
         let (route, sent) = (route_id, now);
-        let mut new_call =
+        let mut call =
             Call { route, endpoint, sent, overdue_at, late_after, idle, open, unproven, ..Call::default() };
-        self.sent_this_turn.insert(dest);
+        self.sent_this_turn.insert(dest_id);
         let mut unproven_left = self.unproven_limit(endpoint);
         for &id in &bundle {
             let timeout = self.timeout(&self.held[&id], &self.routes[&route_id]);
-            new_call.timeout_at = new_call.timeout_at.max(now.saturating_add(timeout));
+            call.timeout_at = call.timeout_at.max(now.saturating_add(timeout));
             let start_within = self.start_within(&self.held[&id]);
             // The expected idle connection may have ended, and a new one would replace it.
             let is_at_most_once = self.is_at_most_once(&self.held[&id]);
@@ -562,16 +562,16 @@
             unproven_left = unproven_left.saturating_sub(u32::from(is_at_most_once));
             self.actions.push(Action::Send { id, endpoint, timeout, start_within, proven_only });
             if let Some(h) = self.held.get_mut(&id) {
-                h.attempts.push(call);
+                h.attempts.push(number);
                 h.in_flight += 1;
             }
         }
-        self.calls.insert(call, new_call);
-        self.dests.entry(dest).and_modify(|d| d.queue.retain(|q| !bundle.contains(q)));
+        self.calls.insert(number, call);
+        self.dests.entry(dest_id).and_modify(|dest| dest.queue.retain(|q| !bundle.contains(q)));
         if let Some(e) = self.endpoints.get_mut(&endpoint) {
             (e.in_flight, e.unproven) = (e.in_flight + 1, e.unproven + unproven);
             (e.use_gap, e.last_used) = (now - e.last_used, now);
-            self.zone_shares.entry(e.zone).and_modify(|z| z.record_call(dest));
+            self.zone_shares.entry(e.zone).and_modify(|z| z.record_call(dest_id));
             // After a backoff one message of the class is sent; the others wait for its outcome.
             if let Some((_, until)) = e.backoffs.get_mut(&Some(class)).filter(|r| r.0 >= CLASS_ERRORS) {
                 *until = now + ENDPOINT_BACKOFF;
@@ -582,17 +582,17 @@
             r.rate.record_sent(now);
             r.credit -= f64::from(u8::from(r.is_metered())) * credit;
             if let Breaker::Open { probe, .. } = &mut r.breaker {
-                *probe = Some(call);
+                *probe = Some(number);
             }
         }
     }
 
     /// Returns the time-out, which follows the observed latency. A message that must not be repeated, or has
     /// no attempt left, would be lost by an early time-out, so it gets all the time that is left.
-    fn timeout(&self, h: &Held, r: &Route) -> Micros {
-        let c = &self.settings.classes[h.class];
-        let time_left = h.expires.saturating_sub(self.now).max(1);
-        if c.effect == Effect::AtMostOnce || h.attempt_count() + 1 >= self.settings.max_attempts as usize {
+    fn timeout(&self, held: &Held, r: &Route) -> Micros {
+        let c = &self.settings.classes[held.class];
+        let time_left = held.expires.saturating_sub(self.now).max(1);
+        if c.effect == Effect::AtMostOnce || held.attempt_count() + 1 >= self.settings.max_attempts as usize {
             return time_left;
         }
         ((TIMEOUT_FACTOR * r.latency.upper_bound(c.target_time)) as Micros).max(c.target_time).min(time_left)
@@ -602,24 +602,24 @@
     fn plan_wake(&mut self) {
         let now = self.now;
         let mut next = self.watch_at;
-        let mut at = |t: Micros| {
-            if t > now && t < next {
-                next = t;
+        let mut at = |time: Micros| {
+            if time > now && time < next {
+                next = time;
             }
         };
-        for h in self.held.values().filter(|h| !h.done) {
-            at(self.give_up_at(h));
-            at(h.not_before);
-        }
-        self.keys.values().for_each(|k| at(k.1));
-        self.calls.values().for_each(|c| at(c.overdue_at));
-        for (id, d) in self.waiting() {
-            let backoffs = d.endpoints.iter().flat_map(|e| self.endpoints[e].backoffs.values());
-            backoffs.for_each(|r| at(r.1));
-            for (_, r) in self.routes.range(routes_of(id)) {
-                at(r.paused_until.max(r.rate.next_call_at(now)));
-                let until = if let Breaker::Open { until, .. } = r.breaker { until } else { now };
-                at(if r.is_metered() { until.max(now + CREDIT_CHECK) } else { now });
+        for held in self.held.values().filter(|held| !held.done) {
+            at(self.give_up_at(held));
+            at(held.not_before);
+        }
+        self.keys.values().for_each(|queue| at(queue.1));
+        self.calls.values().for_each(|call| at(call.overdue_at));
+        for (dest_id, dest) in self.waiting() {
+            let backoffs = dest.endpoints.iter().flat_map(|e| self.endpoints[e].backoffs.values());
+            backoffs.for_each(|backoff| at(backoff.1));
+            for (_, route) in self.routes.range(routes_of(dest_id)) {
+                at(route.paused_until.max(route.rate.next_call_at(now)));
+                let until = if let Breaker::Open { until, .. } = route.breaker { until } else { now };
+                at(if route.is_metered() { until.max(now + CREDIT_CHECK) } else { now });
             }
         }
         if next < Micros::MAX && self.wake_at.is_none_or(|w| next < w) {
--- a/crates/policy/src/choice/notes.rs
+++ b/crates/policy/src/choice/notes.rs
@@ -3,14 +3,14 @@
 use super::*;
 
 impl Sender {
-    /// Sends a note about a route to all other senders, since one sender of hundreds sees too
-    /// little of a destination. Notes are rare: what was sent or received recently is not sent again.
-    pub(super) fn send_note(&mut self, route: RouteId, report: Report) {
-        let Some(r) = self.routes.get_mut(&route) else { return };
+    /// Sends a note about a route to all other senders, since one sender of hundreds sees too little of a
+    /// destination. Notes are rare: what was sent or received recently is not sent again.
+    pub(super) fn send_note(&mut self, route_id: RouteId, report: Report) {
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
         let last = if matches!(report, Report::Full | Report::Scarce) {
-            &mut r.refusal_note_at
+            &mut route.refusal_note_at
         } else {
-            &mut r.last_note
+            &mut route.last_note
         };
         let is_wait = matches!(report, Report::Wait(_)); // These are sent only if the wait is new.
         if !self.settings.may_send_notes
@@ -20,7 +20,7 @@
             return;
         }
         *last = if is_wait { *last } else { self.now.max(1) };
-        self.actions.push(Action::Note { to: None, body: note::encode(report, route) });
+        self.actions.push(Action::Note { to: None, body: note::encode(report, route_id) });
     }
 
     /// Processes a note from another sender. Reports of a failing route from two senders, with no call
@@ -28,55 +28,58 @@
     /// Unreadable notes are ignored, and lost ones cost only time.
     pub(super) fn receive_note(&mut self, from: u32, body: &[u8]) {
         let now = self.now;
-        let Some((report, route)) = note::decode(body).filter(|_| self.settings.may_send_notes) else {
+        let Some((report, route_id)) = note::decode(body).filter(|_| self.settings.may_send_notes) else {
             return;
         };
-        let spread = self.refusal_backoff(route) as f64 / 2.0;
-        let Some(r) = self.routes.get_mut(&route) else { return };
+        let spread = self.refusal_backoff(route_id) as f64 / 2.0;
+        let Some(route) = self.routes.get_mut(&route_id) else { return };
         match report {
             Report::Down => {
-                let confirmed = r
+                let is_confirmed = route
                     .outage_report
                     .replace((from, now))
-                    .is_some_and(|h| h.0 != from && now < h.1 + NOTE_VALIDITY);
-                if (confirmed || r.failures > 0) && !matches!(r.breaker, Breaker::Open { .. }) {
-                    r.last_note = now;
-                    r.open_breaker(now, true, 0);
+                    .is_some_and(|previous| previous.0 != from && now < previous.1 + NOTE_VALIDITY);
+                if (is_confirmed || route.failures > 0) && !matches!(route.breaker, Breaker::Open { .. }) {
+                    route.last_note = now;
+                    route.open_breaker(now, true, 0);
                 }
             }
             Report::Up => {
-                let start = r.outage_start();
-                (r.outage_report, r.failures, r.last_note) = (None, 0, now);
+                let start = route.outage_start();
+                (route.outage_report, route.failures, route.last_note) = (None, 0, now);
                 if let Some(start) = start {
                     let is_long = now >= start + MIN_OUTAGE;
-                    r.breaker =
-                        if is_long { Breaker::SlowStart { since: now, gap: 0 } } else { r.breaker.resumed() };
+                    route.breaker = if is_long {
+                        Breaker::SlowStart { since: now, gap: 0 }
+                    } else {
+                        route.breaker.resumed()
+                    };
                     // Connections were refused because of the outage, not because they are scarce.
                     let concerns =
-                        |id, e: &Endpoint| e.dest == route.0 && route.1.is_none_or(|only| only == id);
+                        |id, e: &Endpoint| e.dest == route_id.0 && route_id.1.is_none_or(|only| only == id);
                     let endpoints = self.endpoints.iter_mut().filter(|(id, e)| concerns(**id, e));
                     endpoints.for_each(|(_, e)| e.refused_at = 0);
                 }
             }
             Report::Full => {
-                r.refusal_note_at = now;
-                if now >= r.last_served + MIN_OUTAGE {
-                    r.slow_down(now, PACE_NOTE_CUT);
+                route.refusal_note_at = now;
+                if now >= route.last_served + MIN_OUTAGE {
+                    route.slow_down(now, PACE_NOTE_CUT);
                 }
             }
             Report::Wait(ms) => {
                 // The wait is respected only for a limited time, and the same sender cannot extend it: a
                 // faulty sender must not block a destination for all. The ends are spread over the senders.
                 let end = now + (Micros::from(ms) * MS).min(NOTE_VALIDITY);
-                let is_extension = now < r.paused_until && r.wait_reporter == Some(from);
-                if end > r.known_wait_until && !is_extension {
-                    (r.known_wait_until, r.wait_reporter) = (end, Some(from));
-                    r.paused_until = r.paused_until.max(end + (spread * self.rng.f64()) as Micros);
+                let is_extension = now < route.paused_until && route.wait_reporter == Some(from);
+                if end > route.known_wait_until && !is_extension {
+                    (route.known_wait_until, route.wait_reporter) = (end, Some(from));
+                    route.paused_until = route.paused_until.max(end + (spread * self.rng.f64()) as Micros);
                 }
             }
             Report::Scarce => {
-                r.refusal_note_at = now;
-                let kind = self.dests.get(&route.0).map_or(0, |d| d.kind);
+                route.refusal_note_at = now;
+                let kind = self.dests.get(&route_id.0).map_or(0, |d| d.kind);
                 self.scarce_until[kind] = now + FORGET_AFTER;
                 for (&endpoint, e) in self.endpoints.iter_mut().filter(|(_, e)| e.kind == kind) {
                     if !std::mem::take(&mut e.idle_since).is_empty() {
--- a/crates/policy/src/choice/tests.rs
+++ b/crates/policy/src/choice/tests.rs
@@ -150,12 +150,12 @@
                 !d.queue.is_empty() || queued.contains(id) || d.rate_updated + FORGET_AFTER > self.now;
             assert!(!list_changed || is_in_use, "{id:?} is kept without need");
         }
-        for (route, r) in routes {
-            let is_known =
-                route.1.map_or_else(|| dests.contains_key(&route.0), |e| endpoints.contains_key(&e));
-            assert!(is_known || unlisted.routes.contains(route), "{route:?}");
-            let is_in_use = r.in_flight > 0 || r.last_served.max(r.paused_until) + FORGET_AFTER > self.now;
-            assert!(!list_changed || is_known || is_in_use, "{route:?} is kept without need");
+        for (id, route) in routes {
+            let is_known = id.1.map_or_else(|| dests.contains_key(&id.0), |e| endpoints.contains_key(&e));
+            assert!(is_known || unlisted.routes.contains(id), "{id:?}");
+            let is_in_use =
+                route.in_flight > 0 || route.last_served.max(route.paused_until) + FORGET_AFTER > self.now;
+            assert!(!list_changed || is_known || is_in_use, "{id:?} is kept without need");
         }
     }
 }
--- a/crates/policy/src/choice/unproven.rs
+++ b/crates/policy/src/choice/unproven.rs
@@ -22,11 +22,11 @@
 
     /// Returns whether the endpoint's idle connections must not be used, because others that had been idle
     /// for as long were found dropped.
-    pub(super) fn has_stale_idle(&self, e: &Endpoint) -> bool {
-        let (now, max_idle) = (self.now, self.dests[&e.dest].max_idle(self.now));
-        let mut idle = e.idle_since.iter().filter(|&&t| self.is_idle_open(t));
-        let dropped = e.idle_since.last().is_some_and(|t| t.saturating_add(max_idle) < now);
-        dropped || now < self.trusted_idle.1 && idle.any(|t| t + self.trusted_idle.0 < now)
+    pub(super) fn has_stale_idle(&self, endpoint: &Endpoint) -> bool {
+        let (now, max_idle) = (self.now, self.dests[&endpoint.dest].max_idle(self.now));
+        let mut idle = endpoint.idle_since.iter().filter(|&&t| self.is_idle_open(t));
+        let exceeds_max_idle = endpoint.idle_since.last().is_some_and(|t| t.saturating_add(max_idle) < now);
+        exceeds_max_idle || now < self.trusted_idle.1 && idle.any(|t| t + self.trusted_idle.0 < now)
     }
 
     /// Returns whether a connection that has been idle since a time is still open, as far as is known.
@@ -37,24 +37,25 @@
     /// Returns how many at-most-once messages the next call to the endpoint may carry. A probe carries only
     /// one message anyway, so calls without an answer do not hold it back.
     pub(super) fn unproven_room(&self, id: EndpointId) -> usize {
-        let e = &self.endpoints[&id];
-        let is_proven = e.idle_since.iter().any(|&t| self.is_idle_open(t)) && !self.has_stale_idle(e);
+        let endpoint = &self.endpoints[&id];
+        let is_proven =
+            endpoint.idle_since.iter().any(|&t| self.is_idle_open(t)) && !self.has_stale_idle(endpoint);
         if is_proven || self.is_probe(id) {
             return usize::MAX;
         }
-        self.unproven_limit(id).saturating_sub(e.unproven) as usize
+        self.unproven_limit(id).saturating_sub(endpoint.unproven) as usize
     }
 
     /// Returns how many at-most-once messages may be in flight on new connections to the endpoint.
     pub(super) fn unproven_limit(&self, id: EndpointId) -> u32 {
-        let e = &self.endpoints[&id];
-        let is_recent = e.last_answer > 0 && self.now < e.last_answer + self.settings.conn_idle;
+        let endpoint = &self.endpoints[&id];
+        let is_recent = endpoint.last_answer > 0 && self.now < endpoint.last_answer + self.settings.conn_idle;
         if is_recent { UNPROVEN_RECENT } else { UNPROVEN_OTHER }
     }
 
     /// Returns whether a message must not be repeated once it may have run.
-    pub(super) fn is_at_most_once(&self, h: &Held) -> bool {
-        self.settings.classes[h.class].effect == Effect::AtMostOnce
+    pub(super) fn is_at_most_once(&self, held: &Held) -> bool {
+        self.settings.classes[held.class].effect == Effect::AtMostOnce
     }
 
     /// Returns the messages of a call: the first one, and of the rest, in their order, as many as are
@@ -66,12 +67,12 @@
         rest: Vec<MessageId>,
         max: usize,
     ) -> Vec<MessageId> {
-        let is_unsafe = |id: &MessageId| self.is_at_most_once(&self.held[id]);
-        let mut room = self.unproven_room(endpoint).saturating_sub(usize::from(is_unsafe(&first)));
+        let at_most_once = |id: &MessageId| self.is_at_most_once(&self.held[id]);
+        let mut room = self.unproven_room(endpoint).saturating_sub(usize::from(at_most_once(&first)));
         let fits = |id: &MessageId| {
-            let fits = !is_unsafe(id) || room > 0;
-            room -= usize::from(fits && is_unsafe(id));
-            fits
+            let is_allowed = !at_most_once(id) || room > 0;
+            room -= usize::from(is_allowed && at_most_once(id));
+            is_allowed
         };
         let rest = rest.into_iter().filter(fits).take(max.saturating_sub(1));
         std::iter::once(first).chain(rest).collect()
--- a/crates/policy/src/choice/view.rs
+++ b/crates/policy/src/choice/view.rs
@@ -9,16 +9,18 @@
             Some(d) => self.routes.range(routes_of(d)),
             None => self.routes.range(..),
         };
-        let view = |(&(dest, endpoint), r): (&RouteId, &Route)| RouteView {
+        let view = |(&(dest, endpoint), route): (&RouteId, &Route)| RouteView {
             dest,
             endpoint,
-            window: r.window,
-            in_flight: r.in_flight,
-            lost: r.lost,
-            last_cut: r.last_cut.zip(r.cut_by),
-            paused_until: r.paused_until,
-            admitted_rate: r.rate.estimate(),
-            hold: self.check_route(r, self.dests.get(&dest).map_or(0.0, |d| d.arrival_rate(self.now))).err(),
+            window: route.window,
+            in_flight: route.in_flight,
+            lost: route.lost,
+            last_cut: route.last_cut.zip(route.cut_by),
+            paused_until: route.paused_until,
+            admitted_rate: route.rate.estimate(),
+            hold: self
+                .check_route(route, self.dests.get(&dest).map_or(0.0, |d| d.arrival_rate(self.now)))
+                .err(),
         };
         range.map(view).collect()
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -2,14 +2,14 @@
 //! and which messages to refuse. A caller passes the events of one turn to [`Sender::handle`] and performs
 //! the actions that it returns.
 //!
-//! - `choice.rs`: the decisions.
+//! - `choice.rs` and `choice/`: the decisions.
 //! - `interface.rs`: the settings, events and actions.
 //! - `state.rs`: the state.
 //! - `credit.rs`, `zone_share.rs`: how much a route in recovery, or a zone, is sent.
 //! - `note.rs`: the encoding of notes between senders.
 //!
-//! Short names in the decision files: `h` is a held message, `c` a call or a class, `d` a destination, `e` an
-//! endpoint, `r` a route, `m` a message that arrives, and `k` the queue of an ordering key.
+//! Short names in `choice.rs`: `h` is a held message, `c` a call or a class, `d` a destination, `e` an
+//! endpoint, `r` a route, and `m` a message that arrives.
 #![warn(missing_docs)]
 
 pub mod choice;
@@ -27,18 +27,18 @@
 /// Identifies the source text of the decisions: two builds with the same number decide alike. It is the
 /// FNV-1a hash of the sources, computed at compile time.
 pub const FINGERPRINT: u64 = {
-    let mut h = notchpoint_limits::FINGERPRINT;
-    h = fnv1a(h, include_bytes!("interface.rs"));
-    h = fnv1a(h, include_bytes!("state.rs"));
-    h = fnv1a(h, include_bytes!("choice.rs"));
-    h = fnv1a(h, include_bytes!("choice/guard.rs"));
-    h = fnv1a(h, include_bytes!("choice/notes.rs"));
-    h = fnv1a(h, include_bytes!("choice/outcome.rs"));
-    h = fnv1a(h, include_bytes!("choice/slots.rs"));
-    h = fnv1a(h, include_bytes!("choice/unproven.rs"));
-    h = fnv1a(h, include_bytes!("credit.rs"));
-    h = fnv1a(h, include_bytes!("zone_share.rs"));
-    fnv1a(h, include_bytes!("note.rs"))
+    let mut hash = notchpoint_limits::FINGERPRINT;
+    hash = fnv1a(hash, include_bytes!("interface.rs"));
+    hash = fnv1a(hash, include_bytes!("state.rs"));
+    hash = fnv1a(hash, include_bytes!("choice.rs"));
+    hash = fnv1a(hash, include_bytes!("choice/guard.rs"));
+    hash = fnv1a(hash, include_bytes!("choice/notes.rs"));
+    hash = fnv1a(hash, include_bytes!("choice/outcome.rs"));
+    hash = fnv1a(hash, include_bytes!("choice/slots.rs"));
+    hash = fnv1a(hash, include_bytes!("choice/unproven.rs"));
+    hash = fnv1a(hash, include_bytes!("credit.rs"));
+    hash = fnv1a(hash, include_bytes!("zone_share.rs"));
+    fnv1a(hash, include_bytes!("note.rs"))
 };
 
 /// The initial hash value, chosen so that the hash of the stored encoding equals the number that earlier
--- a/crates/policy/src/note.rs
+++ b/crates/policy/src/note.rs
@@ -37,21 +37,21 @@
 
 /// Encodes a note.
 pub fn encode(report: Report, route: RouteId) -> Vec<u8> {
-    let (code, more) = report.code();
+    let (code, number) = report.code();
     let mut body = vec![FORMAT, code];
     body.extend(route.0.0.to_le_bytes());
-    if let Some(e) = route.1 {
-        body.extend(e.0.to_le_bytes());
+    if let Some(endpoint) = route.1 {
+        body.extend(endpoint.0.to_le_bytes());
     }
-    if let Some(more) = more {
-        body.extend(more.to_le_bytes());
+    if let Some(number) = number {
+        body.extend(number.to_le_bytes());
     }
     body
 }
 
 /// Decodes a note; returns `None` if it is malformed.
 pub fn decode(body: &[u8]) -> Option<(Report, RouteId)> {
-    let number = |b: &[u8]| b.try_into().map(u64::from_le_bytes).ok();
+    let number = |bytes: &[u8]| bytes.try_into().map(u64::from_le_bytes).ok();
     let (&[FORMAT, code], mut rest) = body.split_at_checked(2)? else { return None };
     let report = match code {
         0 => Report::Down,
@@ -59,8 +59,8 @@
         2 => Report::Full,
         3 => Report::Scarce,
         4 => {
-            let (before, ms) = rest.split_last_chunk()?;
-            rest = before;
+            let (route_bytes, ms) = rest.split_last_chunk()?;
+            rest = route_bytes;
             Report::Wait(u32::from_le_bytes(*ms))
         }
         _ => return None,
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -199,8 +199,8 @@
     pub last_answer: Micros,
     /// When the endpoint last refused a connection at once.
     pub refused_at: Micros,
-    /// The failures since a call was last served and the end of the backoff: for one class (plain errors),
-    /// or for all classes.
+    /// The failures since a call was last served and the end of the backoff: for one class (after
+    /// plain errors), or under `None` for all classes.
     pub backoffs: BTreeMap<Option<usize>, (u32, Micros)>,
 }
 
@@ -328,13 +328,14 @@
 
     /// Records that a connection became idle or that an idle one ended, which is assumed to be the oldest.
     pub(crate) fn update_idle(&mut self, id: EndpointId, became_idle: bool) {
-        let Some(e) = self.endpoints.get_mut(&id).filter(|_| self.settings.connections_reported) else {
+        let Some(endpoint) = self.endpoints.get_mut(&id).filter(|_| self.settings.connections_reported)
+        else {
             return;
         };
         if became_idle {
-            e.idle_since.push(self.now);
-        } else if !e.idle_since.is_empty() {
-            e.idle_since.remove(0);
+            endpoint.idle_since.push(self.now);
+        } else if !endpoint.idle_since.is_empty() {
+            endpoint.idle_since.remove(0);
         }
     }
 
@@ -391,32 +392,34 @@
     fn apply_entry(&mut self, entry: &ListEntry) -> Option<RouteId> {
         let kind = self.settings.kinds.get(entry.kind as usize)?;
         let new_endpoint = || Endpoint { dest: entry.dest, ..Endpoint::default() };
-        let e = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
-        (e.listed, e.zone, e.kind) = (entry.phase == Phase::Live, entry.zone, entry.kind as usize);
-        e.live = e.listed && !self.out_of_service.contains(&entry.endpoint);
-        if e.listed {
+        let endpoint = self.endpoints.entry(entry.endpoint).or_insert_with(new_endpoint);
+        (endpoint.listed, endpoint.zone, endpoint.kind) =
+            (entry.phase == Phase::Live, entry.zone, entry.kind as usize);
+        endpoint.live = endpoint.listed && !self.out_of_service.contains(&entry.endpoint);
+        if endpoint.listed {
             self.unlisted.endpoints.remove(&entry.endpoint);
         } else {
             self.unlisted.endpoints.insert(entry.endpoint);
         }
-        let d = self.dests.entry(e.dest).or_default();
-        (d.per_endpoint, d.max_bundle, d.kind) = (kind.per_endpoint, kind.max_bundle as usize, e.kind);
-        if !d.endpoints.contains(&entry.endpoint) {
-            d.endpoints.push(entry.endpoint);
+        let dest = self.dests.entry(endpoint.dest).or_default();
+        (dest.per_endpoint, dest.max_bundle, dest.kind) =
+            (kind.per_endpoint, kind.max_bundle as usize, endpoint.kind);
+        if !dest.endpoints.contains(&entry.endpoint) {
+            dest.endpoints.push(entry.endpoint);
         }
-        self.unlisted.dests.remove(&e.dest);
-        Some((e.dest, kind.per_endpoint.then_some(entry.endpoint)))
+        self.unlisted.dests.remove(&endpoint.dest);
+        Some((endpoint.dest, kind.per_endpoint.then_some(entry.endpoint)))
     }
 
     /// Queues a message for its destination, even if no list names the destination.
-    pub(crate) fn enqueue(&mut self, dest: DestinationId, id: MessageId) -> &mut Dest {
-        self.queued.insert(dest);
-        let d = self.dests.entry(dest).or_default();
-        if d.endpoints.is_empty() {
-            self.unlisted.dests.insert(dest);
+    pub(crate) fn enqueue(&mut self, dest_id: DestinationId, id: MessageId) -> &mut Dest {
+        self.queued.insert(dest_id);
+        let dest = self.dests.entry(dest_id).or_default();
+        if dest.endpoints.is_empty() {
+            self.unlisted.dests.insert(dest_id);
         }
-        d.queue.push(id);
-        d
+        dest.queue.push(id);
+        dest
     }
 
     /// Drops endpoints that are not live on the list, unless calls to them are in flight or they are out of
@@ -428,12 +431,12 @@
             self.unlisted.endpoints.iter().copied().filter(is_removable).collect();
         for id in removable {
             self.unlisted.endpoints.remove(&id);
-            let Some(e) = self.endpoints.remove(&id) else { continue };
-            self.unlisted.routes.insert((e.dest, Some(id)));
-            let Some(d) = self.dests.get_mut(&e.dest) else { continue };
-            d.endpoints.retain(|other| *other != id);
-            if d.endpoints.is_empty() {
-                self.unlisted.dests.insert(e.dest);
+            let Some(endpoint) = self.endpoints.remove(&id) else { continue };
+            self.unlisted.routes.insert((endpoint.dest, Some(id)));
+            let Some(dest) = self.dests.get_mut(&endpoint.dest) else { continue };
+            dest.endpoints.retain(|other| *other != id);
+            if dest.endpoints.is_empty() {
+                self.unlisted.dests.insert(endpoint.dest);
             }
         }
     }
@@ -446,8 +449,8 @@
         let (dests, queued) = (&mut self.dests, &self.queued);
         let routes = &mut self.unlisted.routes;
         self.unlisted.dests.retain(|id| {
-            let Some(d) = dests.get(id).filter(|d| d.endpoints.is_empty()) else { return false };
-            let keep = is_in_use(d) || queued.contains(id);
+            let Some(dest) = dests.get(id).filter(|d| d.endpoints.is_empty()) else { return false };
+            let keep = is_in_use(dest) || queued.contains(id);
             if !keep {
                 dests.remove(id);
                 routes.insert((*id, None));
@@ -456,13 +459,12 @@
         });
         let endpoints = &self.endpoints;
         let all_routes = &mut self.routes;
-        self.unlisted.routes.retain(|route| {
-            let is_known =
-                route.1.map_or_else(|| dests.contains_key(&route.0), |e| endpoints.contains_key(&e));
-            let Some(r) = all_routes.get(route).filter(|_| !is_known) else { return false };
-            let keep = r.in_flight > 0 || r.last_served.max(r.paused_until) + span > now;
+        self.unlisted.routes.retain(|id| {
+            let is_known = id.1.map_or_else(|| dests.contains_key(&id.0), |e| endpoints.contains_key(&e));
+            let Some(route) = all_routes.get(id).filter(|_| !is_known) else { return false };
+            let keep = route.in_flight > 0 || route.last_served.max(route.paused_until) + span > now;
             if !keep {
-                all_routes.remove(route);
+                all_routes.remove(id);
             }
             keep
         });
@@ -473,9 +475,10 @@
     pub(crate) fn mark_service(&mut self, id: EndpointId, out_of_service: bool) -> (bool, bool) {
         let changed =
             if out_of_service { self.out_of_service.insert(id) } else { self.out_of_service.remove(&id) };
-        let Some(e) = self.endpoints.get_mut(&id) else { return (changed, false) };
-        e.live = e.listed && !out_of_service;
-        let (dest, per_endpoint) = (e.dest, self.dests.get(&e.dest).is_some_and(|d| d.per_endpoint));
+        let Some(endpoint) = self.endpoints.get_mut(&id) else { return (changed, false) };
+        endpoint.live = endpoint.listed && !out_of_service;
+        let (dest, per_endpoint) =
+            (endpoint.dest, self.dests.get(&endpoint.dest).is_some_and(|d| d.per_endpoint));
         let is_other = |(o, e): (&EndpointId, &Endpoint)| *o != id && e.dest == dest && e.live;
         (changed, !per_endpoint && self.endpoints.iter().any(is_other))
     }
@@ -494,29 +497,29 @@
     }
 
     /// Accrues the credit of zones with a reduced share for a new message.
-    pub(crate) fn accrue_zones(&mut self, dest: DestinationId) {
-        let Some(d) = self.dests.get(&dest) else { return };
-        let live = || d.endpoints.iter().filter_map(|e| self.endpoints.get(e)).filter(|e| e.live);
+    pub(crate) fn accrue_zones(&mut self, dest_id: DestinationId) {
+        let Some(dest) = self.dests.get(&dest_id) else { return };
+        let live = || dest.endpoints.iter().filter_map(|e| self.endpoints.get(e)).filter(|e| e.live);
         let all = live().count().max(1) as f64;
         for (zone, zone_share) in &mut self.zone_shares {
             let in_zone = live().filter(|e| e.zone == *zone).count();
             if in_zone > 0 {
-                zone_share.record_arrival(dest, in_zone as f64 / all, || self.rng.f64());
+                zone_share.record_arrival(dest_id, in_zone as f64 / all, || self.rng.f64());
             }
         }
     }
 
     /// Marks a message as done: it leaves the queue, and is dropped once no attempt of it is in flight.
     pub(crate) fn finish(&mut self, id: MessageId) {
-        let Some(h) = self.held.get_mut(&id) else { return };
-        if !h.done {
-            h.done = true;
+        let Some(held) = self.held.get_mut(&id) else { return };
+        if !held.done {
+            held.done = true;
             self.open_count -= 1;
-            self.dests.entry(h.dest).and_modify(|d| d.queue.retain(|&q| q != id));
+            self.dests.entry(held.dest).and_modify(|d| d.queue.retain(|&q| q != id));
         }
-        if h.in_flight == 0 {
-            if let Some(k) = h.key.as_ref().and_then(|k| self.keys.get_mut(k)) {
-                k.0.retain(|&q| q != id);
+        if held.in_flight == 0 {
+            if let Some(queue) = held.key.as_ref().and_then(|k| self.keys.get_mut(k)) {
+                queue.0.retain(|&q| q != id);
             }
             self.held.remove(&id);
         }
@@ -567,11 +570,11 @@
     pub fn record_end(&mut self, call: &Call, outcome: Outcome) {
         match (call.late_stage, outcome) {
             (0, _) => {}
-            (n, Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt) => {
-                self.add_answered(call.lost, n - 1)
+            (stage, Outcome::Served | Outcome::Failed | Outcome::Full { .. } | Outcome::Spoilt) => {
+                self.add_answered(call.lost, stage - 1)
             }
-            (n, Outcome::Cancelled | Outcome::Moot | Outcome::NotSent) => {
-                self.add_reached(call.lost, n - 1, -1.0)
+            (stage, Outcome::Cancelled | Outcome::Moot | Outcome::NotSent) => {
+                self.add_reached(call.lost, stage - 1, -1.0)
             }
             _ => {}
         }
@@ -584,14 +587,14 @@
         self.attempts.len().saturating_sub(self.unsent as usize)
     }
 
-    /// Returns the worth of the message if it is served at `t`.
-    pub fn worth_at(&self, settings: &Settings, t: Micros) -> f64 {
+    /// Returns the worth of the message if it is served at `served_at`.
+    pub fn worth_at(&self, settings: &Settings, served_at: Micros) -> f64 {
         let class = &settings.classes[self.class];
         let full = class.worth * if self.over_share { settings.over_share_worth } else { 1.0 };
-        if t >= self.expires || t <= self.due {
-            return if t >= self.expires { 0.0 } else { full };
+        if served_at >= self.expires || served_at <= self.due {
+            return if served_at >= self.expires { 0.0 } else { full };
         }
-        let late = (t - self.due) as f64;
+        let late = (served_at - self.due) as f64;
         full * match settings.worth_decay {
             WorthDecay::Halving => (-late / class.target_time as f64).exp2().max(class.late_share),
             WorthDecay::Linear => {
--- a/crates/policy/src/state/tests.rs
+++ b/crates/policy/src/state/tests.rs
@@ -59,7 +59,7 @@
         Effect::Deduplicated => Effect::Deduplicated,
         Effect::AtMostOnce => Effect::AtMostOnce,
     );
-    let groups = each_variant!(DedupScope:
+    let scopes = each_variant!(DedupScope:
         DedupScope::All => DedupScope::All,
         DedupScope::Zone => DedupScope::Zone,
         DedupScope::Endpoint => DedupScope::Endpoint,
@@ -85,7 +85,7 @@
         may_probe: true,
         may_send_notes: false,
         list,
-        classes: effects.into_iter().zip(groups).map(class).collect(),
+        classes: effects.into_iter().zip(scopes).map(class).collect(),
         tenant_allowances: vec![416.5, 417.5],
         over_share_worth: 0.125,
         kinds: vec![
@@ -234,7 +234,7 @@
     }
 }
 
-fn late(from: f64) -> LifeTable {
+fn life_table(from: f64) -> LifeTable {
     let mut next = from;
     let mut count = || {
         next += 1.0;
@@ -243,7 +243,7 @@
     LifeTable(std::array::from_fn(|_| std::array::from_fn(|_| (count(), count()))))
 }
 
-fn route(health: Breaker, cut_by: Outcome) -> Route {
+fn route(breaker: Breaker, cut_by: Outcome) -> Route {
     let mut latency = Latency::default();
     latency.observe(70_000);
     latency.observe(20_000);
@@ -268,7 +268,7 @@
         latency,
         connection_failures,
         rate,
-        breaker: health,
+        breaker,
         last_served: 707,
         failures: 708,
         last_failure: 709,
@@ -280,12 +280,12 @@
         last_note: 716,
         in_flight: 717,
         lost: 718,
-        life_table: late(720.0),
+        life_table: life_table(720.0),
     }
 }
 
 fn routes() -> BTreeMap<RouteId, Route> {
-    let healths = each_variant!(Breaker:
+    let breakers = each_variant!(Breaker:
         Breaker::Closed => Breaker::Closed,
         Breaker::Open { since: _, until: _, failed: _, probe: _, slow_start: _ } =>
             Breaker::Open {
@@ -297,9 +297,9 @@
             },
         Breaker::SlowStart { since: _, gap: _ } => Breaker::SlowStart { since: 756, gap: 757 },
     );
-    let routes = healths.into_iter().zip(outcomes().into_iter().cycle().skip(2));
+    let routes = breakers.into_iter().zip(outcomes().into_iter().cycle().skip(2));
     let ids = (761..).map(|n| (DestinationId(n), Some(EndpointId(n + 10))));
-    ids.zip(routes.map(|(health, cut_by)| route(health, cut_by))).collect()
+    ids.zip(routes.map(|(breaker, cut_by)| route(breaker, cut_by))).collect()
 }
 
 fn endpoint() -> Endpoint {
@@ -369,7 +369,7 @@
         actions: actions(),
         watch_at: 925,
         wake_at: Some(926),
-        life_table: late(930.0),
+        life_table: life_table(930.0),
         sent_this_turn: BTreeSet::from([DestinationId(927)]),
         zone_shares: BTreeMap::from([(928, zone_share())]),
     }
@@ -382,11 +382,12 @@
         ListMode::Push => ListMode::Push,
         ListMode::Ask => ListMode::Ask,
     );
-    let fades = each_variant!(WorthDecay:
+    let decays = each_variant!(WorthDecay:
         WorthDecay::Linear => WorthDecay::Linear,
         WorthDecay::Halving => WorthDecay::Halving,
     );
-    let states: Vec<Sender> = lists.into_iter().zip(fades).map(|(list, fade)| sender(list, fade)).collect();
+    let states: Vec<Sender> =
+        lists.into_iter().zip(decays).map(|(list, decay)| sender(list, decay)).collect();
     let holds: Vec<Hold> = guards().into_iter().map(|guard| Hold::until(guard, 941)).collect();
     postcard::to_allocvec(&(states, events(), holds)).expect("plain data")
 }
@@ -409,8 +410,8 @@
 
 #[test]
 fn the_stored_state_survives_a_round_trip() {
-    type All = (Vec<Sender>, Vec<Event>, Vec<Hold>);
-    let all: All = postcard::from_bytes(STORED).expect("the stored form");
+    type Stored = (Vec<Sender>, Vec<Event>, Vec<Hold>);
+    let all: Stored = postcard::from_bytes(STORED).expect("the stored form");
     assert!(all.1 == events() && all.2.len() == guards().len());
     assert_eq!(postcard::to_allocvec(&all).expect("plain data"), STORED);
 }
