--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -167,8 +167,9 @@
         let id = self.next;
         self.next += 1;
         let (dest, key) = (DestinationId(dest), key.map(Box::from));
-        let m = Message { id: MessageId(id), class, tenant: None, key, dest, is_retry: false, expires_in };
-        (id, Event::Taken(m))
+        let message =
+            Message { id: MessageId(id), class, tenant: None, key, dest, is_retry: false, expires_in };
+        (id, Event::Taken(message))
     }
 
     pub fn submit(&mut self, class: u32) -> u64 {
--- a/crates/policy/tests/common/world.rs
+++ b/crates/policy/tests/common/world.rs
@@ -154,18 +154,18 @@
             }
         }
         // Messages of one turn to one endpoint share a call, and thus a slot, if the kind allows bundles.
-        let (mut singles, mut per_dest) = (0, BTreeMap::<u64, usize>::new());
+        let (mut call_count, mut per_dest) = (0, BTreeMap::<u64, usize>::new());
         for (id, message) in &self.messages {
-            for y in message.attempts.iter().filter(|y| y.outcome.is_none()) {
+            for attempt in message.attempts.iter().filter(|a| a.outcome.is_none()) {
                 let bundles = self.set.kinds[kind(message.dest, &self.set) as usize].max_bundle > 1;
-                let tag = if bundles { usize::MAX } else { *id as usize };
-                if calls.insert((y.at, y.endpoint, tag)) {
-                    singles += 1;
+                let message_key = if bundles { usize::MAX } else { *id as usize };
+                if calls.insert((attempt.at, attempt.endpoint, message_key)) {
+                    call_count += 1;
                     *per_dest.entry(message.dest).or_default() += 1;
                 }
             }
         }
-        assert!(singles <= self.set.slots as usize, "more calls than slots");
+        assert!(call_count <= self.set.slots as usize, "more calls than slots");
         let ceiling = (self.set.slots as f64 * 0.75).floor().max(1.0) as usize;
         assert!(per_dest.values().all(|&n| n <= ceiling), "a destination exceeds its share of the slots");
         for (id, message) in &self.messages {
@@ -183,17 +183,17 @@
         assert_eq!(owner(endpoint), message.dest, "sent to another destination");
         assert!(self.live.contains(&endpoint), "sent to an endpoint that is draining or removed");
         assert!(message.attempts.len() < self.set.max_attempts as usize, "too many attempts");
-        assert!(message.attempts.iter().all(|y| y.outcome.is_some()), "two attempts in flight");
+        assert!(message.attempts.iter().all(|a| a.outcome.is_some()), "two attempts in flight");
         let class = &self.set.classes[message.class as usize];
         let ran: Vec<&Attempt> =
-            message.attempts.iter().filter(|y| y.outcome.is_some_and(may_have_run)).collect();
+            message.attempts.iter().filter(|a| a.outcome.is_some_and(may_have_run)).collect();
         match class.effect {
             Effect::Idempotent => {}
             Effect::AtMostOnce => {
                 assert!(ran.is_empty(), "an at-most-once message that may have run is sent again")
             }
             Effect::Deduplicated => {
-                if let Some(first) = ran.iter().map(|y| y.at).min() {
+                if let Some(first) = ran.iter().map(|a| a.at).min() {
                     assert!(self.now < first + class.dedup_window, "sent after the deduplication window");
                 }
                 let zone = |e: u32| e % 2;
@@ -206,11 +206,11 @@
             }
         }
         if let Some(k) = message.key {
-            let before = |o: &&Submitted| o.key == Some(k) && o.order < message.order;
-            for o in self.messages.values().filter(before) {
-                assert!(o.done && o.attempts.iter().all(|y| y.outcome.is_some()), "out of order");
+            let is_earlier = |other: &&Submitted| other.key == Some(k) && other.order < message.order;
+            for earlier in self.messages.values().filter(is_earlier) {
+                assert!(earlier.done && earlier.attempts.iter().all(|a| a.outcome.is_some()), "out of order");
             }
-            let has_earlier_attempt = message.attempts.iter().any(|y| y.outcome.is_some());
+            let has_earlier_attempt = message.attempts.iter().any(|a| a.outcome.is_some());
             let blocked_until = self.key_rest.get(&k).copied().unwrap_or(0);
             assert!(has_earlier_attempt || self.now >= blocked_until, "sent while its key is blocked");
         }
@@ -228,11 +228,11 @@
             return;
         }
         let class = &self.set.classes[message.class as usize];
-        let clean = message.attempts.iter().all(|y| y.outcome.is_some_and(|o| !may_have_run(o)));
+        let never_ran = message.attempts.iter().all(|a| a.outcome.is_some_and(|o| !may_have_run(o)));
         let allowed = match class.effect {
             Effect::Idempotent => true,
-            Effect::AtMostOnce => clean,
-            Effect::Deduplicated => clean || class.dedup_scope == DedupScope::All,
+            Effect::AtMostOnce => never_ran,
+            Effect::Deduplicated => never_ran || class.dedup_scope == DedupScope::All,
         };
         assert!(allowed, "refused a message that may have run");
     }
@@ -259,9 +259,10 @@
         self.feed(&[Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
+    /// Returns each message with an attempt in flight, and the number of that attempt.
     pub fn outstanding(&self) -> Vec<(u64, usize)> {
-        let open = |t: &Submitted| t.attempts.iter().position(|y| y.outcome.is_none());
-        self.messages.iter().filter_map(|(&id, t)| open(t).map(|n| (id, n))).collect()
+        let in_flight = |message: &Submitted| message.attempts.iter().position(|a| a.outcome.is_none());
+        self.messages.iter().filter_map(|(&id, message)| in_flight(message).map(|n| (id, n))).collect()
     }
 
     /// Advances the clock; time-outs and wake-ups happen when they are due.
@@ -270,8 +271,8 @@
         loop {
             let out = self.outstanding();
             let due = |&(id, n): &(u64, usize)| {
-                let (t, y) = (&self.messages[&id], &self.messages[&id].attempts[n]);
-                ((y.at + y.timeout).min(t.expires), id, n)
+                let (message, attempt) = (&self.messages[&id], &self.messages[&id].attempts[n]);
+                ((attempt.at + attempt.timeout).min(message.expires), id, n)
             };
             let time_out = out.iter().map(due).min().filter(|d| d.0 <= end);
             let wake = self.wakes.first().copied().filter(|&w| w <= end);
@@ -326,7 +327,7 @@
             }
             Step::Withdraw { pick } => {
                 let open: Vec<u64> =
-                    self.messages.iter().filter(|(_, t)| !t.done).map(|(&id, _)| id).collect();
+                    self.messages.iter().filter(|(_, m)| !m.done).map(|(&id, _)| id).collect();
                 if open.is_empty() {
                     return;
                 }
--- a/crates/policy/tests/failures.rs
+++ b/crates/policy/tests/failures.rs
@@ -170,9 +170,9 @@
     let dest = DestinationId(1);
     for (id, tenant) in [(100, 0), (101, 0), (102, 0), (103, 1)] {
         let (id, tenant) = (MessageId(id), Some(tenant));
-        let m =
+        let message =
             Message { id, class: IDEMPOTENT, tenant, key: None, dest, is_retry: false, expires_in: 20 * SEC };
-        rig.feed(&[Event::Taken(m)]);
+        rig.feed(&[Event::Taken(message)]);
     }
     rig.serve(1);
     assert!(rig.is_in_flight(103));
--- a/crates/policy/tests/fleet.rs
+++ b/crates/policy/tests/fleet.rs
@@ -268,20 +268,20 @@
     let mut rig = Rig::new(set(), 0, 1);
     receive_note(&mut rig, 1, &down);
     receive_note(&mut rig, 1, &down);
-    let one = rig.submit(IDEMPOTENT);
-    assert!(rig.is_in_flight(one), "notes of one sender, even two of them, do not open the breaker");
+    let id = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(id), "notes of one sender, even two of them, do not open the breaker");
     // Some senders send a probe at once, by chance; most of them hold the message.
     let mut held = 0;
     for seed in 0..40 {
         let mut rig = Rig::seeded(set(), 0, 1, seed);
         receive_note(&mut rig, 1, &down);
         receive_note(&mut rig, 2, &down);
-        let one = rig.submit(IDEMPOTENT);
-        if !rig.is_in_flight(one) {
+        let id = rig.submit(IDEMPOTENT);
+        if !rig.is_in_flight(id) {
             held += 1;
             receive_note(&mut rig, 3, &up);
             rig.advance(10 * MS);
-            assert!(rig.is_in_flight(one), "served within three seconds: a false alarm without a slow start");
+            assert!(rig.is_in_flight(id), "served within three seconds: a false alarm without a slow start");
         }
     }
     assert!(held >= 28, "a reported outage counts like an observed one: {held} of 40 held");
@@ -316,12 +316,11 @@
 
 #[test]
 fn a_short_silence_does_not_end_a_slow_start() {
-    // Guards against an overloaded destination: one in slow start answered slowly for a short time, and 2.7
-    // s after its return it got 164 calls where it tolerates 96, from all senders alike. A silent call
-    // opened the breaker, and the next served call closed it and ended the slow start as well. The soak
-    // showed this (seed 2111 with hand-overs and 60 troubles, in each of five runs; endpoint 4 returned at
-    // 9.0 s and was slow from 9.7 to 11.3 s), with 10 to 15 calls of each sender when the endpoint was fast
-    // again.
+    // Guards against an overloaded destination: in slow start it answered slowly for a short time. A silent
+    // call opened the breaker, and the next served call closed it and ended the slow start as well. 2.7 s
+    // after its return the destination got 164 calls where it tolerates 96, from all senders alike, with 10
+    // to 15 calls of each sender when it was fast again. The soak showed this (seed 2111 with hand-overs and
+    // 60 troubles, in each of five runs; endpoint 4 returned at 9.0 s and was slow from 9.7 to 11.3 s).
     let [_, up] = down_and_up_notes();
     for by_note in [false, true] {
         let mut rig = Rig::new(Settings { may_send_notes: true, ..sparse(9) }, 0, 1);
@@ -358,8 +357,8 @@
     let mut rig = Rig::new(sparse(9), 0, 1);
     receive_note(&mut rig, 1, &down);
     receive_note(&mut rig, 2, &down);
-    let one = rig.submit(IDEMPOTENT);
-    assert!(rig.is_in_flight(one));
+    let id = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(id));
     for _ in 0..3 {
         rig.end_all(Outcome::TimedOut);
     }
@@ -384,8 +383,8 @@
         }
     }
     receive_note(&mut rig, 1, &[0xff; 256]);
-    let one = rig.submit(IDEMPOTENT);
-    assert!(rig.is_in_flight(one));
+    let id = rig.submit(IDEMPOTENT);
+    assert!(rig.is_in_flight(id));
 }
 
 #[test]
--- a/crates/policy/tests/property.rs
+++ b/crates/policy/tests/property.rs
@@ -26,7 +26,7 @@
         let mut c = Checker::new(set, 3);
         steps.iter().for_each(|s| c.step(s));
         c.advance(60 * SEC);
-        prop_assert!(c.messages.values().all(|t| t.done), "a message was lost");
+        prop_assert!(c.messages.values().all(|m| m.done), "a message was lost");
     }
 
     #[test]
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -151,10 +151,11 @@
 #[test]
 fn a_wait_counts_after_a_time_out_in_the_same_bundle() {
     let mut rig = Rig::new(settings(), 2, 1);
-    let (a, b) = (rig.message(IDEMPOTENT, 1, None, 20 * SEC), rig.message(IDEMPOTENT, 1, None, 20 * SEC));
-    rig.feed(&[a.1, b.1]);
-    rig.end(a.0, Outcome::TimedOut);
-    rig.end(b.0, Outcome::Full { wait: Some(4 * SEC) });
+    let (first, second) =
+        (rig.message(IDEMPOTENT, 1, None, 20 * SEC), rig.message(IDEMPOTENT, 1, None, 20 * SEC));
+    rig.feed(&[first.1, second.1]);
+    rig.end(first.0, Outcome::TimedOut);
+    rig.end(second.0, Outcome::Full { wait: Some(4 * SEC) });
     let refused_at = rig.now;
     rig.advance(15 * SEC);
     assert!(!rig.in_flight.is_empty() && rig.in_flight.iter().all(|o| o.at >= refused_at + 4 * SEC));
--- a/crates/policy/tests/stall.rs
+++ b/crates/policy/tests/stall.rs
@@ -82,11 +82,11 @@
     fn tick(&mut self) {
         let now = self.now;
         let mut ends = Vec::new();
-        for ((_, at), (answered, messages)) in &mut self.calls {
-            if *answered && now >= at + CALL_TIME {
+        for ((_, sent), (is_answered, messages)) in &mut self.calls {
+            if *is_answered && now >= sent + CALL_TIME {
                 ends.extend(messages.drain(..).map(|m| (m.0, m.1, Outcome::Served)));
             }
-            let timed_out = messages.extract_if(.., |m| now >= at + m.2);
+            let timed_out = messages.extract_if(.., |m| now >= sent + m.2);
             ends.extend(timed_out.map(|m| (m.0, m.1, Outcome::TimedOut)));
         }
         self.calls.retain(|_, c| !c.1.is_empty());
@@ -98,13 +98,14 @@
         for action in actions {
             match action {
                 Action::Send { id, endpoint, timeout, .. } => {
-                    let n = self.attempts.entry(id).or_default();
-                    let attempt = std::mem::replace(n, *n + 1);
+                    let count = self.attempts.entry(id).or_default();
+                    let attempt = std::mem::replace(count, *count + 1);
                     if !self.calls.contains_key(&(endpoint, now)) {
                         self.call_count += 1;
                     }
-                    let answered = self.lost_one_of == 0 || !self.call_count.is_multiple_of(self.lost_one_of);
-                    let call = self.calls.entry((endpoint, now)).or_insert((answered, Vec::new()));
+                    let is_answered =
+                        self.lost_one_of == 0 || !self.call_count.is_multiple_of(self.lost_one_of);
+                    let call = self.calls.entry((endpoint, now)).or_insert((is_answered, Vec::new()));
                     call.1.push((id, attempt, timeout));
                 }
                 Action::Cancel { id, attempt } => {
@@ -170,10 +171,10 @@
             world.calls.iter().map(|(k, c)| (*k, c.1.iter().filter(|m| world.now < k.1 + m.2).count())),
         );
         world.tick();
-        for (key, n) in &before {
-            let now = world.calls.get(key).map_or(0, |c| c.1.len());
-            assert!(now == 0 || now >= *n, "of {n} messages in a call {now} are left");
-            cancelled += usize::from(*n > 1 && now == 0);
+        for (key, count) in &before {
+            let left = world.calls.get(key).map_or(0, |c| c.1.len());
+            assert!(left == 0 || left >= *count, "of {count} messages in a call {left} are left");
+            cancelled += usize::from(*count > 1 && left == 0);
         }
     }
     assert!(cancelled > 0, "no call of several messages ended");
