--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -58,7 +58,7 @@
 const MIN_OVERDUE: Micros = 500 * MS;
 /// A call is late, and may be cancelled for its slot, after the latency bound and this time at least.
 const MIN_LATE: Micros = 250 * MS;
-/// The time-out factor of repeatable messages; calls are overdue earlier, so that the breaker reacts first.
+/// Repeatable messages time out after this many latency bounds; an overdue call can open the breaker before.
 const TIMEOUT_FACTOR: f64 = 3.0;
 /// The backoff of a failed endpoint, which doubles; for a class it starts after this many errors.
 const ENDPOINT_BACKOFF: Micros = SEC;
@@ -78,7 +78,7 @@
 const WORTH_WEIGHT: f64 = 0.2;
 /// An unanswered call is no sign of its destination's health if its connection had been idle for this long.
 const DOUBTFUL_IDLE: Micros = 500 * MS;
-/// A connection that is reset after less idle time was closed at that instant; that time is not learned.
+/// A connection that is reset after less idle time was just being closed; its idle time shows no limit.
 const MIN_LEARNED_IDLE: Micros = 20 * MS;
 /// Connections are used up to this share of the idle time after which one was found closed.
 const TRUSTED_IDLE_SHARE: f64 = 0.75;
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -162,7 +162,7 @@
         let Some(endpoint) = self.endpoints.get_mut(&call.endpoint) else { return };
         let was_probe = matches!(route.breaker, Breaker::Open { probe: Some(probe), .. } if probe == number);
         let was_open = matches!(route.breaker, Breaker::Open { .. });
-        // At the floor the window is not cut and the cooldown does not restart.
+        // A window at its minimum is not cut, and the cooldown does not restart.
         if call.has_cut && route.window > MIN_WINDOW {
             (route.window, route.last_cut, route.cut_by) =
                 ((route.window * WINDOW_CUT).max(MIN_WINDOW), Some(now), Some(outcome));
