--- a/crates/policy/src/choice.rs
+++ b/crates/policy/src/choice.rs
@@ -69,7 +69,7 @@
 const MIN_RATE: f64 = 1.0;
 /// The interval at which held messages that wait for credit are checked.
 const CREDIT_CHECK: Micros = 100 * MS;
-/// Load shedding keeps this share of the room for messages free, so that the sender selects what to shed.
+/// Load shedding keeps this share of `max_held` free, so that the sender selects what to shed.
 const FREE_SHARE: f64 = 0.05;
 /// The assumed remaining time of an outage, and the assumed duration of a call.
 const OUTAGE_TIME: Micros = 6 * SEC;
--- a/crates/policy/src/choice/outcome.rs
+++ b/crates/policy/src/choice/outcome.rs
@@ -169,7 +169,7 @@
         }
         let was_paused = now < route.paused_until;
         let mut wait_report = None;
-        // Every message of a bundle may carry a wait, even after one of them timed out.
+        // Any message of a bundle may carry a wait, also after the outcome of its call has been evaluated.
         if let Full { wait: Some(wait) } = outcome {
             let end = now + wait.min(MAX_TIME);
             route.paused_until = route.paused_until.max(end + backoff / 4);
@@ -189,7 +189,7 @@
             Served => {
                 endpoint.backoffs.retain(|c, _| c.is_some_and(|c| c != class));
                 // If the connection was presumed dropped (`idle` is `MAX_TIME`), that was wrong: the message
-                // was slow.
+                // was slow. The limit on idle times that this set is withdrawn.
                 self.trusted_idle.1 *= Micros::from(call.idle < MAX_TIME);
                 let is_low = allowance.is_some_and(|a| a.left < LOW_ALLOWANCE && a.limit > 0.0);
                 route.record_served(
@@ -221,8 +221,8 @@
                 if !call.lost {
                     endpoint.record_failure(None, now, if is_sole { u32::MAX } else { 1 });
                 }
-                // If a call sent later was served, the call was slow or its endpoint failed; the route did
-                // not.
+                // If a call sent later was served, this call was slow or its endpoint failed, but not the
+                // route.
                 let is_failure = route.last_served <= sent;
                 route.failures += u32::from(is_failure);
                 route.last_failure = now;
