--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -25,7 +25,7 @@
 const LIST_PROPAGATION_TIME: Micros = 6 * SEC;
 /// Time after a requested wait or a drain in which calls that were already in flight are permitted.
 const IN_FLIGHT_GRACE: Micros = 100 * MS;
-/// Time within which an answer and the end of its message may cross without being a breach.
+/// Time within which an answer and the end of its message may cross without a violation.
 const ANSWER_CROSSING_TIME: Micros = 50 * MS;
 /// Time within which a malformed request must receive an error or a close.
 const BAD_CLIENT_TIMEOUT: Micros = 3 * SEC;
@@ -74,10 +74,10 @@
     Rule::Protocol,
 ];
 
-/// A breach of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
-pub struct Breach {
-    /// Time of the breach in microseconds.
+pub struct Violation {
+    /// Time of the violation in microseconds.
     pub at: Micros,
     /// The rule.
     pub rule: Rule,
@@ -87,28 +87,28 @@
     pub what: String,
 }
 
-impl fmt::Display for Breach {
+impl fmt::Display for Violation {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let message = self.message.as_ref().map(|m| format!(" message {m}")).unwrap_or_default();
         write!(f, "{:>9.3} s  {:?}{message}: {}", self.at as f64 / 1e6, self.rule, self.what)
     }
 }
 
-/// Returns all breaches in the order of time.
-pub fn check(result: &RunResult) -> Vec<Breach> {
-    let mut checker = Checker { result, breaches: Vec::new() };
+/// Returns all violations in the order of time.
+pub fn check(result: &RunResult) -> Vec<Violation> {
+    let mut checker = Checker { result, violations: Vec::new() };
     checker.check_messages();
     checker.check_effects();
     checker.check_drains();
     checker.check_calls();
     checker.check_processes();
-    checker.breaches.sort();
-    checker.breaches
+    checker.violations.sort();
+    checker.violations
 }
 
 struct Checker<'a> {
     result: &'a RunResult,
-    breaches: Vec<Breach>,
+    violations: Vec<Violation>,
 }
 
 fn seconds(t: Micros) -> String {
@@ -118,7 +118,7 @@
 impl Checker<'_> {
     fn report(&mut self, at: Micros, rule: Rule, message: Option<u64>, details: String) {
         let message = message.map(|id| format!("{id:016x}"));
-        self.breaches.push(Breach { at, rule, message, what: details });
+        self.violations.push(Violation { at, rule, message, what: details });
     }
 
     fn check_messages(&mut self) {
@@ -472,7 +472,7 @@
         for call in calls {
             let from = waits.partition_point(|t| t.0 + longest < call.received_at);
             let lifetime = self.lifetime_at(call.sender, call.received_at);
-            let broken = waits[from..]
+            let ignored_wait = waits[from..]
                 .iter()
                 .take_while(|t| t.0 + IN_FLIGHT_GRACE + SOCKET_TOLERANCE < call.received_at)
                 .find(|t| {
@@ -481,7 +481,7 @@
                         && t.4 == lifetime
                         && (!per_endpoint || t.3 == call.endpoint)
                 });
-            if let Some(t) = broken {
+            if let Some(t) = ignored_wait {
                 let details = format!(
                     "partner: told sender {} at {} to wait until {}, but received a call at {}",
                     call.sender,
--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -25,15 +25,16 @@
     pub kept: [f64; 2],
     /// Standard deviation over the seeds, by side.
     pub spread: [f64; 2],
-    /// Number of seeds in which a rule was broken, by side.
-    pub broken: [u64; 2],
+    /// Number of seeds in which a rule was violated, by side.
+    #[serde(rename = "broken")]
+    pub violating_seeds: [u64; 2],
     /// Mean over the seeds of the second side minus the first.
     pub difference: f64,
     /// Standard error of that mean. A difference below twice this error may be chance.
     pub error: f64,
 }
 
-/// By seed and side: share of worth kept, and whether a rule was broken.
+/// By seed and side: share of worth kept, and whether a rule was violated.
 type SeedResults = BTreeMap<(u64, usize), (f64, bool)>;
 
 /// Runs the seeds `from..from + count` on both sides.
@@ -71,7 +72,7 @@
         seeds: differences.len() as u64,
         kept: [mean(&kept[0]), mean(&kept[1])],
         spread: [standard_deviation(&kept[0]), standard_deviation(&kept[1])],
-        broken: [side(0).filter(|v| v.1).count() as u64, side(1).filter(|v| v.1).count() as u64],
+        violating_seeds: [side(0).filter(|v| v.1).count() as u64, side(1).filter(|v| v.1).count() as u64],
         difference: mean(&differences),
         error: standard_deviation(&differences) / (differences.len().max(1) as f64).sqrt(),
     })
@@ -88,7 +89,7 @@
         .sqrt()
 }
 
-/// Runs one seed. Returns the share of worth kept and whether a rule was broken.
+/// Runs one seed. Returns the share of worth kept and whether a rule was violated.
 fn run_seed(program: &Path, file: &Path, seed: u64) -> Result<(f64, bool), String> {
     let name = program.display();
     let run =
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -33,16 +33,16 @@
         "s", "partner", "asked", "held", "delivered", "calls", "refused"
     );
     let result = run_live(&scenario, scenario.seed, hosts, true, print_progress)?;
-    let breaches = check(&result);
-    let score = score::score(&result, breaches.len());
+    let violations = check(&result);
+    let score = score::score(&result, violations.len());
     let page = folder.join("report.html");
-    let text = report::html(&result, &score, &breaches, None)?;
+    let text = report::html(&result, &score, &violations, None)?;
     std::fs::write(&page, text).map_err(|e| format!("{}: {e}", page.display()))?;
-    println!("\n{}", report::text(&result, &score, &breaches));
+    println!("\n{}", report::text(&result, &score, &violations));
     println!("report with plots:            {}", page.display());
     println!("the sender's configuration:   {}", folder.join("n0/config.json").display());
     println!("its log and its state folder: {}", folder.join("n0").display());
-    Ok(breaches.is_empty())
+    Ok(violations.is_empty())
 }
 
 /// Prints the counts of each partner every two seconds.
--- a/crates/rehearsal/src/fidelity.rs
+++ b/crates/rehearsal/src/fidelity.rs
@@ -21,8 +21,8 @@
 pub struct WorldResult {
     /// Score and counts.
     pub score: Score,
-    /// Rules that were broken.
-    pub broken: BTreeSet<Rule>,
+    /// Rules that were violated.
+    pub violated: BTreeSet<Rule>,
 }
 
 /// The results in both environments.
@@ -38,7 +38,7 @@
     /// Returns whether the same rules were kept and the shares of worth kept differ by at most `within`.
     pub fn agrees(&self, within: f64) -> bool {
         let difference = (self.virt.score.kept - self.live.score.kept).abs();
-        self.virt.broken == self.live.broken && difference <= within
+        self.virt.violated == self.live.violated && difference <= within
     }
 }
 
@@ -46,10 +46,10 @@
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         for (name, result) in [("virtual", &self.virt), ("loopback", &self.live)] {
             let counts = &result.score.counts;
-            let rules = if result.broken.is_empty() {
+            let rules = if result.violated.is_empty() {
                 "all kept".into()
             } else {
-                format!("BROKEN: {:?}", result.broken)
+                format!("BROKEN: {:?}", result.violated)
             };
             writeln!(
                 f,
@@ -63,10 +63,10 @@
 }
 
 fn evaluate(result: &RunResult) -> WorldResult {
-    let breaches = check(result);
+    let violations = check(result);
     WorldResult {
-        score: score(result, breaches.len()),
-        broken: breaches.into_iter().map(|b| b.rule).collect(),
+        score: score(result, violations.len()),
+        violated: violations.into_iter().map(|violation| violation.rule).collect(),
     }
 }
 
--- a/crates/rehearsal/src/hunt.rs
+++ b/crates/rehearsal/src/hunt.rs
@@ -1,7 +1,7 @@
-//! Searches for breaches: runs a scenario with random faults for many seeds, and reduces the first breach to
-//! a minimal set of events that still causes it.
+//! Searches for violations of the rules: runs a scenario with random faults for many seeds, and reduces the
+//! faults of the first seed with a violation to a minimal set that still causes it.
 
-use crate::checker::{Breach, Rule, check};
+use crate::checker::{Rule, Violation, check};
 use crate::client::mix;
 use crate::hosts::Options;
 use crate::run::run;
@@ -58,10 +58,10 @@
     pub seeds: u64,
     /// Mean share of worth kept.
     pub kept: f64,
-    /// Number of seeds in which each rule was broken.
+    /// Number of seeds in which each rule was violated.
     pub rules: BTreeMap<Rule, u64>,
-    /// The first breach of each seed with breaches.
-    pub breaches: BTreeMap<u64, Breach>,
+    /// The first violation of each seed with violations.
+    pub violations: BTreeMap<u64, Violation>,
     /// Seeds that could not be run, with the reason.
     pub failed: BTreeMap<u64, String>,
 }
@@ -159,12 +159,12 @@
     format!("\n[[event]]\nat_s = {at:?}\ndo = {what:?}\n{rest}")
 }
 
-/// Runs one seed with the given faults. Returns the share of worth kept and the breaches.
-fn run_seed(base: &BaseScenario, faults: &[String], seed: u64) -> Result<(f64, Vec<Breach>), String> {
+/// Runs one seed with the given faults. Returns the share of worth kept and the violations.
+fn run_seed(base: &BaseScenario, faults: &[String], seed: u64) -> Result<(f64, Vec<Violation>), String> {
     let scenario = base.parse(faults).map_err(|e| e.to_string())?;
     let result = run(&scenario, seed, &Options::default())?;
-    let breaches = check(&result);
-    Ok((score::score(&result, breaches.len()).kept, breaches))
+    let violations = check(&result);
+    Ok((score::score(&result, violations.len()).kept, violations))
 }
 
 /// Runs the seeds `from..from + count` on `jobs` threads; the result does not depend on their number. Calls
@@ -177,7 +177,7 @@
     from: u64,
     count: u64,
     jobs: usize,
-    on_seed: impl Fn(u64, Option<&Breach>) + Sync,
+    on_seed: impl Fn(u64, Option<&Violation>) + Sync,
 ) -> Result<HuntResult, ScenarioError> {
     base.parse(&[])?;
     let next = AtomicU64::new(from);
@@ -196,14 +196,14 @@
                     let (found, kept) = &mut *found;
                     found.seeds += 1;
                     match done {
-                        Ok((worth, breaches)) => {
+                        Ok((worth, violations)) => {
                             kept.insert(seed, worth);
                             let rules: std::collections::BTreeSet<Rule> =
-                                breaches.iter().map(|b| b.rule).collect();
+                                violations.iter().map(|violation| violation.rule).collect();
                             rules.into_iter().for_each(|r| *found.rules.entry(r).or_default() += 1);
-                            on_seed(seed, breaches.first());
-                            if let Some(first) = breaches.into_iter().next() {
-                                found.breaches.insert(seed, first);
+                            on_seed(seed, violations.first());
+                            if let Some(first) = violations.into_iter().next() {
+                                found.violations.insert(seed, first);
                             }
                         }
                         Err(why) => {
@@ -221,22 +221,22 @@
     Ok(found)
 }
 
-/// Reduces a seed's faults to a minimal set under which the same rule is broken. Returns the scenario text
-/// and its breach.
+/// Reduces a seed's faults to a minimal set under which the same rule is violated. Returns the scenario text
+/// and its violation.
 ///
 /// # Errors
-/// Fails if the seed breaks no rule or cannot be run.
-pub fn shrink(base: &BaseScenario, seed: u64) -> Result<(String, Breach), String> {
+/// Fails if the seed violates no rule or cannot be run.
+pub fn shrink(base: &BaseScenario, seed: u64) -> Result<(String, Violation), String> {
     let scenario = base.parse(&[]).map_err(|e| e.to_string())?;
     let mut remaining = random_faults(&scenario, seed);
-    let breaches = run_seed(base, &remaining, seed)?.1;
-    let mut first = breaches.into_iter().next().ok_or("this seed breaks no rule")?;
+    let violations = run_seed(base, &remaining, seed)?.1;
+    let mut first = violations.into_iter().next().ok_or("this seed breaks no rule")?;
     let mut at = 0;
     while at < remaining.len() {
         let mut fewer = remaining.clone();
         fewer.remove(at);
-        match run_seed(base, &fewer, seed)?.1.into_iter().find(|b| b.rule == first.rule) {
-            Some(b) => (remaining, first) = (fewer, b),
+        match run_seed(base, &fewer, seed)?.1.into_iter().find(|violation| violation.rule == first.rule) {
+            Some(violation) => (remaining, first) = (fewer, violation),
             None => at += 1,
         }
     }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -78,8 +78,8 @@
     },
     /// Run a scenario with random faults for many seeds and look for broken rules
     ///
-    /// The first breach is reduced to a minimal set of faults and written as a scenario. Exit status: 0
-    /// nothing was found; 1 a rule was broken; 2 the scenario could not be run.
+    /// The faults of the first seed that breaks a rule are reduced to a minimal set and written as a
+    /// scenario. Exit status: 0 nothing was found; 1 a rule was broken; 2 the scenario could not be run.
     Hunt {
         /// The scenario, a TOML file
         file: PathBuf,
@@ -252,12 +252,12 @@
             run_live(&scenario, seed, hosts, false, |_| {})?
         }
     };
-    let breaches = checker::check(&result);
-    let score = score::score(&result, breaches.len());
+    let violations = checker::check(&result);
+    let score = score::score(&result, violations.len());
     if format.json {
-        println!("{:#}", report::json(&result, &score, &breaches));
+        println!("{:#}", report::json(&result, &score, &violations));
     } else {
-        print!("{}", report::text(&result, &score, &breaches));
+        print!("{}", report::text(&result, &score, &violations));
         if format.table {
             print!("{}", report::table(&report::rows(&result, report::ROW_SECONDS)));
         }
@@ -271,9 +271,9 @@
         let beliefs = recorded.map(|folder| windows::read(&folder, &scenario, seconds, lead));
         // The recordings are large, so they are removed even if they could not be read.
         let _ = std::fs::remove_dir_all(&temporary_folder);
-        write(path, &report::html(&result, &score, &breaches, beliefs.transpose()?.as_deref())?)?;
+        write(path, &report::html(&result, &score, &violations, beliefs.transpose()?.as_deref())?)?;
     }
-    Ok(ExitCode::from(u8::from(!breaches.is_empty())))
+    Ok(ExitCode::from(u8::from(!violations.is_empty())))
 }
 
 fn read_id(text: &str) -> Result<u64, String> {
@@ -305,7 +305,10 @@
     for (side, name) in ["A", "B"].iter().enumerate() {
         println!(
             "{name}: worth kept {:.4} on average, spread {:.4}; rules broken on {} of {} seeds",
-            comparison.kept[side], comparison.spread[side], comparison.broken[side], comparison.seeds
+            comparison.kept[side],
+            comparison.spread[side],
+            comparison.violating_seeds[side],
+            comparison.seeds
         );
     }
     let chance = if comparison.difference.abs() < 2.0 * comparison.error {
@@ -368,10 +371,10 @@
     let base = BaseScenario::read(file).map_err(|e| e.to_string())?;
     let jobs = thread_count(jobs);
     let done = std::sync::atomic::AtomicU64::new(0);
-    let found = hunt(&base, from, seeds, jobs, |seed, breach| {
+    let found = hunt(&base, from, seeds, jobs, |seed, violation| {
         let n = done.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
-        if let Some(b) = breach {
-            eprintln!("seed {seed}: {b}");
+        if let Some(violation) = violation {
+            eprintln!("seed {seed}: {violation}");
         }
         if n.is_multiple_of(100) || n == seeds {
             let _ = writeln!(std::io::stderr(), "{n} of {seeds} seeds");
@@ -385,13 +388,13 @@
     for (seed, why) in &found.failed {
         println!("  seed {seed} could not be run: {why}");
     }
-    let Some((seed, _)) = found.breaches.first_key_value() else {
+    let Some((seed, _)) = found.violations.first_key_value() else {
         println!("  no rule was broken");
         return Ok(ExitCode::from(if found.failed.is_empty() { 0 } else { 2 }));
     };
-    let (text, breach) = shrink(&base, *seed)?;
+    let (text, violation) = shrink(&base, *seed)?;
     write(out, &text)?;
-    println!("seed {seed}, reduced to {}: {breach}", out.display());
+    println!("seed {seed}, reduced to {}: {violation}", out.display());
     Ok(ExitCode::from(1))
 }
 
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,6 +1,6 @@
 //! Formats the result of a run as text, as JSON, and as a self-contained HTML page.
 
-use crate::checker::{Breach, RULES};
+use crate::checker::{RULES, Violation};
 use crate::run::RunResult;
 use crate::score::Score;
 use crate::windows;
@@ -8,15 +8,15 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// Maximum number of breaches that are printed; the others are only counted.
-const MAX_SHOWN_BREACHES: usize = 20;
+/// Maximum number of violations that are printed; the others are only counted.
+const MAX_SHOWN_VIOLATIONS: usize = 20;
 /// Seconds covered by one row of the table by time.
 pub const ROW_SECONDS: usize = 5;
 /// Load samples of partners per second.
 const SAMPLES_PER_SECOND: usize = 4;
 
 /// Formats a result for a terminal.
-pub fn text(result: &RunResult, score: &Score, breaches: &[Breach]) -> String {
+pub fn text(result: &RunResult, score: &Score, violations: &[Violation]) -> String {
     let mut out = String::new();
     let counts = &score.counts;
     let how = if result.live { "on loopback sockets" } else { "in virtual time" };
@@ -45,15 +45,15 @@
         let all: Vec<String> = shares.iter().map(|(name, x)| format!("{name} {x:.3}")).collect();
         let _ = writeln!(out, "  by {what}: {}", all.join("  "));
     }
-    if breaches.is_empty() {
+    if violations.is_empty() {
         let _ = writeln!(out, "  rules: all {} kept", RULES.len());
     } else {
-        let _ = writeln!(out, "  rules: BROKEN {} times (seed {})", breaches.len(), result.seed);
-        for breach in breaches.iter().take(MAX_SHOWN_BREACHES) {
-            let _ = writeln!(out, "    {breach}");
+        let _ = writeln!(out, "  rules: BROKEN {} times (seed {})", violations.len(), result.seed);
+        for violation in violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+            let _ = writeln!(out, "    {violation}");
         }
-        if breaches.len() > MAX_SHOWN_BREACHES {
-            let _ = writeln!(out, "    and {} more", breaches.len() - MAX_SHOWN_BREACHES);
+        if violations.len() > MAX_SHOWN_VIOLATIONS {
+            let _ = writeln!(out, "    and {} more", violations.len() - MAX_SHOWN_VIOLATIONS);
         }
     }
     out
@@ -166,18 +166,18 @@
 }
 
 /// Formats a result as JSON.
-pub fn json(result: &RunResult, score: &Score, breaches: &[Breach]) -> serde_json::Value {
+pub fn json(result: &RunResult, score: &Score, violations: &[Violation]) -> serde_json::Value {
     let rules: serde_json::Map<_, _> = RULES
         .iter()
         .map(|r| {
             (
                 json!(r).as_str().unwrap_or_default().to_owned(),
-                json!(breaches.iter().filter(|b| b.rule == *r).count()),
+                json!(violations.iter().filter(|violation| violation.rule == *r).count()),
             )
         })
         .collect();
     json!({"scenario": result.scenario.name, "seed": result.seed, "live": result.live, "score": score,
-        "rules": rules, "breaches": breaches, "windows": rows(result, ROW_SECONDS)})
+        "rules": rules, "breaches": violations, "windows": rows(result, ROW_SECONDS)})
 }
 
 /// The plotted values of a partner: calls, refusals and load in each second.
@@ -275,7 +275,7 @@
 pub fn html(
     result: &RunResult,
     score: &Score,
-    breaches: &[Breach],
+    violations: &[Violation],
     beliefs: Option<&[windows::BeliefSeries]>,
 ) -> Result<String, String> {
     let mut page = String::from(
@@ -289,7 +289,7 @@
         escape(&result.scenario.name),
         escape(&result.scenario.about)
     );
-    let (class, verdict) = match breaches.len() {
+    let (class, verdict) = match violations.len() {
         0 => ("kept", "all rules kept".to_owned()),
         n => ("broken", format!("rules broken {n} times")),
     };
@@ -298,7 +298,7 @@
         "<p class=\"{class}\"><b>score {:.4}</b>, {verdict}, seed {}</p>",
         score.score, result.seed
     );
-    let _ = writeln!(page, "<pre>{}</pre>", escape(&text(result, score, breaches)));
+    let _ = writeln!(page, "<pre>{}</pre>", escape(&text(result, score, violations)));
     let asked: Vec<f64> = score.seconds.iter().map(|x| x.0).collect();
     let got: Vec<f64> = score.seconds.iter().map(|x| x.1).collect();
     page += &plot(
--- a/crates/rehearsal/src/score.rs
+++ b/crates/rehearsal/src/score.rs
@@ -13,9 +13,9 @@
 /// The score of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Score {
-    /// Worth delivered relative to worth requested; 0 if a rule was broken.
+    /// Worth delivered relative to worth requested; 0 if a rule was violated.
     pub score: f64,
-    /// The same ratio regardless of broken rules.
+    /// The same ratio regardless of violations.
     pub kept: f64,
     /// The ratio by class.
     pub classes: BTreeMap<String, f64>,
@@ -71,8 +71,8 @@
     class_spec.worth * share.max(class_spec.late_share)
 }
 
-/// Scores a run with the given number of breaches.
-pub fn score(result: &RunResult, breaches: usize) -> Score {
+/// Scores a run with the given number of violations.
+pub fn score(result: &RunResult, violations: usize) -> Score {
     let scenario = &result.scenario;
     let seconds = (scenario.duration_s.ceil() as usize).max(1);
     let mut by_second = vec![(0.0, 0.0); seconds];
@@ -111,7 +111,7 @@
     let shares =
         |message: BTreeMap<String, (f64, f64)>| message.into_iter().map(|(k, v)| (k, share(v))).collect();
     Score {
-        score: if breaches == 0 { kept } else { 0.0 },
+        score: if violations == 0 { kept } else { 0.0 },
         kept,
         classes: shares(classes),
         tenants: shares(tenants),
--- a/crates/rehearsal/src/virt/disk.rs
+++ b/crates/rehearsal/src/virt/disk.rs
@@ -13,7 +13,7 @@
 /// The files of a folder and its faults.
 pub struct Store {
     files: RefCell<BTreeMap<String, Rc<RefCell<Vec<u8>>>>>,
-    /// Size limit in bytes. Exceeding it is a breach of the rules.
+    /// Size limit in bytes. Exceeding it violates a rule.
     pub limit: u64,
     /// Whether the folder is full. A write is then torn: only its first half is stored.
     pub is_full: Cell<bool>,
--- a/crates/rehearsal/tests/world/fidelity.rs
+++ b/crates/rehearsal/tests/world/fidelity.rs
@@ -66,7 +66,7 @@
     let command = vec![PathBuf::from(env!("CARGO_BIN_EXE_notchpoint-rehearse")), "sender".into()];
     let scenario = std::rc::Rc::unwrap_or_clone(parse(SCENARIO));
     let both = fidelity(scenario, 1, command, folder.path()).expect("the scenario runs");
-    assert!(both.virt.broken.is_empty() && both.live.broken.is_empty(), "{both}");
+    assert!(both.virt.violated.is_empty() && both.live.violated.is_empty(), "{both}");
     // Only messages that were in flight or unanswered when a process was killed may differ because of
     // timing.
     let orders = both.virt.score.counts.orders;
--- a/crates/rehearsal/tests/world/hard.rs
+++ b/crates/rehearsal/tests/world/hard.rs
@@ -21,9 +21,9 @@
     // service ends.
     let of = |ms: u32| {
         let is = format!("service = {{ default = {{ mean_ms = {ms}.0, cv = 0.0 }} }}");
-        let (o, score, breaches) =
+        let (o, score, violations) =
             run_text(&small_scenario("at_most_once", 2.0, &is, ""), 1, &Options::default());
-        assert!(breaches.is_empty(), "{ms} ms: {}", breaches[0]);
+        assert!(violations.is_empty(), "{ms} ms: {}", violations[0]);
         (score.counts.delivered, score.counts.notices, o.ledgers[0].effects.len())
     };
     assert_eq!(of(1_800), (2, 0, 2));
@@ -42,9 +42,9 @@
 fn unsafe_call_that_runs_after_its_caller_gave_up_is_not_repeated() {
     let events = "[[event]]\nat_s = 0.5\ndo = \"silent\"\npartner = \"bank\"\nfor_s = 7.0\n";
     let is = "service = { default = { mean_ms = 10.0, cv = 0.0 } }";
-    let (o, score, breaches) =
+    let (o, score, violations) =
         run_text(&small_scenario("at_most_once", 4.0, is, events), 3, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    assert!(violations.is_empty(), "{}", violations[0]);
     let late = o.ledgers[0].effects.iter().filter(|e| e.abandoned).count();
     assert!(late >= 1, "no call ran after its caller had closed");
     let mut ran: Vec<u64> = o.ledgers[0].effects.iter().map(|e| e.message).collect();
@@ -60,8 +60,8 @@
     // not delivered could run twice.
     let day = DAY.replace("memory_s = 60.0", "memory_s = 2.0");
     for seed in 1..=4 {
-        let (_, _, breaches) = run_text(&day, seed, &Options::default());
-        assert!(breaches.is_empty(), "seed {seed}: {}", breaches[0]);
+        let (_, _, violations) = run_text(&day, seed, &Options::default());
+        assert!(violations.is_empty(), "seed {seed}: {}", violations[0]);
     }
 }
 
@@ -70,8 +70,8 @@
     let is = "rate_per_s = 1.0, burst = 1.0, hint = false, service = { default = { mean_ms = 5.0 } }";
     let mut text = small_scenario("idempotent", 4.0, is, "");
     text = text.replace("count = 2\n", "rate_per_s = 30.0\n");
-    let (o, score, breaches) = run_text(&text, 1, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    let (o, score, violations) = run_text(&text, 1, &Options::default());
+    assert!(violations.is_empty(), "{}", violations[0]);
     let calls = &o.ledgers[0].calls;
     assert!(score.counts.refused > 0 && calls.iter().all(|c| c.retry_after.is_none()));
     assert!(calls.len() < 180 * 2, "{} calls for 180 messages, of which ten can pass", calls.len());
@@ -80,8 +80,8 @@
 #[test]
 fn full_folder_refuses_new_messages_and_loses_none() {
     let day = format!("{DAY}[[event]]\nat_s = 8.0\ndo = \"disk_full\"\nsender = 1\nfor_s = 3.0\n");
-    let (o, _, breaches) = run_text(&day, 5, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    let (o, _, violations) = run_text(&day, 5, &Options::default());
+    assert!(violations.is_empty(), "{}", violations[0]);
     let messages = o.observations.messages.borrow();
     let within = |m: &&notchpoint_rehearsal::observations::Message| {
         m.sender == 1 && (8_100_000..10_900_000).contains(&m.submitted_at)
@@ -93,8 +93,8 @@
 #[test]
 fn bad_clients_get_an_error_or_a_close_and_good_clients_their_answers() {
     let day = format!("{DAY}[[bad_client]]\nrate_per_s = 10.0\n");
-    let (o, score, breaches) = run_text(&day, 2, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    let (o, score, violations) = run_text(&day, 2, &Options::default());
+    assert!(violations.is_empty(), "{}", violations[0]);
     assert!(o.observations.bad_requests.borrow().len() >= 190 && score.kept > 0.6, "{score:?}");
 }
 
@@ -105,16 +105,19 @@
         .replace("fall_multiple = 1.5", "fall_multiple = 1.0")
         .replace("start_share = 0.1", "start_share = 0.01");
     let found = (1..6).any(|seed| {
-        let (o, _, breaches) = run_text(&day, seed, &Options::default());
+        let (o, _, violations) = run_text(&day, seed, &Options::default());
         let overload_failures: usize = o.ledgers.iter().map(|l| l.overload_failures.len()).sum();
-        assert_eq!(overload_failures, breaches.iter().filter(|b| b.rule == Rule::ReturningNotPushed).count());
+        assert_eq!(
+            overload_failures,
+            violations.iter().filter(|violation| violation.rule == Rule::ReturningNotPushed).count()
+        );
         overload_failures > 0
     });
     println!("failed from overload: {found}");
 }
 
 #[test]
-fn breaches_found_by_hunts_stay_fixed() {
+fn violations_found_by_hunts_stay_fixed() {
     // Regression test: messages that arrived during a quiet period received their notice up to two seconds
     // late, because a wake-up was lost between two clocks.
     let mut calm = crate::shipped("calm.toml");
@@ -122,8 +125,8 @@
         calm,
         "\n[[event]]\nat_s = 56.813\ndo = \"die\"\npartner = \"merchant\"\ndestination = 0\nfor_s = 10.209\n"
     );
-    let (_, _, breaches) = run_text(&calm, 41, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    let (_, _, violations) = run_text(&calm, 41, &Options::default());
+    assert!(violations.is_empty(), "{}", violations[0]);
 }
 
 #[test]
@@ -131,6 +134,6 @@
     // Regression test: a connection started during the cut is never established. When the sender waited for
     // it as long as for a silent watch, it received the list only after the list change counted as received
     // (hunt of copies-calm, seed 1768).
-    let (_, _, breaches) = run_text(&shipped("moved-in-a-cut.toml"), 1_768, &Options::default());
-    assert!(breaches.is_empty(), "{}", breaches[0]);
+    let (_, _, violations) = run_text(&shipped("moved-in-a-cut.toml"), 1_768, &Options::default());
+    assert!(violations.is_empty(), "{}", violations[0]);
 }
--- a/crates/rehearsal/tests/world/limits.rs
+++ b/crates/rehearsal/tests/world/limits.rs
@@ -46,8 +46,8 @@
     // Regression test: the share of worth kept was 0.50, because nine tenths of the waiting time was for
     // endpoints that were both paused for eight seconds.
     let kept = (1..=6).map(|seed| {
-        let (_, score, breaches) = run_text(SILENT, seed, &Options::default());
-        assert!(breaches.is_empty(), "seed {seed}: {}", breaches[0]);
+        let (_, score, violations) = run_text(SILENT, seed, &Options::default());
+        assert!(violations.is_empty(), "seed {seed}: {}", violations[0]);
         score.kept
     });
     let kept = kept.sum::<f64>() / 6.0;
--- a/crates/rehearsal/tests/world/main.rs
+++ b/crates/rehearsal/tests/world/main.rs
@@ -10,7 +10,7 @@
 mod shown;
 mod zones;
 
-use notchpoint_rehearsal::checker::{Breach, check};
+use notchpoint_rehearsal::checker::{Violation, check};
 use notchpoint_rehearsal::score::{Score, score};
 use notchpoint_rehearsal::{Options, RunResult, Scenario, run, scenario};
 use std::path::{Path, PathBuf};
@@ -26,12 +26,12 @@
     Rc::new(scenario::parse(text, "test.toml", PathBuf::new()).unwrap_or_else(|e| panic!("{e}")))
 }
 
-/// Runs a scenario. Returns the result, its score and its breaches.
-pub fn run_text(text: &str, seed: u64, options: &Options) -> (RunResult, Score, Vec<Breach>) {
+/// Runs a scenario. Returns the result, its score and its violations.
+pub fn run_text(text: &str, seed: u64, options: &Options) -> (RunResult, Score, Vec<Violation>) {
     let result = run(&parse(text), seed, options).expect("the scenario runs");
-    let breaches = check(&result);
-    let score = score(&result, breaches.len());
-    (result, score, breaches)
+    let violations = check(&result);
+    let score = score(&result, violations.len());
+    (result, score, violations)
 }
 
 /// A run of twenty seconds with every kind of class, partner and fault.
--- a/crates/rehearsal/tests/world/mutants.rs
+++ b/crates/rehearsal/tests/world/mutants.rs
@@ -1,5 +1,5 @@
-//! Tests the checker with daemons whose safeguards are disabled one at a time: each must break the rule that
-//! the safeguard enforces.
+//! Tests the checker with daemons whose safeguards are disabled one at a time: each must violate the rule
+//! that the safeguard enforces.
 
 use crate::faulty_environment::{StreamFault, config, drop_records, empty_folder_on_restart, sockets};
 use crate::{DAY, run_text};
@@ -14,7 +14,7 @@
 const ENDPOINTS: &str = "10.1.";
 const PLATFORM: &str = "10.2.";
 
-/// Returns the first seed in which the mutant breaks the rule and the unmodified daemon does not.
+/// Returns the first seed in which the mutant violates the rule and the unmodified daemon does not.
 fn assert_caught(name: &str, environment_wrapper: EnvironmentWrapper, rule: Rule) -> u64 {
     assert_caught_on(DAY, name, environment_wrapper, rule)
 }
@@ -23,14 +23,15 @@
     let options = Options { environment_wrapper: Some(environment_wrapper), ..Options::default() };
     let mut others = Vec::new();
     for seed in 1..=MAX_SEEDS {
-        let (_, _, breaches) = run_text(day, seed, &options);
-        let found = breaches.iter().filter(|b| b.rule == rule).count();
-        let is_kept_unmodified = || run_text(day, seed, &Options::default()).2.iter().all(|b| b.rule != rule);
+        let (_, _, violations) = run_text(day, seed, &options);
+        let found = violations.iter().filter(|violation| violation.rule == rule).count();
+        let is_kept_unmodified =
+            || run_text(day, seed, &Options::default()).2.iter().all(|violation| violation.rule != rule);
         if found > 0 && is_kept_unmodified() {
             println!("{name}: caught at seed {seed} by {rule:?}, {found} times");
             return seed;
         }
-        others.extend(breaches.into_iter().map(|b| b.rule));
+        others.extend(violations.into_iter().map(|violation| violation.rule));
     }
     panic!("{name} is not caught in {MAX_SEEDS} seeds; other rules: {others:?}");
 }
--- a/crates/rehearsal/tests/world/shown.rs
+++ b/crates/rehearsal/tests/world/shown.rs
@@ -28,9 +28,9 @@
     assert!(mean(&bank.held, 24, 32) < 5.0, "{:?}", bank.held);
     assert!(shop.in_flight.iter().any(|n| *n > 0.0));
     // The page contains the series, and omits them without recordings.
-    let breaches = notchpoint_rehearsal::checker::check(&result);
-    let score = notchpoint_rehearsal::score::score(&result, breaches.len());
-    let page = |beliefs| report::html(&result, &score, &breaches, beliefs).expect("a page");
+    let violations = notchpoint_rehearsal::checker::check(&result);
+    let score = notchpoint_rehearsal::score::score(&result, violations.len());
+    let page = |beliefs| report::html(&result, &score, &violations, beliefs).expect("a page");
     assert_eq!(page(Some(&series)).matches("what senders believe").count(), 3);
     assert_eq!(page(None).matches("what senders believe").count(), 0);
     // A missing recording is an error that names its path.
--- a/crates/rehearsal/tests/world/zones.rs
+++ b/crates/rehearsal/tests/world/zones.rs
@@ -7,8 +7,8 @@
 fn evacuating_together_wastes_fewer_calls_and_breaks_no_rule() {
     let text = shipped("zone-left.toml");
     for seed in [1, 2] {
-        let (_, with, breaches) = run_text(&text, seed, &Options::default());
-        assert!(breaches.is_empty(), "{}", breaches[0]);
+        let (_, with, violations) = run_text(&text, seed, &Options::default());
+        assert!(violations.is_empty(), "{}", violations[0]);
         let (_, without, _) =
             run_text(&text.replace("zones = true", "zones = false"), seed, &Options::default());
         // Wasted calls: those in excess of the number of orders.
@@ -29,7 +29,7 @@
     // Senders are killed during the evacuation and during the return.
     let kills: String = (0..24).step_by(3).map(|n| kill(if n % 2 == 0 { 20.0 } else { 56.0 }, n)).collect();
     for seed in [3, 4] {
-        let (_, _, breaches) = run_text(&format!("{text}{kills}"), seed, &Options::default());
-        assert!(breaches.is_empty(), "{}", breaches[0]);
+        let (_, _, violations) = run_text(&format!("{text}{kills}"), seed, &Options::default());
+        assert!(violations.is_empty(), "{}", violations[0]);
     }
 }
