--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -10,7 +10,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-/// Time that a client waits for an answer (400 ms), and the rest for delays of the machine.
+/// Time that a client waits for an answer: 400 ms, and the rest for delays of the machine.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(400 + 200);
 /// Time from the submission of a message to its deadline.
 pub const MESSAGE_TIME: Duration = Duration::from_secs(6);
--- a/crates/soak/src/configuration.rs
+++ b/crates/soak/src/configuration.rs
@@ -12,11 +12,15 @@
 /// Maximum memory of a sender, in megabytes.
 pub const MEMORY_MB: u64 = 192;
 /// Capacity of a destination as a multiple of the messages that are submitted for it. The other parameters of
-/// its slow start are in the section `safety` of the configuration.
+/// its slow start, which follow, are in the section `safety` of the configuration.
 const HEADROOM: f64 = 10.0 / 7.0;
+/// Time after an outage until a destination has its full capacity.
 const WARM_UP: Duration = Duration::from_millis(9_200);
+/// Share of its capacity directly after an outage.
 const START_SHARE: f64 = 0.17;
+/// Multiple of its current capacity that overloads it when it lasts for [`OVERLOAD_WINDOW`].
 const OVERLOAD_FACTOR: f64 = 2.0;
+/// Time over which the calls to a destination are counted for its overload.
 const OVERLOAD_WINDOW: Duration = Duration::from_secs(2);
 
 /// Addresses of a sender and of its list service.
--- a/crates/soak/src/idle_clients.rs
+++ b/crates/soak/src/idle_clients.rs
@@ -7,7 +7,7 @@
 
 /// Connections that are opened in each round.
 const CONNECTION_COUNT: usize = 300;
-/// One of this number of connections sends part of a request.
+/// Every n-th connection, with n this number, sends part of a request.
 const PARTIAL_REQUEST_INTERVAL: usize = 3;
 /// Delays after which the connections are opened again.
 const RECONNECT_DELAYS: [Duration; 2] = [Duration::from_millis(100), Duration::from_secs(2)];
--- a/crates/soak/src/main.rs
+++ b/crates/soak/src/main.rs
@@ -22,23 +22,23 @@
     #[arg(long, default_value_t = 24)]
     senders: usize,
     /// Number of destinations, each with two endpoints.
-    #[arg(long, default_value_t = 6)]
-    dests: usize,
+    #[arg(long = "dests", value_name = "DESTS", default_value_t = 6)]
+    destinations: usize,
     /// Seconds for which messages are submitted.
     #[arg(long, default_value_t = 12)]
     seconds: u64,
     /// Number of faults in that time.
-    #[arg(long, default_value_t = 18)]
-    troubles: usize,
+    #[arg(long = "troubles", value_name = "TROUBLES", default_value_t = 18)]
+    fault_count: usize,
     /// Replace half of the faults by hand-overs.
-    #[arg(long)]
-    hand_overs: bool,
+    #[arg(long = "hand-overs")]
+    prefer_handovers: bool,
     /// Number of processes that keep a core busy during the run.
-    #[arg(long, default_value_t = 0)]
-    busy: usize,
+    #[arg(long = "busy", value_name = "BUSY", default_value_t = 0)]
+    busy_processes: usize,
     /// Continue with the next seed after a violation, and list all failed seeds at the end.
-    #[arg(long)]
-    go_on: bool,
+    #[arg(long = "go-on")]
+    continue_after_violation: bool,
     /// Do not search for a smaller plan that violates a rule.
     #[arg(long)]
     no_shrink: bool,
@@ -49,18 +49,18 @@
 
 fn main() -> io::Result<ExitCode> {
     let arguments = Arguments::parse();
-    let beside = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("notchpoint"));
-    let program = arguments.program.clone().map_or_else(beside, Ok)?;
+    let beside_this_program = || Ok::<_, io::Error>(std::env::current_exe()?.with_file_name("notchpoint"));
+    let program = arguments.program.clone().map_or_else(beside_this_program, Ok)?;
     let duration = Duration::from_secs(arguments.seconds);
     let size = RunSize {
         senders: arguments.senders,
-        destinations: arguments.dests,
+        destinations: arguments.destinations,
         duration,
-        fault_count: arguments.troubles,
-        prefer_handovers: arguments.hand_overs,
+        fault_count: arguments.fault_count,
+        prefer_handovers: arguments.prefer_handovers,
     };
     let _busy: Vec<BusyProcess> =
-        (0..arguments.busy).map(|_| BusyProcess::start()).collect::<io::Result<_>>()?;
+        (0..arguments.busy_processes).map(|_| BusyProcess::start()).collect::<io::Result<_>>()?;
     let mut out = io::stdout();
     let mut failed_seeds = Vec::new();
     for seed in arguments.from..arguments.from + arguments.seeds {
@@ -78,7 +78,7 @@
         }
         print_result(&mut out, &plan, &result)?;
         failed_seeds.push(seed);
-        if arguments.go_on {
+        if arguments.continue_after_violation {
             continue;
         }
         if !arguments.no_shrink {
--- a/crates/soak/src/note_network.rs
+++ b/crates/soak/src/note_network.rs
@@ -14,7 +14,7 @@
 /// Maximum size of a note on the platform.
 const MAX_NOTE_BYTES: usize = 256;
 const PER_MILLE: u32 = 1_000;
-/// Time between two checks whether the run is over.
+/// Time after which a thread that receives nothing checks whether the run is over.
 const POLL_INTERVAL: Duration = Duration::from_millis(500);
 
 /// The network between all senders of a run.
@@ -24,7 +24,7 @@
     pub to_all: Vec<SocketAddr>,
     /// Source address of each writer, by reader and writer. It includes the reader itself.
     pub peers: Vec<Vec<SocketAddr>>,
-    /// Number of a thousand notes that are dropped.
+    /// How many of a thousand notes are dropped.
     lost_per_mille: Arc<AtomicU32>,
 }
 
@@ -57,7 +57,7 @@
         Ok(Self { to_all, peers, lost_per_mille })
     }
 
-    /// Drops this number of a thousand notes from now on.
+    /// Drops this many of a thousand notes from now on.
     pub fn set_loss(&self, per_mille: u32) {
         self.lost_per_mille.store(per_mille, Ordering::Relaxed);
     }
--- a/crates/soak/src/plan.rs
+++ b/crates/soak/src/plan.rs
@@ -51,7 +51,7 @@
     Memory(i32),
     /// A sender sometimes cannot create sockets: the call fails with this error number.
     Socket(i32),
-    /// This number of a thousand notes between senders is lost.
+    /// Of a thousand notes between senders, this number is lost.
     NotesLost(u32),
     /// All endpoints of a route refuse connections, and are cold afterwards.
     Outage,
@@ -149,7 +149,8 @@
 
 /// An hour in microseconds.
 const HOUR_MICROS: i64 = 3_600_000_000;
-/// Time without faults at the begin of a run, and between the latest start of a fault and the last messages.
+/// Time without faults at the beginning of a run, and between the latest start of a fault and the last
+/// messages.
 const FAULT_FREE_TIME: Duration = Duration::from_secs(1);
 
 /// Draws the plan of a seed. Each fault starts near another one, so that they overlap, also at one sender.
--- a/crates/soak/src/wake_delay.rs
+++ b/crates/soak/src/wake_delay.rs
@@ -1,11 +1,12 @@
-//! Measures how late threads of this machine are woken. Observations may be late by as much, which is no
-//! fault of a sender.
+//! Measures how late threads of this machine are woken. Events may be observed as much too
+//! late, for which no sender is responsible.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// Time for which the measuring thread sleeps.
 const SAMPLE_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Measures how late a sleeping thread is woken, until it is dropped.
