--- a/crates/emulator/examples/curves.rs
+++ b/crates/emulator/examples/curves.rs
@@ -24,6 +24,7 @@
     ColdStart { start_share: 0.2, warm_s: 10.0, fall_multiple: 100.0, fall_after_s: 1.0, down_s: 3.0 };
 
 type Error = Box<dyn std::error::Error>;
+/// Label, colour and points of a curve.
 type Curve = (&'static str, RGBColor, Vec<(f64, f64)>);
 
 const MEASURED: RGBColor = RGBColor(31, 90, 160);
@@ -36,10 +37,10 @@
 }
 
 /// Writes a chart of these curves to an SVG file.
-fn plot(path: PathBuf, title: &str, x: &str, lines: &[Curve]) -> Result<(), Error> {
-    let all = || lines.iter().flat_map(|l| l.2.iter());
-    let right = all().map(|p| p.0).fold(1.0, f64::max);
-    let top = all().map(|p| p.1).fold(0.0, f64::max) * 1.1;
+fn plot(path: PathBuf, title: &str, x_label: &str, lines: &[Curve]) -> Result<(), Error> {
+    let points = || lines.iter().flat_map(|line| line.2.iter());
+    let right = points().map(|point| point.0).fold(1.0, f64::max);
+    let top = points().map(|point| point.1).fold(0.0, f64::max) * 1.1;
     let area = SVGBackend::new(&path, (760, 320)).into_drawing_area();
     area.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&area)
@@ -48,7 +49,7 @@
         .x_label_area_size(34)
         .y_label_area_size(46)
         .build_cartesian_2d(0.0..right, 0.0..top)?;
-    chart.configure_mesh().x_desc(x).light_line_style(WHITE).draw()?;
+    chart.configure_mesh().x_desc(x_label).light_line_style(WHITE).draw()?;
     for (name, color, points) in lines {
         let color = *color;
         chart
--- a/crates/emulator/src/partner.rs
+++ b/crates/emulator/src/partner.rs
@@ -187,11 +187,11 @@
         f64::from(self.spec.slots) / mean * self.capacity_share(endpoint, now)
     }
 
-    /// Takes a call whose first byte was received at `first` and whose last byte was received at `now`.
+    /// Takes a call whose first byte was received at `first_byte_at` and whose last one at `now`.
     pub fn receive_call(
         &mut self,
         now: Micros,
-        first: Micros,
+        first_byte_at: Micros,
         endpoint: usize,
         sender: usize,
         messages: Vec<IncomingMessage>,
@@ -200,7 +200,7 @@
         let call = CallId(self.ledger.calls.len() as u64);
         self.ledger.calls.push(CallRecord {
             call,
-            first_byte_at: first,
+            first_byte_at,
             received_at: now,
             endpoint,
             sender,
@@ -277,7 +277,8 @@
         let state = &mut self.endpoints[endpoint];
         state.serving += 1;
         let load = (f64::from(state.serving) + state.queue.len() as f64) / f64::from(self.spec.slots);
-        let thrash = self.spec.thrash.map_or(0.0, |t| (load - t.from_load).max(0.0) * t.slowdown);
+        let thrash =
+            self.spec.thrash.map_or(0.0, |thrash| (load - thrash.from_load).max(0.0) * thrash.slowdown);
         // A paused endpoint starts no call before its pause ends.
         let begins = state.paused_until.map_or(now, |until| until.max(now));
         let Some(call_state) = self.calls.get_mut(&call) else { return };
--- a/crates/emulator/src/spec.rs
+++ b/crates/emulator/src/spec.rs
@@ -61,9 +61,10 @@
     pub start_share: f64,
     /// Seconds until it has its full capacity.
     pub warm_s: f64,
-    /// The endpoint fails when it receives more than this multiple of its current capacity ...
+    /// The endpoint fails when it receives more than this multiple of its current capacity over
+    /// `fall_after_s`.
     pub fall_multiple: f64,
-    /// ... over this number of seconds.
+    /// Seconds over which calls are counted for `fall_multiple`.
     pub fall_after_s: f64,
     /// Seconds for which it is down after such a failure.
     pub down_s: f64,
--- a/crates/emulator/tests/model.rs
+++ b/crates/emulator/tests/model.rs
@@ -120,9 +120,9 @@
     let mut partner = Partner::new(spec(1, 4, 1.0), 1, 1);
     let mut out = Vec::new();
     for (at, id) in [(0, 1), (SECOND, 2), (4 * SECOND, 3)] {
-        let m =
+        let call =
             vec![IncomingMessage { id, class: "order".into(), dedup_window: Some(3 * SECOND), dedup_key: 7 }];
-        partner.receive_call(at, at, 0, 0, m, &mut out);
+        partner.receive_call(at, at, 0, 0, call, &mut out);
         partner.poll(at + 2_000, &mut out);
     }
     let dropped: Vec<bool> = partner.ledger().effects.iter().map(|e| e.is_duplicate).collect();
--- a/crates/soak/src/observations.rs
+++ b/crates/soak/src/observations.rs
@@ -8,7 +8,9 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Time for which a sender recognises and drops duplicates of a message of a deduplicated class.
+/// Time for which destinations drop duplicates of a message of a deduplicated class, according to the
+/// configuration of the senders. The emulated endpoints drop none; a duplicate after this time is a
+/// violation.
 pub const DEDUP_WINDOW: Duration = Duration::from_secs(1);
 /// Time after its deadline from which on a message without a delivery or notice is lost.
 const OVERDUE_AFTER: Duration = Duration::from_millis(350);
@@ -102,6 +104,7 @@
 #[derive(Debug)]
 struct Outage {
     from: Instant,
+    /// `None` while it lasts.
     to: Option<Instant>,
     /// Calls after its end: time and sender.
     calls: Vec<(Instant, usize)>,
@@ -240,9 +243,9 @@
         }
     }
 
-    /// Records that an endpoint received a call in full. `id` is its first message, `began` the time of its
-    /// first byte.
-    pub fn record_call(&self, id: u64, endpoint: usize, began: Instant) {
+    /// Records that an endpoint received a call in full. `id` is its first message, `began_at` the time of
+    /// its first byte.
+    pub fn record_call(&self, id: u64, endpoint: usize, began_at: Instant) {
         let slack = self.scheduling_slack();
         let mut state = self.state();
         let Some(sender) = state.messages.get(&id).map(|record| record.sender) else { return };
@@ -250,21 +253,21 @@
         if let Some(outage) = state.outages.get_mut(&route).and_then(|all| all.last_mut())
             && outage.to.is_some()
         {
-            outage.calls.push((began, sender));
+            outage.calls.push((began_at, sender));
         }
         if let Some((requested_at, until)) = state.waits.get(&(sender, route)).copied()
-            && requested_at + WAIT_SLACK + slack < began
-            && began < until
+            && requested_at + WAIT_SLACK + slack < began_at
+            && began_at < until
         {
             let description =
-                format!("sent to endpoint {endpoint} {:?} before the requested wait ended", until - began);
+                format!("sent to endpoint {endpoint} {:?} before the requested wait ended", until - began_at);
             state.violations.push(Violation { rule: "wait", message: Some(id), description });
         }
         let listed_at = state.draining_since.get(&(sender, endpoint)).copied();
         let out_of_service_at = state.out_of_service.get(&(sender, endpoint)).copied();
         let known_at = listed_at.into_iter().chain(out_of_service_at).min();
         if let Some(late) =
-            known_at.map(|known_at| began.saturating_duration_since(known_at + DRAIN_GRACE + slack))
+            known_at.map(|known_at| began_at.saturating_duration_since(known_at + DRAIN_GRACE + slack))
             && !late.is_zero()
         {
             let description =
@@ -396,7 +399,11 @@
         let (mut state, now) = (self.state(), Instant::now());
         let State { downtimes, restarts, .. } = &mut *state;
         for spans in [downtimes, restarts] {
-            spans.entry(sender).or_default().iter_mut().for_each(|span| _ = span.1.get_or_insert(now));
+            spans
+                .entry(sender)
+                .or_default()
+                .iter_mut()
+                .for_each(|downtime| _ = downtime.1.get_or_insert(now));
         }
     }
 
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -31,8 +31,8 @@
 /// Descriptors that a sender may have open after a run in addition to those before it: connections to the
 /// list service, for notices and from operators.
 const ADDITIONAL_DESCRIPTORS: usize = 6;
-/// Time within which a draining sender reports that to the front. The specification of the platform allows
-/// four seconds.
+/// Time within which a draining sender reports that to the load balancer. The specification of the platform
+/// allows four seconds.
 const DRAIN_REPORT_TIME: Duration = Duration::from_secs(1);
 /// Time for which a failed operator request is repeated.
 const OPERATOR_TIMEOUT: Duration = Duration::from_secs(6);
--- a/crates/soak/src/sender.rs
+++ b/crates/soak/src/sender.rs
@@ -18,8 +18,8 @@
 
 /// Time within which a process must be ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after SIGTERM in which the front still opens new connections.
-const FRONT_DRAIN_TIME: Duration = Duration::from_millis(300);
+/// Time after SIGTERM in which the load balancer still opens new connections.
+const LOAD_BALANCER_DRAIN_TIME: Duration = Duration::from_millis(300);
 /// Time between SIGTERM and SIGKILL.
 const KILL_DELAY: Duration = Duration::from_millis(3_700);
 /// Time between the end of a process and the next start.
@@ -249,7 +249,7 @@
             self.signal(*signal);
             thread::sleep(SIGNAL_INTERVAL);
         }
-        thread::sleep(FRONT_DRAIN_TIME);
+        thread::sleep(LOAD_BALANCER_DRAIN_TIME);
         self.accepts_connections.store(false, Ordering::Relaxed);
         wait_for(KILL_DELAY.saturating_sub(signalled_at.elapsed()), || self.has_ended());
         self.observations.record_down(self.number);
