--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -124,7 +124,7 @@
     fn check_messages(&mut self) {
         let observations = self.result.observations.clone();
         for (&id, message) in observations.messages.borrow().iter() {
-            let accepted = message.answered.filter(|(_, status)| matches!(status, 200 | 202));
+            let accepted = message.answer.filter(|(_, status)| matches!(status, 200 | 202));
             if let Some((accepted, _)) = accepted.filter(|_| message.abandoned_at.is_none()) {
                 self.check_end(id, message, accepted);
             }
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -148,7 +148,7 @@
                     let now = self.observations.now();
                     self.observations.log(format_args!("status {id:016x} {}", answer.status));
                     if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
-                        m.answered.get_or_insert((now, answer.status));
+                        m.answer.get_or_insert((now, answer.status));
                     }
                     let mut idle = self.idle.borrow_mut();
                     if !answer.closes() && idle[sender].len() < MAX_IDLE_CONNECTIONS {
@@ -206,7 +206,7 @@
                 lifetime,
                 submitted_at: now,
                 deadline,
-                answered: None,
+                answer: None,
                 abandoned_at: None,
                 delivered: None,
                 is_answer_crossed: false,
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -60,7 +60,7 @@
     for message in observations.messages.borrow().values() {
         let partner = destinations[orders[message.order].destination].0;
         let partner_counts = counts.entry(partner).or_default();
-        let is_accepted = message.answered.is_some_and(|a| matches!(a.1, 200 | 202));
+        let is_accepted = message.answer.is_some_and(|a| matches!(a.1, 200 | 202));
         partner_counts[0] += 1;
         partner_counts[1] +=
             usize::from(is_accepted && message.delivered.is_none() && message.notices.is_empty());
--- a/crates/rehearsal/src/explain.rs
+++ b/crates/rehearsal/src/explain.rs
@@ -47,7 +47,7 @@
         seconds(message.submitted_at),
         seconds(message.deadline)
     );
-    if let Some((at, status)) = message.answered {
+    if let Some((at, status)) = message.answer {
         let _ = writeln!(text, "  client: answered {status} at {}", seconds(at));
     }
     if let Some(at) = message.abandoned_at {
--- a/crates/rehearsal/src/observations.rs
+++ b/crates/rehearsal/src/observations.rs
@@ -41,8 +41,8 @@
     pub submitted_at: Micros,
     /// Deadline of the message.
     pub deadline: Micros,
-    /// Time and status of the first answer.
-    pub answered: Option<(Micros, u16)>,
+    /// Time and status of the first answer that the client received.
+    pub answer: Option<(Micros, u16)>,
     /// When the client stopped waiting for an answer. Calls under this ID no longer count.
     pub abandoned_at: Option<Micros>,
     /// When an endpoint wrote a successful answer for it.
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -32,8 +32,8 @@
          {} refused; {} effects",
         counts.orders,
         counts.delivered,
-        counts.handed,
-        counts.taken,
+        counts.submissions,
+        counts.accepted,
         counts.notices,
         counts.calls,
         counts.refused,
@@ -65,7 +65,8 @@
     /// First second of the row.
     pub from_s: usize,
     /// Number of orders created.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub orders: usize,
     /// Share of orders delivered within the wanted time.
     pub in_time: f64,
     /// Share of orders delivered later, but before the deadline.
@@ -92,7 +93,7 @@
     let row_index = |t: u64| ((t / 1_000_000) as usize / width).min(last);
     for order in result.observations.orders.borrow().iter() {
         let row = &mut rows[row_index(order.requested_at)];
-        row.asked += 1;
+        row.orders += 1;
         let class = result.scenario.class[order.class].get_ref();
         if let Some(latency) = order.delivered.map(|t| (t - order.requested_at) as f64 / 1e6) {
             row.in_time += f64::from(u8::from(latency <= class.wanted_s));
@@ -105,7 +106,7 @@
     let mut held = vec![vec![false; seconds]; result.ledgers.len()];
     let mut called = held.clone();
     for message in result.observations.messages.borrow().values() {
-        if message.answered.is_some_and(|a| matches!(a.1, 200 | 202)) {
+        if message.answer.is_some_and(|a| matches!(a.1, 200 | 202)) {
             let order = &orders[message.order];
             accepted[row_index(message.submitted_at)] += 1;
             let end = message.delivered.or(message.notices.first().map(|n| n.at)).unwrap_or(message.deadline);
@@ -129,8 +130,8 @@
         }
     }
     for (n, row) in rows.iter_mut().enumerate() {
-        let asked = row.asked.max(1) as f64;
-        (row.in_time, row.late) = (row.in_time / asked, row.late / asked);
+        let orders = row.orders.max(1) as f64;
+        (row.in_time, row.late) = (row.in_time / orders, row.late / orders);
         row.attempts = attempts[n] as f64 / accepted[n].max(1) as f64;
         let all = || {
             (row.from_s..(row.from_s + width).min(seconds))
@@ -152,7 +153,7 @@
             out,
             "  {:>6} {:>7} {:>10.1} {:>7.1} {:>9.2} {:>7} {:>8} {:>11} {:>12.1}",
             row.from_s,
-            row.asked,
+            row.orders,
             row.in_time * 100.0,
             row.late * 100.0,
             row.attempts,
--- a/crates/rehearsal/src/score.rs
+++ b/crates/rehearsal/src/score.rs
@@ -40,9 +40,11 @@
     /// Orders delivered before their deadline.
     pub delivered: usize,
     /// Submissions of orders.
-    pub handed: usize,
+    #[serde(rename = "handed")]
+    pub submissions: usize,
     /// Submissions that were accepted.
-    pub taken: usize,
+    #[serde(rename = "taken")]
+    pub accepted: usize,
     /// Messages for which a notice of failure was received.
     pub notices: usize,
     /// Calls that partners received.
@@ -95,10 +97,10 @@
         add(partners.entry(partner.clone()).or_default());
         counts.orders += 1;
         counts.delivered += usize::from(got > 0.0);
-        counts.handed += order.submissions as usize;
+        counts.submissions += order.submissions as usize;
     }
     for message in result.observations.messages.borrow().values() {
-        counts.taken += usize::from(message.answered.is_some_and(|a| matches!(a.1, 200 | 202)));
+        counts.accepted += usize::from(message.answer.is_some_and(|a| matches!(a.1, 200 | 202)));
         counts.notices += usize::from(!message.notices.is_empty());
     }
     for ledger in &result.ledgers {
--- a/crates/rehearsal/tests/world/hard.rs
+++ b/crates/rehearsal/tests/world/hard.rs
@@ -86,7 +86,7 @@
     let within = |m: &&notchpoint_rehearsal::observations::Message| {
         m.sender == 1 && (8_100_000..10_900_000).contains(&m.submitted_at)
     };
-    let refused = messages.values().filter(within).filter(|m| m.answered.is_some_and(|a| a.1 == 503)).count();
+    let refused = messages.values().filter(within).filter(|m| m.answer.is_some_and(|a| a.1 == 503)).count();
     assert!(refused > 10, "{refused} refused while the folder was full");
 }
 
--- a/crates/rehearsal/tests/world/shown.rs
+++ b/crates/rehearsal/tests/world/shown.rs
@@ -43,9 +43,9 @@
     let (result, score, _) = run_text(&shipped("hall-silent.toml"), 1, &Options::default());
     let rows = report::rows(&result, report::ROW_SECONDS);
     assert_eq!(rows.len(), 12);
-    assert_eq!(rows.iter().map(|r| r.asked).sum::<usize>(), score.counts.orders);
+    assert_eq!(rows.iter().map(|r| r.orders).sum::<usize>(), score.counts.orders);
     assert_eq!(rows.iter().map(|r| r.calls).sum::<usize>(), score.counts.calls);
-    let delivered: f64 = rows.iter().map(|r| (r.in_time + r.late) * r.asked as f64).sum();
+    let delivered: f64 = rows.iter().map(|r| (r.in_time + r.late) * r.orders as f64).sum();
     assert!((delivered - score.counts.delivered as f64).abs() < 1.0, "{delivered}");
     // While a zone is silent, calls are reduced to probes. There is one probe per second, so no destination
     // goes without a call for a second.
