--- a/crates/rehearsal/src/arrivals.rs
+++ b/crates/rehearsal/src/arrivals.rs
@@ -29,39 +29,39 @@
 /// Returns all arrivals of a run in the order of time.
 pub fn arrivals(scenario: &Scenario, seed: u64) -> Vec<Arrival> {
     let mut all = Vec::new();
-    for (n, t) in scenario.traffic.iter().enumerate() {
-        add_traffic(scenario, t.get_ref(), mix(seed, 1_000 + n as u64), &mut all);
+    for (n, traffic) in scenario.traffic.iter().enumerate() {
+        add_traffic(scenario, traffic.get_ref(), mix(seed, 1_000 + n as u64), &mut all);
     }
-    all.extend(scenario.trace.iter().map(|t| Arrival {
-        at: (t.at_s * 1e6) as Micros,
-        class: t.class,
-        tenant: t.tenant,
-        destination: t.destination,
-        body: t.body,
+    all.extend(scenario.trace.iter().map(|entry| Arrival {
+        at: (entry.at_s * 1e6) as Micros,
+        class: entry.class,
+        tenant: entry.tenant,
+        destination: entry.destination,
+        body: entry.body,
         over_share: false,
     }));
-    all.sort_by_key(|a| a.at);
+    all.sort_by_key(|arrival| arrival.at);
     mark_over_share(scenario, &mut all);
     all
 }
 
-fn add_traffic(scenario: &Scenario, t: &Traffic, seed: u64, all: &mut Vec<Arrival>) {
+fn add_traffic(scenario: &Scenario, traffic: &Traffic, seed: u64, all: &mut Vec<Arrival>) {
     let mut random = Pcg64Mcg::seed_from_u64(seed);
-    let class = scenario.class.iter().position(|c| c.get_ref().name == t.class).unwrap_or(0);
+    let class = scenario.class.iter().position(|c| c.get_ref().name == traffic.class).unwrap_or(0);
     let named = |name: &String| scenario.tenant.iter().position(|x| x.get_ref().name == *name);
-    let tenant = t.tenant.as_ref().and_then(named).unwrap_or(0);
-    let to = scenario.select(None, t.partner.as_deref(), t.destination);
-    let (from, until) = (t.from_s, t.to_s.unwrap_or(scenario.duration_s));
+    let tenant = traffic.tenant.as_ref().and_then(named).unwrap_or(0);
+    let destinations = scenario.select(None, traffic.partner.as_deref(), traffic.destination);
+    let (from, until) = (traffic.from_s, traffic.to_s.unwrap_or(scenario.duration_s));
     let mut add = |at: f64, random: &mut Pcg64Mcg| {
-        let destination = to[random.random_range(0..to.len())];
+        let destination = destinations[random.random_range(0..destinations.len())];
         let at = (at * 1e6) as Micros;
-        all.push(Arrival { at, class, tenant, destination, body: t.body, over_share: false });
+        all.push(Arrival { at, class, tenant, destination, body: traffic.body, over_share: false });
     };
-    if let Some(count) = t.count {
+    if let Some(count) = traffic.count {
         let step = (until - from) / f64::from(count);
         (0..count).for_each(|n| add(from + step * f64::from(n), &mut random));
     }
-    if let Some(gaps) = t.rate_per_s.and_then(|r| Exp::new(r).ok()) {
+    if let Some(gaps) = traffic.rate_per_s.and_then(|rate| Exp::new(rate).ok()) {
         let mut at = from + gaps.sample(&mut random);
         while at < until {
             add(at, &mut random);
--- a/crates/rehearsal/src/checker.rs
+++ b/crates/rehearsal/src/checker.rs
@@ -17,15 +17,16 @@
 const SOCKET_TOLERANCE: Micros = 50 * MS;
 /// Time that a sender has after it is ready again to complete what came due while it was unavailable.
 const CATCH_UP_TIME: Micros = 1_500 * MS;
-/// Time of a takeover by a replica: to detect that the owner is silent, to agree on it, and to reach the
-/// other replicas.
+/// Time that a takeover by a replica takes: to detect that the owner is silent, to agree on it, and to reach
+/// the other replicas.
 const TAKEOVER_TIME: Micros = 4 * SEC;
 /// Time after which a list change counts as received once discovery was able to send it, whether or not it
 /// arrived.
 const LIST_PROPAGATION_TIME: Micros = 6 * SEC;
 /// Time after a requested wait or a drain in which calls that were already in flight are permitted.
 const IN_FLIGHT_GRACE: Micros = 100 * MS;
-/// Time within which an answer and the end of its message may cross without a violation.
+/// Time within which a notice may follow the delivery of its message, or the acknowledgement of an earlier
+/// notice, without a violation: the two may have crossed.
 const ANSWER_CROSSING_TIME: Micros = 50 * MS;
 /// Time within which a malformed request must receive an error or a close.
 const BAD_CLIENT_TIMEOUT: Micros = 3 * SEC;
@@ -125,30 +126,30 @@
         let observations = self.result.observations.clone();
         for (&id, message) in observations.messages.borrow().iter() {
             let accepted = message.answer.filter(|(_, status)| matches!(status, 200 | 202));
-            if let Some((accepted, _)) = accepted.filter(|_| message.abandoned_at.is_none()) {
-                self.check_end(id, message, accepted);
+            if let Some((accepted_at, _)) = accepted.filter(|_| message.abandoned_at.is_none()) {
+                self.check_end(id, message, accepted_at);
             }
             self.check_single_answer(id, message);
         }
     }
 
-    fn check_end(&mut self, id: u64, message: &Message, accepted: Micros) {
+    fn check_end(&mut self, id: u64, message: &Message, accepted_at: Micros) {
         let ended = message.delivered.into_iter().chain(message.notices.iter().map(|n| n.at)).min();
         // A stopped process reads a request only after it resumes, and the deadline counts from then on: a
         // socket does not report when bytes arrived.
         let unread_time = self
             .freeze_intervals(message.sender)
-            .find(|f| (f.0..f.1).contains(&message.submitted_at))
-            .map_or(0, |f| f.1 - message.submitted_at);
+            .find(|freeze| (freeze.0..freeze.1).contains(&message.submitted_at))
+            .map_or(0, |freeze| freeze.1 - message.submitted_at);
         let due = self
             .extend_limit(message.sender, message.deadline + END_TOLERANCE + SOCKET_TOLERANCE + unread_time);
         if due >= self.result.end || ended.is_some_and(|e| e <= due) {
             return;
         }
-        let (client, calls) = (seconds(accepted), self.describe_calls(id));
+        let (accepted_at, calls) = (seconds(accepted_at), self.describe_calls(id));
         let end = ended.map_or("no end".to_owned(), |e| format!("its end only at {}", seconds(e)));
         let details = format!(
-            "client: taken on by sender {} at {client}, to end by {}; platform: {end}; partner: {calls}",
+            "client: taken on by sender {} at {accepted_at}, to end by {}; platform: {end}; partner: {calls}",
             message.sender,
             seconds(message.deadline + END_TOLERANCE)
         );
@@ -190,21 +191,25 @@
     fn sender_fault_intervals(&self) -> Vec<(Micros, Micros)> {
         let micros = |s: f64| (s * 1e6) as Micros;
         let events = self.result.scenario.event.iter().map(|e| e.get_ref());
-        let of_senders = |e: &&Event| {
-            let cut = e.kind == EventKind::Cut && e.sender.is_some();
-            let whole = matches!(
-                e.kind,
+        let affects_senders = |event: &&Event| {
+            let is_sender_cut = event.kind == EventKind::Cut && event.sender.is_some();
+            let is_sender_fault = matches!(
+                event.kind,
                 EventKind::Kill
                     | EventKind::Restart
                     | EventKind::Lose
                     | EventKind::Freeze
                     | EventKind::DiskFull
             );
-            cut || whole || matches!(e.kind, EventKind::Part | EventKind::SlowLink)
+            is_sender_cut || is_sender_fault || matches!(event.kind, EventKind::Part | EventKind::SlowLink)
         };
-        let span = |e: &Event| e.for_s.unwrap_or(1.0) + if e.kind == EventKind::Restart { 3.7 } else { 0.0 };
-        let mut all: Vec<_> =
-            events.filter(of_senders).map(|e| (micros(e.at_s), micros(e.at_s + span(e)))).collect();
+        let span = |event: &Event| {
+            event.for_s.unwrap_or(1.0) + if event.kind == EventKind::Restart { 3.7 } else { 0.0 }
+        };
+        let mut all: Vec<_> = events
+            .filter(affects_senders)
+            .map(|event| (micros(event.at_s), micros(event.at_s + span(event))))
+            .collect();
         all.sort_unstable();
         all
     }
@@ -242,8 +247,8 @@
         for (destination, ledger) in self.result.ledgers.iter().enumerate() {
             for call in ledger.calls.iter().filter(|call| call.messages.contains(&id)) {
                 let end = match (call.answer, call.caller_gone_at) {
-                    (Some((t, status)), _) => format!("answered {status} at {}", seconds(t)),
-                    (None, Some(t)) => format!("its caller closed at {}", seconds(t)),
+                    (Some((at, status)), _) => format!("answered {status} at {}", seconds(at)),
+                    (None, Some(at)) => format!("its caller closed at {}", seconds(at)),
                     _ => "never answered".to_owned(),
                 };
                 all.push(format!(
@@ -307,8 +312,9 @@
     fn check_effects(&mut self) {
         let observations = self.result.observations.clone();
         let (messages, orders) = (observations.messages.borrow(), observations.orders.borrow());
-        // Messages whose client stopped waiting do not count.
-        let mut ran: BTreeMap<usize, Vec<(Micros, u64, usize, usize)>> = BTreeMap::new();
+        // By order: time, message, destination and endpoint of each effect. Messages whose client stopped
+        // waiting do not count.
+        let mut effects: BTreeMap<usize, Vec<(Micros, u64, usize, usize)>> = BTreeMap::new();
         for (destination, ledger) in self.result.ledgers.iter().enumerate() {
             for effect in ledger.effects.iter().filter(|effect| !effect.is_duplicate) {
                 let Some(message) =
@@ -318,7 +324,7 @@
                 };
                 let class = self.result.scenario.class[orders[message.order].class].get_ref();
                 if class.effect != "idempotent" {
-                    ran.entry(message.order).or_default().push((
+                    effects.entry(message.order).or_default().push((
                         effect.at,
                         effect.message,
                         destination,
@@ -327,7 +333,7 @@
                 }
             }
         }
-        for (order, all) in ran.iter().filter(|(_, all)| all.len() > 1) {
+        for (order, all) in effects.iter().filter(|(_, all)| all.len() > 1) {
             let times: Vec<String> = all
                 .iter()
                 .map(|(at, id, destination, endpoint)| {
@@ -377,10 +383,9 @@
                 let cut_intervals = self.cut_intervals(call.sender);
                 let was_received =
                     |t: Micros| !cut_intervals.iter().any(|(from, until)| (*from..*until).contains(&t));
-                let notified_at = change
-                    .notified
-                    .iter()
-                    .filter(|(s, l, t)| *s == call.sender && *l == lifetime && was_received(*t));
+                let notified_at = change.notified.iter().filter(|(sender, sender_lifetime, at)| {
+                    *sender == call.sender && *sender_lifetime == lifetime && was_received(*at)
+                });
                 let notified_at = notified_at
                     .map(|t| t.2)
                     .min()
@@ -468,25 +473,25 @@
             }
         }
         waits.sort_unstable();
-        let longest = waits.iter().map(|t| t.1 - t.0).max().unwrap_or(0);
+        let longest = waits.iter().map(|wait| wait.1 - wait.0).max().unwrap_or(0);
         for call in calls {
-            let from = waits.partition_point(|t| t.0 + longest < call.received_at);
+            let first = waits.partition_point(|wait| wait.0 + longest < call.received_at);
             let lifetime = self.lifetime_at(call.sender, call.received_at);
-            let ignored_wait = waits[from..]
+            let ignored_wait = waits[first..]
                 .iter()
-                .take_while(|t| t.0 + IN_FLIGHT_GRACE + SOCKET_TOLERANCE < call.received_at)
-                .find(|t| {
-                    call.received_at < t.1
-                        && t.2 == call.sender
-                        && t.4 == lifetime
-                        && (!per_endpoint || t.3 == call.endpoint)
+                .take_while(|wait| wait.0 + IN_FLIGHT_GRACE + SOCKET_TOLERANCE < call.received_at)
+                .find(|wait| {
+                    call.received_at < wait.1
+                        && wait.2 == call.sender
+                        && wait.4 == lifetime
+                        && (!per_endpoint || wait.3 == call.endpoint)
                 });
-            if let Some(t) = ignored_wait {
+            if let Some(wait) = ignored_wait {
                 let details = format!(
                     "partner: told sender {} at {} to wait until {}, but received a call at {}",
                     call.sender,
-                    seconds(t.0),
-                    seconds(t.1),
+                    seconds(wait.0),
+                    seconds(wait.1),
                     seconds(call.received_at)
                 );
                 self.report(call.received_at, Rule::WaitsHeeded, call.messages.first().copied(), details);
@@ -496,8 +501,14 @@
 
     /// Returns the interval in which a call was in flight.
     fn call_interval(&self, call: &CallRecord) -> (Micros, Micros) {
-        let ends = call.answer.filter(|a| a.1 != 0).map(|a| a.0).into_iter().chain(call.caller_gone_at).min();
-        (call.received_at, ends.or(call.answer.map(|a| a.0)).unwrap_or(self.result.end))
+        let ends = call
+            .answer
+            .filter(|answer| answer.1 != 0)
+            .map(|answer| answer.0)
+            .into_iter()
+            .chain(call.caller_gone_at)
+            .min();
+        (call.received_at, ends.or(call.answer.map(|answer| answer.0)).unwrap_or(self.result.end))
     }
 
     fn check_parallel_attempts(&mut self, destination: usize, calls: &[CallRecord]) {
@@ -527,6 +538,8 @@
     fn check_slot_limits(&mut self, unobservable_destinations: &BTreeSet<usize>) {
         let slots = self.result.scenario.senders.slots;
         let limit = (f64::from(slots) * 0.75).floor().max(1.0) as i64;
+        // Starts and ends of calls: time, change of the number of calls in flight (1 or -1), sender and
+        // destination.
         let mut steps: Vec<(Micros, i64, usize, usize)> = Vec::new();
         for (destination, ledger) in self
             .result
@@ -547,11 +560,11 @@
         let mut by_destination: BTreeMap<(usize, usize), i64> = BTreeMap::new();
         let mut by_sender: BTreeMap<usize, i64> = BTreeMap::new();
         let mut reported = BTreeSet::new();
-        for (at, step, sender, destination) in steps {
+        for (at, change, sender, destination) in steps {
             let here = by_destination.entry((sender, destination)).or_default();
-            *here += step;
+            *here += change;
             let all = by_sender.entry(sender).or_default();
-            *all += step;
+            *all += change;
             let details = if *here > limit {
                 format!(
                     "partner {destination}: {here} calls of sender {sender} are in flight, but at most \
--- a/crates/rehearsal/src/client.rs
+++ b/crates/rehearsal/src/client.rs
@@ -44,7 +44,8 @@
     seed: u64,
     observations: Rc<Observations>,
     idle: RefCell<Vec<Vec<Wire>>>,
-    /// Accepted messages by ID: order, attempt number and body size.
+    /// Accepted messages by ID: index of the order, number of the submission (counted from 0) and body size.
+    /// They are submitted again if they are bounced.
     accepted: RefCell<BTreeMap<u64, (usize, u32, usize)>>,
 }
 
@@ -85,7 +86,7 @@
         });
     }
 
-    async fn submit_until_accepted(&self, order: usize, mut attempt: u32, body: usize, mut mark: &str) {
+    async fn submit_until_accepted(&self, order: usize, mut attempt: u32, body: usize, mut retried: &str) {
         let (class, requested_at) = {
             let entry = &self.observations.orders.borrow()[order];
             (entry.class, entry.requested_at)
@@ -95,20 +96,20 @@
             && self.observations.now() + MIN_REMAINING_TIME < deadline
         {
             let id = mix(self.seed, mix(order as u64, u64::from(attempt)));
-            // The front assigns connections to senders in turn.
+            // Senders are used in turn, as the platform's load balancer assigns connections.
             let sender = (mix(self.seed ^ 1, order as u64) as usize + attempt as usize) % self.senders.len();
-            let wait = match self.submit(id, order, sender, deadline, body, mark).await {
+            let wait = match self.submit(id, order, sender, deadline, body, retried).await {
                 SubmitResult::Accepted => {
                     self.accepted.borrow_mut().insert(id, (order, attempt, body));
                     return;
                 }
                 SubmitResult::Failed => return,
                 SubmitResult::Refused(wait) => {
-                    mark = "1";
+                    retried = "1";
                     wait
                 }
                 SubmitResult::NoAnswer => {
-                    mark = "again";
+                    retried = "again";
                     NO_ANSWER_RETRY_DELAY
                 }
             };
@@ -124,7 +125,7 @@
         sender: usize,
         deadline: Micros,
         body: usize,
-        mark: &str,
+        retried: &str,
     ) -> SubmitResult {
         let until = tokio::time::Instant::now() + ANSWER_TIMEOUT;
         loop {
@@ -138,7 +139,7 @@
                     _ => return SubmitResult::NoAnswer,
                 },
             };
-            let request = self.request(id, order, sender, deadline, body, mark);
+            let request = self.request(id, order, sender, deadline, body, retried);
             let exchange = async {
                 wire.write(&request).await?;
                 wire.read_answer().await
@@ -147,8 +148,8 @@
                 Ok(Ok(answer)) => {
                     let now = self.observations.now();
                     self.observations.log(format_args!("status {id:016x} {}", answer.status));
-                    if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
-                        m.answer.get_or_insert((now, answer.status));
+                    if let Some(message) = self.observations.messages.borrow_mut().get_mut(&id) {
+                        message.answer.get_or_insert((now, answer.status));
                     }
                     let mut idle = self.idle.borrow_mut();
                     if !answer.closes() && idle[sender].len() < MAX_IDLE_CONNECTIONS {
@@ -170,8 +171,8 @@
                 Ok(Err(_)) if reused => {}
                 _ => {
                     self.observations.log(format_args!("forsaken {id:016x}"));
-                    if let Some(m) = self.observations.messages.borrow_mut().get_mut(&id) {
-                        m.abandoned_at = Some(self.observations.now());
+                    if let Some(message) = self.observations.messages.borrow_mut().get_mut(&id) {
+                        message.abandoned_at = Some(self.observations.now());
                     }
                     return SubmitResult::NoAnswer;
                 }
@@ -187,7 +188,7 @@
         sender: usize,
         deadline: Micros,
         body: usize,
-        mark: &str,
+        retried: &str,
     ) -> Vec<u8> {
         let now = self.observations.now();
         let mut orders = self.observations.orders.borrow_mut();
@@ -220,15 +221,15 @@
         let mut text = format!(
             "POST /{class} HTTP/1.1\r\nHost: api.internal\r\nX-Request-ID: {id:016x}\r\n\
              X-Priority-Class: {class}\r\nX-Tenant-Id: {tenant}\r\nX-Timeout-Ms: {ms}\r\n\
-             X-Retried: {mark}\r\nX-Envelope: dest={dest}\r\nContent-Length: {body}\r\n\r\n"
+             X-Retried: {retried}\r\nX-Envelope: dest={dest}\r\nContent-Length: {body}\r\n\r\n"
         )
         .into_bytes();
         text.resize(text.len() + body, b'.');
         text
     }
 
-    /// Waits until a sender reports that it is up. Returns false after `patience`.
-    pub async fn wait_until_ready(&self, sender: usize, patience: Duration) -> bool {
+    /// Waits until a sender reports that it is up. Returns false after `max_wait`.
+    pub async fn wait_until_ready(&self, sender: usize, max_wait: Duration) -> bool {
         let poll = async {
             loop {
                 if self.fetch_up_status(sender).await.is_ok_and(|status| status == 200) {
@@ -237,7 +238,7 @@
                 sleep(Duration::from_millis(20)).await;
             }
         };
-        timeout(patience, poll).await.is_ok()
+        timeout(max_wait, poll).await.is_ok()
     }
 
     async fn fetch_up_status(&self, sender: usize) -> io::Result<u16> {
@@ -292,8 +293,8 @@
             ("no such class", b"POST /nothing HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n".to_vec()),
             ("half a request", head(&format!("{full}Content-Length: 10\r\n\r\nhal"))),
             ("no such destination", {
-                let h = full.replace("dest=1", "dest=99999999");
-                head(&format!("{h}Content-Length: 0\r\n\r\n"))
+                let headers = full.replace("dest=1", "dest=99999999");
+                head(&format!("{headers}Content-Length: 0\r\n\r\n"))
             }),
         ];
         let number = number % kinds.len();
--- a/crates/rehearsal/src/compare.rs
+++ b/crates/rehearsal/src/compare.rs
@@ -48,15 +48,15 @@
         for _ in 0..jobs.max(1) {
             scope.spawn(|| {
                 loop {
-                    let n = next.fetch_add(1, Ordering::Relaxed);
-                    let (seed, side) = (from + n / 2, (n % 2) as usize);
+                    let index = next.fetch_add(1, Ordering::Relaxed);
+                    let (seed, side) = (from + index / 2, (index % 2) as usize);
                     if seed >= from + count {
                         return;
                     }
                     let run_result = run_seed(&sides[side].program, &sides[side].file, seed);
                     let Ok(mut done) = done.lock() else { return };
                     match (run_result, done.as_mut()) {
-                        (Ok(p), Ok(all)) => drop(all.insert((seed, side), p)),
+                        (Ok(result), Ok(all)) => drop(all.insert((seed, side), result)),
                         (Err(why), Ok(_)) => *done = Err(why),
                         _ => return,
                     }
@@ -65,14 +65,18 @@
         }
     });
     let all = done.into_inner().map_err(|e| e.to_string())??;
-    let side = |k: usize| all.iter().filter(move |((_, s), _)| *s == k).map(|(_, v)| *v);
-    let kept: Vec<Vec<f64>> = (0..2).map(|k| side(k).map(|v| v.0).collect()).collect();
+    let of_side =
+        |wanted: usize| all.iter().filter(move |((_, side), _)| *side == wanted).map(|(_, result)| *result);
+    let kept: Vec<Vec<f64>> = (0..2).map(|side| of_side(side).map(|result| result.0).collect()).collect();
     let differences: Vec<f64> = kept[0].iter().zip(&kept[1]).map(|(a, b)| b - a).collect();
     Ok(Comparison {
         seeds: differences.len() as u64,
         kept: [mean(&kept[0]), mean(&kept[1])],
         spread: [standard_deviation(&kept[0]), standard_deviation(&kept[1])],
-        violating_seeds: [side(0).filter(|v| v.1).count() as u64, side(1).filter(|v| v.1).count() as u64],
+        violating_seeds: [
+            of_side(0).filter(|result| result.1).count() as u64,
+            of_side(1).filter(|result| result.1).count() as u64,
+        ],
         difference: mean(&differences),
         error: standard_deviation(&differences) / (differences.len().max(1) as f64).sqrt(),
     })
--- a/crates/rehearsal/src/config.rs
+++ b/crates/rehearsal/src/config.rs
@@ -14,7 +14,7 @@
     pub discovery: SocketAddr,
     /// Addresses for notes: its own, those of all senders in order (including its own), and the broadcast
     /// address.
-    pub peers: Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>,
+    pub notes: Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>,
 }
 
 /// Returns the text of `config.json` for a sender's n-th process lifetime.
@@ -29,7 +29,6 @@
     let senders = &scenario.senders;
     let zones = scenario.zones();
     let cold: Vec<_> = scenario.partner.iter().filter_map(|p| p.get_ref().spec.cold).collect();
-    // With several partners, the most sensitive values apply.
     let min = |x: f64, y: f64| x.min(y);
     let seed = mix(seed, mix(sender as u64 + 7, u64::from(lifetime)));
     let mut config = json!({
@@ -42,13 +41,13 @@
             "bounds": {"cancelling": senders.cancelling, "connIdleS": senders.conn_idle_s,
                 "connectTimeoutS": senders.connect_timeout_s, "maxAttempts": senders.max_attempts,
                 "maxRetryAfterS": senders.max_retry_after_s, "mostHeld": senders.most_held, "multiplex": 1,
-                "parallelTries": senders.parallel_tries, "peerMessages": addresses.peers.is_some(),
+                "parallelTries": senders.parallel_tries, "peerMessages": addresses.notes.is_some(),
                 "retryAfter": true},
-            "classes": scenario.class.iter().map(|c| {
-                let c = c.get_ref();
-                json!({"name": c.name, "effect": c.effect, "group": "all", "memorySpanS": c.memory_s,
-                    "sloS": c.wanted_s, "deadlineS": c.deadline_s, "worth": c.worth,
-                    "lateShare": c.late_share})
+            "classes": scenario.class.iter().map(|entry| {
+                let class = entry.get_ref();
+                json!({"name": class.name, "effect": class.effect, "group": "all",
+                    "memorySpanS": class.memory_s, "sloS": class.wanted_s, "deadlineS": class.deadline_s,
+                    "worth": class.worth, "lateShare": class.late_share})
             }).collect::<Vec<_>>(),
             "clients": {"marksRetry": true}, "discovery": "ask",
             "familyInfo": {
@@ -57,14 +56,15 @@
                 "fades": senders.fades, "slots": senders.slots},
             "kinds": scenario.partner.iter().map(|p| p.get_ref().name.clone()).collect::<Vec<_>>(),
             "locality": zones[sender % zones.len()], "me": sender, "overShareWorth": senders.over_share_worth,
-            "parties": scenario.tenant.iter().map(|t| {
-                let t = t.get_ref();
-                json!({"name": t.name, "allowancePerS": t.allowance_per_s, "share": 1.0})
+            "parties": scenario.tenant.iter().map(|entry| {
+                let tenant = entry.get_ref();
+                json!({"name": tenant.name, "allowancePerS": tenant.allowance_per_s, "share": 1.0})
             }).collect::<Vec<_>>(),
             "siblings": senders.count, "tickS": senders.tick_ms / 1e3, "zones": zones,
         },
     });
     if !cold.is_empty() {
+        // With several partners, the most sensitive values apply.
         config["settings"]["safety"] = json!({
             "coldS": cold.iter().map(|c| c.warm_s).fold(0.0, f64::max),
             "startCapacity": cold.iter().map(|c| c.start_share).fold(1.0, min),
@@ -72,10 +72,10 @@
             "tipAfterS": cold.iter().map(|c| c.fall_after_s).fold(3_600.0, min),
         });
     }
-    if let Some((listen, peers, all)) = &addresses.peers {
-        config["peer_listen"] = json!(listen);
-        config["peers"] = json!(peers);
-        config["peers_all"] = json!(all);
+    if let Some((own, all, broadcast)) = &addresses.notes {
+        config["peer_listen"] = json!(own);
+        config["peers"] = json!(all);
+        config["peers_all"] = json!(broadcast);
     }
     format!("{config:#}\n")
 }
--- a/crates/rehearsal/src/demo.rs
+++ b/crates/rehearsal/src/demo.rs
@@ -54,13 +54,14 @@
     }
     let scenario = runner.scenario();
     let destinations = scenario.destinations();
-    // By partner: submitted, held, delivered.
+    // Messages by partner: submitted, held (accepted, but neither delivered nor ended by a notice), and
+    // delivered.
     let mut counts: BTreeMap<usize, [usize; 3]> = BTreeMap::new();
     let orders = observations.orders.borrow();
     for message in observations.messages.borrow().values() {
         let partner = destinations[orders[message.order].destination].0;
         let partner_counts = counts.entry(partner).or_default();
-        let is_accepted = message.answer.is_some_and(|a| matches!(a.1, 200 | 202));
+        let is_accepted = message.answer.is_some_and(|answer| matches!(answer.1, 200 | 202));
         partner_counts[0] += 1;
         partner_counts[1] +=
             usize::from(is_accepted && message.delivered.is_none() && message.notices.is_empty());
@@ -81,7 +82,7 @@
         }
     }
     for (n, partner_spec) in scenario.partner.iter().enumerate() {
-        let [asked, held, delivered] = counts.get(&n).copied().unwrap_or_default();
+        let [submitted, held, delivered] = counts.get(&n).copied().unwrap_or_default();
         let (mut calls, mut refused) = (0, 0);
         for (emulated, _) in
             runner.emulated_destinations().iter().zip(&destinations).filter(|(_, d)| d.0 == n)
@@ -92,6 +93,6 @@
             refused += all.iter().filter(|call| matches!(call.answer, Some((_, 429 | 503)))).count();
         }
         let name = &partner_spec.get_ref().name;
-        println!("{second:>5}  {name:<8} {asked:>6} {held:>6} {delivered:>9} {calls:>8} {refused:>8}");
+        println!("{second:>5}  {name:<8} {submitted:>6} {held:>6} {delivered:>9} {calls:>8} {refused:>8}");
     }
 }
--- a/crates/rehearsal/src/endpoint.rs
+++ b/crates/rehearsal/src/endpoint.rs
@@ -23,8 +23,8 @@
 const TRICKLE_INTERVAL: Duration = Duration::from_millis(20);
 /// Number of bytes of an answer after which its status is known: `HTTP/1.1 200 `.
 const STATUS_LINE_BYTES: usize = 13;
-/// A caller that closes within this time after an answer has not read it: its time-out elapsed at the same
-/// time.
+/// A caller that closes within this time after an answer was written may not have read it, because its
+/// time-out elapsed at the same time.
 const CROSSING_TIME: Micros = 2_000;
 /// Bytes that are sent in place of an answer.
 const GARBAGE_ANSWER: &[u8] = b"\x16\x03\x01\x00\xa5 not an answer at all\r\n\r\n";
@@ -56,10 +56,16 @@
 
 impl EmulatedDestination {
     /// Creates a destination for a model that has no endpoints yet.
-    pub fn new(destination: usize, model: Partner, s: &Scenario, observations: Rc<Observations>) -> Rc<Self> {
+    pub fn new(
+        destination: usize,
+        model: Partner,
+        scenario: &Scenario,
+        observations: Rc<Observations>,
+    ) -> Rc<Self> {
         let dedup_window =
             |c: &crate::scenario::Class| (c.effect == "deduplicated").then_some((c.memory_s * 1e6) as Micros);
-        let classes = s.class.iter().map(|c| (c.get_ref().name.clone(), dedup_window(c.get_ref()))).collect();
+        let classes =
+            scenario.class.iter().map(|c| (c.get_ref().name.clone(), dedup_window(c.get_ref()))).collect();
         let (waiting, model_changed, endpoint_states) = Default::default();
         Rc::new(Self {
             destination,
@@ -106,8 +112,8 @@
             .borrow()
             .iter()
             .enumerate()
-            .filter(|(_, s)| !s.has_left)
-            .map(|(n, _)| n)
+            .filter(|(_, state)| !state.has_left)
+            .map(|(endpoint, _)| endpoint)
             .collect()
     }
 
@@ -362,7 +368,11 @@
                 }
                 text =
                     format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()).into_bytes();
-                each = results.iter().filter(|r| r.1 == MessageResult::Done).map(|r| r.0).collect();
+                each = results
+                    .iter()
+                    .filter(|result| result.1 == MessageResult::Done)
+                    .map(|result| result.0)
+                    .collect();
                 done = &each;
             }
             Reply::Silent => {
--- a/crates/rehearsal/src/hosts.rs
+++ b/crates/rehearsal/src/hosts.rs
@@ -39,7 +39,7 @@
     fn network(&self, role: Role) -> Rc<dyn Network>;
     /// Returns the addresses for notes between senders, if they are supported: the sender's own, those of
     /// all senders in order, and the broadcast address.
-    fn peers(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>;
+    fn note_addresses(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)>;
     /// Sets the configuration that a sender reads.
     fn configure(&self, sender: usize, text: String);
     /// Starts a sender.
--- a/crates/rehearsal/src/hunt.rs
+++ b/crates/rehearsal/src/hunt.rs
@@ -112,11 +112,11 @@
     let mut target = if rng.random_bool(0.25) {
         format!("hall = {:?}\n", partner.zone)
     } else {
-        let mut t = format!("partner = {:?}\n", partner.name);
+        let mut target = format!("partner = {:?}\n", partner.name);
         if rng.random_bool(0.5) {
-            let _ = writeln!(t, "destination = {}", rng.random_range(0..partner.destinations));
+            let _ = writeln!(target, "destination = {}", rng.random_range(0..partner.destinations));
         }
-        t
+        target
     };
     if rng.random_bool(0.4) {
         let _ = writeln!(target, "endpoint = {}", rng.random_range(0..partner.endpoints));
@@ -190,8 +190,8 @@
                     if seed >= from + count {
                         return;
                     }
-                    let Ok(s) = base.parse(&[]) else { return };
-                    let done = run_seed(base, &random_faults(&s, seed), seed);
+                    let Ok(scenario) = base.parse(&[]) else { return };
+                    let done = run_seed(base, &random_faults(&scenario, seed), seed);
                     let Ok(mut found) = found.lock() else { return };
                     let (found, kept) = &mut *found;
                     found.seeds += 1;
--- a/crates/rehearsal/src/live.rs
+++ b/crates/rehearsal/src/live.rs
@@ -76,7 +76,7 @@
         Rc::new(SystemSockets::default())
     }
 
-    fn peers(&self, _: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
+    fn note_addresses(&self, _: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
         // Loopback sockets cannot send a broadcast datagram from the sender's own address.
         None
     }
@@ -133,8 +133,8 @@
         let mut senders = self.senders.borrow_mut();
         let machine = &mut senders[sender];
         if let Ok(Some(status)) = machine.child.as_mut()?.try_wait() {
-            let why = if status.success() { String::new() } else { format!("ended: {status}") };
-            machine.ended.get_or_insert(why);
+            let reason = if status.success() { String::new() } else { format!("ended: {status}") };
+            machine.ended.get_or_insert(reason);
         }
         machine.ended.clone()
     }
--- a/crates/rehearsal/src/main.rs
+++ b/crates/rehearsal/src/main.rs
@@ -213,6 +213,7 @@
 /// The environment in which a scenario is run.
 enum World {
     Virtual(Options),
+    /// The command that starts a sender, and the folder for the senders' configuration, state and log.
     Live(Vec<PathBuf>, PathBuf),
 }
 
@@ -267,11 +268,11 @@
     }
     if let Some(path) = html {
         let seconds = (result.end / 1_000_000) as usize + 1;
-        let lead = STARTUP_TIME.as_micros() as u64;
-        let beliefs = recorded.map(|folder| windows::read(&folder, &scenario, seconds, lead));
+        let startup_micros = STARTUP_TIME.as_micros() as u64;
+        let sender_views = recorded.map(|folder| windows::read(&folder, &scenario, seconds, startup_micros));
         // The recordings are large, so they are removed even if they could not be read.
         let _ = std::fs::remove_dir_all(&temporary_folder);
-        write(path, &report::html(&result, &score, &violations, beliefs.transpose()?.as_deref())?)?;
+        write(path, &report::html(&result, &score, &violations, sender_views.transpose()?.as_deref())?)?;
     }
     Ok(ExitCode::from(u8::from(!violations.is_empty())))
 }
@@ -372,12 +373,12 @@
     let jobs = thread_count(jobs);
     let done = std::sync::atomic::AtomicU64::new(0);
     let found = hunt(&base, from, seeds, jobs, |seed, violation| {
-        let n = done.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
+        let done = done.fetch_add(1, std::sync::atomic::Ordering::Relaxed) + 1;
         if let Some(violation) = violation {
             eprintln!("seed {seed}: {violation}");
         }
-        if n.is_multiple_of(100) || n == seeds {
-            let _ = writeln!(std::io::stderr(), "{n} of {seeds} seeds");
+        if done.is_multiple_of(100) || done == seeds {
+            let _ = writeln!(std::io::stderr(), "{done} of {seeds} seeds");
         }
     })
     .map_err(|e| e.to_string())?;
@@ -402,7 +403,7 @@
     let mut errors = Vec::new();
     for file in files {
         match scenario::read(file) {
-            Ok(s) => println!("{}: sound: {}", file.display(), s.about),
+            Ok(scenario) => println!("{}: sound: {}", file.display(), scenario.about),
             Err(e) => errors.push(e.to_string()),
         }
     }
--- a/crates/rehearsal/src/observations.rs
+++ b/crates/rehearsal/src/observations.rs
@@ -179,9 +179,9 @@
     }
 
     /// Records a violation detected by an emulated party.
-    pub fn record_anomaly(&self, description: String) {
-        self.log(format_args!("odd {description}"));
-        self.anomalies.borrow_mut().push((self.now(), description));
+    pub fn record_anomaly(&self, details: String) {
+        self.log(format_args!("odd {details}"));
+        self.anomalies.borrow_mut().push((self.now(), details));
     }
 
     /// Returns the number of a sender's current process lifetime.
@@ -194,8 +194,8 @@
         let mut messages = self.messages.borrow_mut();
         for id in ids {
             self.log(format_args!("crossed {id:016x}"));
-            if let Some(m) = messages.get_mut(id) {
-                m.is_answer_crossed = true;
+            if let Some(message) = messages.get_mut(id) {
+                message.is_answer_crossed = true;
             }
         }
     }
@@ -205,8 +205,8 @@
         let now = self.now();
         self.log(format_args!("delivered {id:016x}"));
         let mut messages = self.messages.borrow_mut();
-        let Some(m) = messages.get_mut(&id) else { return };
-        m.delivered.get_or_insert(now);
-        self.orders.borrow_mut()[m.order].delivered.get_or_insert(now);
+        let Some(message) = messages.get_mut(&id) else { return };
+        message.delivered.get_or_insert(now);
+        self.orders.borrow_mut()[message.order].delivered.get_or_insert(now);
     }
 }
--- a/crates/rehearsal/src/platform.rs
+++ b/crates/rehearsal/src/platform.rs
@@ -171,10 +171,10 @@
         let mut notices = Vec::new();
         for line in text.lines() {
             let read = serde_json::from_str::<serde_json::Value>(line).ok();
-            let found = read.as_ref().and_then(|v| {
-                let id = u64::from_str_radix(v["ref"].as_str()?, 16).ok()?;
-                let result = v["result"].as_str().filter(|r| ["dead", "bounced"].contains(r))?;
-                Some((id, result.to_owned(), v["wait_ms"].as_u64().unwrap_or(0)))
+            let found = read.as_ref().and_then(|notice| {
+                let id = u64::from_str_radix(notice["ref"].as_str()?, 16).ok()?;
+                let verdict = notice["result"].as_str().filter(|text| ["dead", "bounced"].contains(text))?;
+                Some((id, verdict.to_owned(), notice["wait_ms"].as_u64().unwrap_or(0)))
             });
             let Some(found) = found else {
                 self.observations
--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -19,8 +19,8 @@
 pub fn text(result: &RunResult, score: &Score, violations: &[Violation]) -> String {
     let mut out = String::new();
     let counts = &score.counts;
-    let how = if result.live { "on loopback sockets" } else { "in virtual time" };
-    let _ = writeln!(out, "{}, seed {}, {how}", result.scenario.name, result.seed);
+    let environment = if result.live { "on loopback sockets" } else { "in virtual time" };
+    let _ = writeln!(out, "{}, seed {}, {environment}", result.scenario.name, result.seed);
     let _ = writeln!(
         out,
         "  score {:.4}   worth kept {:.4}   worst 10 s from {:.0} s on: {:.3}",
@@ -42,7 +42,7 @@
     for (what, shares) in
         [("class", &score.classes), ("tenant", &score.tenants), ("partner", &score.partners)]
     {
-        let all: Vec<String> = shares.iter().map(|(name, x)| format!("{name} {x:.3}")).collect();
+        let all: Vec<String> = shares.iter().map(|(name, share)| format!("{name} {share:.3}")).collect();
         let _ = writeln!(out, "  by {what}: {}", all.join("  "));
     }
     if violations.is_empty() {
@@ -106,13 +106,13 @@
     let mut held = vec![vec![false; seconds]; result.ledgers.len()];
     let mut called = held.clone();
     for message in result.observations.messages.borrow().values() {
-        if message.answer.is_some_and(|a| matches!(a.1, 200 | 202)) {
+        if message.answer.is_some_and(|answer| matches!(answer.1, 200 | 202)) {
             let order = &orders[message.order];
             accepted[row_index(message.submitted_at)] += 1;
             let end = message.delivered.or(message.notices.first().map(|n| n.at)).unwrap_or(message.deadline);
             for second in (message.submitted_at / 1_000_000 + 1)..(end / 1_000_000) {
-                if let Some(h) = held[order.destination].get_mut(second as usize) {
-                    *h = true;
+                if let Some(is_held) = held[order.destination].get_mut(second as usize) {
+                    *is_held = true;
                 }
             }
         }
@@ -122,10 +122,10 @@
             let row = row_index(call.received_at);
             rows[row].calls += 1;
             rows[row].refused += usize::from(matches!(call.answer, Some((_, 429 | 503))));
-            rows[row].unanswered += usize::from(call.answer.is_none_or(|a| a.1 == 0));
+            rows[row].unanswered += usize::from(call.answer.is_none_or(|answer| answer.1 == 0));
             attempts[row] += call.messages.len();
-            if let Some(x) = called[destination].get_mut((call.received_at / 1_000_000) as usize) {
-                *x = true;
+            if let Some(is_called) = called[destination].get_mut((call.received_at / 1_000_000) as usize) {
+                *is_called = true;
             }
         }
     }
@@ -135,10 +135,12 @@
         row.attempts = attempts[n] as f64 / accepted[n].max(1) as f64;
         let all = || {
             (row.from_s..(row.from_s + width).min(seconds))
-                .flat_map(|s| (0..held.len()).map(move |destination| (destination, s)))
+                .flat_map(|second| (0..held.len()).map(move |destination| (destination, second)))
         };
-        let back = all().filter(|&(destination, s)| held[destination][s] && !called[destination][s]).count();
-        row.held_back = back as f64 / all().count().max(1) as f64;
+        let held_back = all()
+            .filter(|&(destination, second)| held[destination][second] && !called[destination][second])
+            .count();
+        row.held_back = held_back as f64 / all().count().max(1) as f64;
     }
     rows
 }
@@ -170,10 +172,10 @@
 pub fn json(result: &RunResult, score: &Score, violations: &[Violation]) -> serde_json::Value {
     let rules: serde_json::Map<_, _> = RULES
         .iter()
-        .map(|r| {
+        .map(|rule| {
             (
-                json!(r).as_str().unwrap_or_default().to_owned(),
-                json!(violations.iter().filter(|violation| violation.rule == *r).count()),
+                json!(rule).as_str().unwrap_or_default().to_owned(),
+                json!(violations.iter().filter(|violation| violation.rule == *rule).count()),
             )
         })
         .collect();
@@ -194,9 +196,9 @@
     let partners = result.scenario.partner.iter().enumerate();
     let destinations = result.scenario.destinations();
     partners
-        .map(|(n, p)| {
-            let mut c = PartnerSeries {
-                name: p.get_ref().name.clone(),
+        .map(|(n, partner)| {
+            let mut series = PartnerSeries {
+                name: partner.get_ref().name.clone(),
                 calls: vec![0.0; seconds],
                 refused: vec![0.0; seconds],
                 waiting: vec![0.0; seconds],
@@ -204,15 +206,15 @@
             for (destination, _) in destinations.iter().enumerate().filter(|(_, x)| x.0 == n) {
                 for call in &result.ledgers[destination].calls {
                     let at = ((call.received_at / 1_000_000) as usize).min(seconds - 1);
-                    c.calls[at] += 1.0;
-                    c.refused[at] += f64::from(u8::from(matches!(call.answer, Some((_, 429 | 503)))));
+                    series.calls[at] += 1.0;
+                    series.refused[at] += f64::from(u8::from(matches!(call.answer, Some((_, 429 | 503)))));
                 }
                 for (sample, (serving, queued)) in result.loads[destination].iter().enumerate() {
                     let at = (sample / SAMPLES_PER_SECOND).min(seconds - 1);
-                    c.waiting[at] += (f64::from(*serving) + *queued as f64) / SAMPLES_PER_SECOND as f64;
+                    series.waiting[at] += (f64::from(*serving) + *queued as f64) / SAMPLES_PER_SECOND as f64;
                 }
             }
-            c
+            series
         })
         .collect()
 }
@@ -226,8 +228,8 @@
 /// Returns the error of the plotting library.
 pub fn plot(title: &str, lines: &[Line<'_>]) -> Result<String, String> {
     let mut svg = String::new();
-    let seconds = lines.iter().map(|l| l.1.len()).max().unwrap_or(1).max(2);
-    let top = lines.iter().flat_map(|l| l.1.iter().copied()).fold(1.0, f64::max) * 1.05;
+    let seconds = lines.iter().map(|line| line.1.len()).max().unwrap_or(1).max(2);
+    let top = lines.iter().flat_map(|line| line.1.iter().copied()).fold(1.0, f64::max) * 1.05;
     {
         let area = SVGBackend::with_string(&mut svg, (760, 220)).into_drawing_area();
         let fail = |e: &dyn std::fmt::Display| e.to_string();
@@ -268,8 +270,8 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Formats a result as an HTML page. `beliefs` has the series of each partner from the senders' recorders,
-/// if they were enabled.
+/// Formats a result as an HTML page. `sender_views` has the series of each partner from the senders'
+/// recorders, if they were enabled.
 ///
 /// # Errors
 /// Fails if a plot cannot be drawn.
@@ -277,7 +279,7 @@
     result: &RunResult,
     score: &Score,
     violations: &[Violation],
-    beliefs: Option<&[windows::BeliefSeries]>,
+    sender_views: Option<&[windows::SenderViewSeries]>,
 ) -> Result<String, String> {
     let mut page = String::from(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Rehearsal</title>\n<style>\
@@ -300,11 +302,11 @@
         score.score, result.seed
     );
     let _ = writeln!(page, "<pre>{}</pre>", escape(&text(result, score, violations)));
-    let asked: Vec<f64> = score.seconds.iter().map(|x| x.0).collect();
-    let got: Vec<f64> = score.seconds.iter().map(|x| x.1).collect();
+    let requested: Vec<f64> = score.seconds.iter().map(|worth| worth.0).collect();
+    let delivered: Vec<f64> = score.seconds.iter().map(|worth| worth.1).collect();
     page += &plot(
         "worth by the second in which it was asked for",
-        &[("asked", &asked, GREY_LINE), ("delivered", &got, BLUE_LINE)],
+        &[("asked", &requested, GREY_LINE), ("delivered", &delivered, BLUE_LINE)],
     )?;
     for (n, partner) in partner_series(result).iter().enumerate() {
         page += &plot(
@@ -315,13 +317,13 @@
                 ("in service or queued", &partner.waiting, GREY_LINE),
             ],
         )?;
-        if let Some(belief) = beliefs.and_then(|all| all.get(n)) {
+        if let Some(view) = sender_views.and_then(|all| all.get(n)) {
             page += &plot(
                 &format!("{}: what senders believe, all together", partner.name),
                 &[
-                    ("windows", &belief.window, BLUE_LINE),
-                    ("calls out", &belief.in_flight, RED_LINE),
-                    ("messages held", &belief.held, GREY_LINE),
+                    ("windows", &view.window, BLUE_LINE),
+                    ("calls out", &view.in_flight, RED_LINE),
+                    ("messages held", &view.held, GREY_LINE),
                 ],
             )?;
         }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -72,15 +72,16 @@
         .map_err(|e| e.to_string())?;
     let local = LocalSet::new();
     runtime.block_on(local.run_until(async {
-        let s = &scenario.senders;
+        let senders = &scenario.senders;
         let hosts = Virtual::new(scenario, mix(seed, 3), options, heartbeat);
         let runner = Runner::build(scenario.clone(), seed, hosts.clone(), Some(hosts.clone()), STARTUP_TIME)?;
         let result = runner.run().await?;
-        for n in 0..s.count {
-            if hosts.store(n).limit_exceeded.get() {
-                result
-                    .observations
-                    .record_anomaly(format!("sender {n}: its folder held more than {} MB", s.disk_mb));
+        for sender in 0..senders.count {
+            if hosts.store(sender).limit_exceeded.get() {
+                result.observations.record_anomaly(format!(
+                    "sender {sender}: its folder held more than {} MB",
+                    senders.disk_mb
+                ));
             }
         }
         Ok(RunResult { log: result.observations.take_event_log(), ..result })
@@ -282,7 +283,7 @@
         let addresses = Addresses {
             listen: self.hosts.address(Role::Sender(sender)),
             discovery: self.discovery.borrow()[sender].0,
-            peers: self.hosts.peers(sender).filter(|_| scenario.senders.notes),
+            notes: self.hosts.note_addresses(sender).filter(|_| scenario.senders.notes),
         };
         let lifetime = self.observations.lifetime(sender);
         let text = config::config_text(scenario, sender, lifetime, &addresses, known, self.seed);
@@ -310,8 +311,8 @@
             {
                 let now = runner.observations.now();
                 runner.observations.log(format_args!("ready {sender}"));
-                if let Some(l) = runner.observations.lifetimes.borrow_mut()[sender].last_mut() {
-                    l.ready = Some(now);
+                if let Some(lifetime) = runner.observations.lifetimes.borrow_mut()[sender].last_mut() {
+                    lifetime.ready = Some(now);
                 }
             }
         });
@@ -338,14 +339,15 @@
         tokio::task::spawn_local(self.clone().submit_arrivals());
         tokio::task::spawn_local(self.clone().apply_events(known));
         tokio::task::spawn_local(self.clone().monitor());
-        for (n, b) in self.scenario.bad_client.iter().enumerate() {
-            self.start_bad_clients(n, b.get_ref());
+        for (group, bad_client) in self.scenario.bad_client.iter().enumerate() {
+            self.start_bad_clients(group, bad_client.get_ref());
         }
         let longest_deadline = self.scenario.class.iter().map(|c| c.get_ref().deadline_s).fold(0.0, f64::max);
         let end = ((self.scenario.duration_s + longest_deadline) * 1e6) as Micros + END_MARGIN;
         sleep_until(self.observations.instant_at(end)).await;
         (0..senders).for_each(|n| self.hosts.kill(n));
-        let ledgers = self.emulated_destinations.iter().map(|s| s.model().ledger().clone()).collect();
+        let ledgers =
+            self.emulated_destinations.iter().map(|emulated| emulated.model().ledger().clone()).collect();
         Ok(RunResult {
             scenario: self.scenario.clone(),
             seed: self.seed,
@@ -404,13 +406,13 @@
                 if let Some(reason) = self.hosts.exit_reason(sender) {
                     self.observations.log(format_args!("ended {sender} {reason}"));
                     let now = self.observations.now();
-                    if let Some(l) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
-                        l.ended = Some(now);
-                        l.crashed.get_or_insert(reason.clone());
+                    if let Some(lifetime) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
+                        lifetime.ended = Some(now);
+                        lifetime.crashed.get_or_insert(reason.clone());
                     }
-                    let hangs = reason.starts_with("hangs");
+                    let is_hang = reason.starts_with("hangs");
                     self.hosts.kill(sender);
-                    if hangs {
+                    if is_hang {
                         // A restarted sender would hang again.
                         self.is_restarting.borrow_mut()[sender] = true;
                     } else {
@@ -453,12 +455,12 @@
     fn targeted_endpoints(&self, event: &Event) -> Vec<(Rc<EmulatedDestination>, usize)> {
         let destinations =
             self.scenario.select(event.zone.as_deref(), event.partner.as_deref(), event.destination);
-        let endpoints_of = |d: usize| {
-            let emulated = self.emulated_destinations[d].clone();
+        let endpoints_of = |destination: usize| {
+            let emulated = self.emulated_destinations[destination].clone();
             let all = emulated.endpoints();
             let selected = event.endpoint.map_or(all.clone(), |n| all.get(n).copied().into_iter().collect());
-            let partner = self.scenario.partner[self.scenario.destinations()[d].0].get_ref();
-            let is_in_zone = |n: &usize| event.zone.as_deref().is_none_or(|h| partner.zone_of(*n) == h);
+            let partner = self.scenario.partner[self.scenario.destinations()[destination].0].get_ref();
+            let is_in_zone = |n: &usize| event.zone.as_deref().is_none_or(|zone| partner.zone_of(*n) == zone);
             selected.into_iter().filter(is_in_zone).map(move |n| (emulated.clone(), n)).collect::<Vec<_>>()
         };
         if event.zone.is_none() && event.partner.is_none() {
@@ -505,13 +507,14 @@
                 }
             }
             EventKind::Cut => self.cut(event, for_s),
-            EventKind::Silent => {
-                self.targeted_endpoints(event).iter().for_each(|(s, endpoint)| s.silence(*endpoint, span))
-            }
+            EventKind::Silent => self
+                .targeted_endpoints(event)
+                .iter()
+                .for_each(|(emulated, endpoint)| emulated.silence(*endpoint, span)),
             EventKind::Pause => self
                 .targeted_endpoints(event)
                 .iter()
-                .for_each(|(s, endpoint)| s.change(*endpoint, Change::Pause(span))),
+                .for_each(|(emulated, endpoint)| emulated.change(*endpoint, Change::Pause(span))),
             EventKind::Die => self.apply_and_revert(event, for_s, Change::Die, Change::Return),
             EventKind::Slow => self.apply_and_revert(
                 event,
@@ -552,16 +555,20 @@
     /// Applies `now` to the endpoints of an event, and `then` to the same endpoints after `for_s`.
     fn apply_and_revert(&self, event: &Event, for_s: f64, now: Change, then: Change) {
         let endpoints = self.targeted_endpoints(event);
-        endpoints.iter().for_each(|(s, n)| s.change(*n, now));
-        self.schedule(for_s, move || endpoints.iter().for_each(|(s, n)| s.change(*n, then)));
+        endpoints.iter().for_each(|(emulated, endpoint)| emulated.change(*endpoint, now));
+        self.schedule(for_s, move || {
+            endpoints.iter().for_each(|(emulated, endpoint)| emulated.change(*endpoint, then))
+        });
     }
 
     fn cut(&self, event: &Event, for_s: f64) {
         let Some(virt) = self.virt.clone() else { return };
         let mut cut: Vec<_> =
-            event.sender.map(|endpoint| virt.address(Role::Sender(endpoint)).ip()).into_iter().collect();
+            event.sender.map(|sender| virt.address(Role::Sender(sender)).ip()).into_iter().collect();
         for (emulated, endpoint) in self.targeted_endpoints(event) {
-            cut.extend(self.platform.member((emulated.destination, endpoint)).map(|m| m.address.ip()));
+            cut.extend(
+                self.platform.member((emulated.destination, endpoint)).map(|member| member.address.ip()),
+            );
         }
         cut.iter().for_each(|ip| virt.net().set_cut(*ip, true));
         self.schedule(for_s, move || cut.iter().for_each(|ip| virt.net().set_cut(*ip, false)));
@@ -633,17 +640,17 @@
     fn record_kill(&self, sender: usize) {
         let now = self.observations.now();
         self.observations.log(format_args!("kill {sender}"));
-        if let Some(l) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
-            l.stop_requested.get_or_insert(now);
-            l.ended = Some(now);
+        if let Some(lifetime) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
+            lifetime.stop_requested.get_or_insert(now);
+            lifetime.ended = Some(now);
         }
     }
 
     fn restart(self: &Rc<Self>, sender: usize, downtime_s: f64) {
         let now = self.observations.now();
         self.observations.log(format_args!("terminate {sender}"));
-        if let Some(l) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
-            l.stop_requested.get_or_insert(now);
+        if let Some(lifetime) = self.observations.lifetimes.borrow_mut()[sender].last_mut() {
+            lifetime.stop_requested.get_or_insert(now);
         }
         self.is_restarting.borrow_mut()[sender] = true;
         self.hosts.signal(sender, Signal::Terminate);
@@ -654,9 +661,9 @@
                 sleep(Duration::from_millis(10)).await;
             }
             if let Some(reason) = runner.hosts.exit_reason(sender).filter(|reason| !reason.is_empty())
-                && let Some(l) = runner.observations.lifetimes.borrow_mut()[sender].last_mut()
+                && let Some(lifetime) = runner.observations.lifetimes.borrow_mut()[sender].last_mut()
             {
-                l.crashed = Some(reason);
+                lifetime.crashed = Some(reason);
             }
             runner.record_kill(sender);
             runner.hosts.kill(sender);
--- a/crates/rehearsal/src/scenario.rs
+++ b/crates/rehearsal/src/scenario.rs
@@ -423,7 +423,7 @@
     })?;
     scenario.folder = folder;
     let mut errors = Vec::new();
-    let report = |at: usize, what: String| errors.push(format!("{name}:{}: {what}", line_number(text, at)));
+    let report = |at: usize, error: String| errors.push(format!("{name}:{}: {error}", line_number(text, at)));
     let mut validator = Validator { scenario: &scenario, report };
     validator.check_all();
     if let Some(replay) = scenario.replay.clone() {
@@ -451,7 +451,7 @@
             continue;
         }
         match parse_trace_line(scenario, line) {
-            Ok(t) => found.push(t),
+            Ok(entry) => found.push(entry),
             Err(why) => errors.push(format!("{name}:{}: {why}", index + 1)),
         }
         if found.len() > MAX_TRACE_MESSAGES {
@@ -773,16 +773,20 @@
 impl Scenario {
     /// Returns all destinations in order: the index of the partner and the number within it.
     pub fn destinations(&self) -> Vec<(usize, usize)> {
-        let all = self.partner.iter().enumerate();
-        all.flat_map(|(n, p)| (0..p.get_ref().destinations).map(move |d| (n, d))).collect()
+        let partners = self.partner.iter().enumerate();
+        partners
+            .flat_map(|(partner, entry)| {
+                (0..entry.get_ref().destinations).map(move |number| (partner, number))
+            })
+            .collect()
     }
 
     /// Returns the features of this scenario that only virtual time supports.
     pub fn virtual_time_only(&self) -> Vec<String> {
         let events = self.event.iter().map(|e| e.get_ref());
-        let only = |e: &&Event| {
+        let is_virtual_time_only = |event: &&Event| {
             matches!(
-                e.kind,
+                event.kind,
                 EventKind::Cut
                     | EventKind::DiskFull
                     | EventKind::Lose
@@ -793,7 +797,7 @@
         let copies =
             (self.senders.copies > 0).then(|| "senders.copies is supported in virtual time only".to_owned());
         let events = events
-            .filter(only)
+            .filter(is_virtual_time_only)
             .map(|e| format!("event at {} s: {:?} is supported in virtual time only", e.at_s, e.kind));
         events.chain(copies).collect()
     }
@@ -816,13 +820,18 @@
         partner: Option<&str>,
         destination: Option<usize>,
     ) -> Vec<usize> {
-        let matches = |(n, d): (usize, usize)| {
-            let p = self.partner[n].get_ref();
-            zone.is_none_or(|h| p.zones().any(|zone_name| zone_name == h))
-                && partner.is_none_or(|name| p.name == name)
-                && destination.is_none_or(|x| x == d)
+        let matches = |(partner_index, number): (usize, usize)| {
+            let entry = self.partner[partner_index].get_ref();
+            zone.is_none_or(|zone| entry.zones().any(|name| name == zone))
+                && partner.is_none_or(|name| entry.name == name)
+                && destination.is_none_or(|wanted| wanted == number)
         };
-        self.destinations().into_iter().enumerate().filter(|(_, d)| matches(*d)).map(|(n, _)| n).collect()
+        self.destinations()
+            .into_iter()
+            .enumerate()
+            .filter(|(_, found)| matches(*found))
+            .map(|(index, _)| index)
+            .collect()
     }
 }
 
@@ -872,8 +881,9 @@
         let path = folder.path().join("t.csv");
         let text = format!("{VALID}[replay]\nfile = \"t.csv\"\n");
         std::fs::write(&path, "# x\n2.5,update,,1,300\n0.5,update,,0,0\n").expect("written");
-        let s = parse(&text, "x.toml", folder.path().to_owned()).expect("valid scenario");
-        let found: Vec<_> = s.trace.iter().map(|t| (t.at_s, t.destination, t.body)).collect();
+        let scenario = parse(&text, "x.toml", folder.path().to_owned()).expect("valid scenario");
+        let found: Vec<_> =
+            scenario.trace.iter().map(|entry| (entry.at_s, entry.destination, entry.body)).collect();
         assert_eq!(found, [(0.5, 0, 0), (2.5, 1, 300)]);
         for (line, expected) in [
             ("1,update,,2,0", "destination"),
--- a/crates/rehearsal/src/score.rs
+++ b/crates/rehearsal/src/score.rs
@@ -56,7 +56,7 @@
 }
 
 /// Returns the worth of an order that is delivered `after` this time; 0 if it is not delivered.
-fn worth(result: &RunResult, class: usize, after: Option<Micros>) -> f64 {
+fn delivered_worth(result: &RunResult, class: usize, after: Option<Micros>) -> f64 {
     let class_spec = result.scenario.class[class].get_ref();
     let Some(after) = after.map(|t| t as f64 / 1e6).filter(|t| *t <= class_spec.deadline_s) else {
         return 0.0;
@@ -84,34 +84,36 @@
     let destinations = scenario.destinations();
     for order in result.observations.orders.borrow().iter() {
         let share = if order.over_share { scenario.senders.over_share_worth } else { 1.0 };
-        let asked = scenario.class[order.class].get_ref().worth * share;
+        let requested = scenario.class[order.class].get_ref().worth * share;
         let after = order.delivered.map(|t| t.saturating_sub(order.requested_at));
-        let got = worth(result, order.class, after) * share;
+        let delivered = delivered_worth(result, order.class, after) * share;
         let second = ((order.requested_at / 1_000_000) as usize).min(seconds - 1);
         let tenant = scenario.tenant.get(order.tenant).map_or("-", |t| t.get_ref().name.as_str());
         let partner = &scenario.partner[destinations[order.destination].0].get_ref().name;
-        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + asked, sum.1 + got);
+        let add = |sum: &mut (f64, f64)| *sum = (sum.0 + requested, sum.1 + delivered);
         add(&mut by_second[second]);
         add(classes.entry(scenario.class[order.class].get_ref().name.clone()).or_default());
         add(tenants.entry(tenant.to_owned()).or_default());
         add(partners.entry(partner.clone()).or_default());
         counts.orders += 1;
-        counts.delivered += usize::from(got > 0.0);
+        counts.delivered += usize::from(delivered > 0.0);
         counts.submissions += order.submissions as usize;
     }
     for message in result.observations.messages.borrow().values() {
-        counts.accepted += usize::from(message.answer.is_some_and(|a| matches!(a.1, 200 | 202)));
+        counts.accepted += usize::from(message.answer.is_some_and(|answer| matches!(answer.1, 200 | 202)));
         counts.notices += usize::from(!message.notices.is_empty());
     }
     for ledger in &result.ledgers {
         counts.calls += ledger.calls.len();
-        counts.refused += ledger.calls.iter().filter(|c| matches!(c.answer, Some((_, 429 | 503)))).count();
+        counts.refused +=
+            ledger.calls.iter().filter(|call| matches!(call.answer, Some((_, 429 | 503)))).count();
         counts.effects += ledger.effects.iter().filter(|e| !e.is_duplicate).count();
     }
     let all = sum(&by_second);
     let kept = share(all);
-    let shares =
-        |message: BTreeMap<String, (f64, f64)>| message.into_iter().map(|(k, v)| (k, share(v))).collect();
+    let shares = |by_name: BTreeMap<String, (f64, f64)>| {
+        by_name.into_iter().map(|(name, worth)| (name, share(worth))).collect()
+    };
     Score {
         score: if violations == 0 { kept } else { 0.0 },
         kept,
@@ -128,14 +130,17 @@
     all.iter().fold((0.0, 0.0), |a, b| (a.0 + b.0, a.1 + b.1))
 }
 
-fn share((asked, got): (f64, f64)) -> f64 {
-    if asked > 0.0 { got / asked } else { 1.0 }
+/// Returns the delivered share; 1 if nothing was requested.
+fn share((requested, delivered): (f64, f64)) -> f64 {
+    if requested > 0.0 { delivered / requested } else { 1.0 }
 }
 
+/// Returns the start and the delivered share of the window with the lowest share.
 fn worst(seconds: &[(f64, f64)]) -> (f64, f64) {
     let usual = sum(seconds).0 / seconds.len() as f64 * WORST_WINDOW_S.min(seconds.len()) as f64;
     let windows = seconds.windows(WORST_WINDOW_S.min(seconds.len())).map(sum).enumerate();
-    let eligible = windows.filter(|(_, w)| w.0 >= usual * MIN_WINDOW_WORTH);
-    let worst = eligible.map(|(n, w)| (n as f64, share(w))).min_by(|a, b| a.1.total_cmp(&b.1));
+    let eligible = windows.filter(|(_, window)| window.0 >= usual * MIN_WINDOW_WORTH);
+    let worst =
+        eligible.map(|(start, window)| (start as f64, share(window))).min_by(|a, b| a.1.total_cmp(&b.1));
     worst.unwrap_or((0.0, 1.0))
 }
--- a/crates/rehearsal/src/virt/mod.rs
+++ b/crates/rehearsal/src/virt/mod.rs
@@ -186,10 +186,10 @@
         self.net.host(self.address(role).ip())
     }
 
-    fn peers(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
+    fn note_addresses(&self, sender: usize) -> Option<(SocketAddr, Vec<SocketAddr>, SocketAddr)> {
         let at = |n| SocketAddr::from((ip(3, n), NOTE_PORT));
-        let all = (0..self.senders.borrow().len()).map(at).collect();
-        Some((at(sender), all, SocketAddr::from((BROADCAST_ADDR, NOTE_PORT))))
+        let senders = (0..self.senders.borrow().len()).map(at).collect();
+        Some((at(sender), senders, SocketAddr::from((BROADCAST_ADDR, NOTE_PORT))))
     }
 
     fn configure(&self, sender: usize, text: String) {
@@ -214,7 +214,7 @@
             client_listener: None,
         };
         let environment = match &self.environment_wrapper {
-            Some(environment_wrapper) => environment_wrapper(sender, environment),
+            Some(wrap) => wrap(sender, environment),
             None => environment,
         };
         let ended = Rc::new(RefCell::new(None));
--- a/crates/rehearsal/src/virt/net.rs
+++ b/crates/rehearsal/src/virt/net.rs
@@ -93,7 +93,7 @@
         if cut {
             self.cut_hosts.borrow_mut().insert(ip);
         } else if self.cut_hosts.borrow_mut().remove(&ip) {
-            for connection in self.open_connections(|p| p.ends.contains(&ip)) {
+            for connection in self.open_connections(|connection| connection.ends.contains(&ip)) {
                 connection.reset();
             }
         }
@@ -105,7 +105,9 @@
         if blocked {
             self.blocked_links.borrow_mut().insert((from, to));
         } else if self.blocked_links.borrow_mut().remove(&(from, to)) {
-            for connection in self.open_connections(|p| p.ends == [from, to] || p.ends == [to, from]) {
+            for connection in self
+                .open_connections(|connection| connection.ends == [from, to] || connection.ends == [to, from])
+            {
                 connection.reset();
             }
         }
@@ -133,15 +135,15 @@
 
     fn open_connections(&self, predicate: impl Fn(&Connection) -> bool) -> Vec<Rc<Connection>> {
         let mut connections = self.connections.borrow_mut();
-        connections.retain(|p| p.strong_count() > 0);
-        connections.iter().filter_map(Weak::upgrade).filter(|p| predicate(p)).collect()
+        connections.retain(|connection| connection.strong_count() > 0);
+        connections.iter().filter_map(Weak::upgrade).filter(|connection| predicate(connection)).collect()
     }
 
     fn add(&self, connection: &Rc<Connection>) {
         let mut connections = self.connections.borrow_mut();
         // Closed connections are removed whenever the vector would have to grow.
         if connections.len() == connections.capacity() {
-            connections.retain(|p| p.strong_count() > 0);
+            connections.retain(|connection| connection.strong_count() > 0);
         }
         connections.push(Rc::downgrade(connection));
     }
@@ -164,11 +166,13 @@
     pub fn kill(&self) {
         self.dead.set(true);
         let is_own = |owner: &Rc<Cell<bool>>| Rc::ptr_eq(owner, &self.dead);
-        for connection in self.net.open_connections(|p| p.owners.borrow().iter().any(is_own)) {
+        for connection in
+            self.net.open_connections(|connection| connection.owners.borrow().iter().any(is_own))
+        {
             connection.reset();
         }
-        self.net.listeners.borrow_mut().retain(|_, q| !is_own(&q.owner));
-        self.net.mailboxes.borrow_mut().retain(|_, m| !is_own(&m.owner));
+        self.net.listeners.borrow_mut().retain(|_, queue| !is_own(&queue.owner));
+        self.net.mailboxes.borrow_mut().retain(|_, mailbox| !is_own(&mailbox.owner));
     }
 }
 
@@ -183,6 +187,7 @@
 /// `directions[1]`.
 #[derive(Default)]
 struct Direction {
+    /// Chunks of data, each written at once, with their times of arrival.
     queue: RefCell<VecDeque<(Instant, Vec<u8>)>>,
     /// Bytes of the first chunk that have been read.
     offset: Cell<usize>,
@@ -257,7 +262,7 @@
     /// Returns when the next data or the end of the stream can be read.
     fn next_readable(&self) -> Option<Instant> {
         let direction = self.incoming();
-        direction.queue.borrow().front().map(|p| p.0).or(direction.fin.get())
+        direction.queue.borrow().front().map(|chunk| chunk.0).or(direction.fin.get())
     }
 
     /// Polls the timer; ready once `at` is reached.
@@ -341,9 +346,9 @@
             return Err(ErrorKind::WouldBlock.into());
         }
         // Data is never delivered before data that was sent earlier.
-        let last = direction.queue.borrow().back().map(|p| p.0);
-        let at = last.into_iter().fold(Instant::now() + self.latency(), Instant::max);
-        direction.queue.borrow_mut().push_back((at, buf[..length].to_vec()));
+        let last = direction.queue.borrow().back().map(|chunk| chunk.0);
+        let arrives_at = last.into_iter().fold(Instant::now() + self.latency(), Instant::max);
+        direction.queue.borrow_mut().push_back((arrives_at, buf[..length].to_vec()));
         direction.size.set(direction.size.get() + length);
         direction.wake_reader();
         Ok(length)
@@ -420,7 +425,7 @@
             return;
         }
         let mut listeners = self.net.listeners.borrow_mut();
-        if listeners.get(&self.queue.at).is_some_and(|q| Rc::ptr_eq(q, &self.queue)) {
+        if listeners.get(&self.queue.at).is_some_and(|queue| Rc::ptr_eq(queue, &self.queue)) {
             listeners.remove(&self.queue.at);
         }
         let waiting = self.queue.waiting.take();
@@ -431,7 +436,7 @@
 
 /// Maps the name of a local socket to a port below those that are used otherwise.
 fn local_port(name: &str) -> u16 {
-    1 + name.bytes().fold(0u16, |h, b| h.wrapping_mul(31).wrapping_add(b.into())) % 1_000
+    1 + name.bytes().fold(0u16, |hash, byte| hash.wrapping_mul(31).wrapping_add(byte.into())) % 1_000
 }
 
 impl Network for Host {
@@ -446,7 +451,7 @@
                 pending::<()>().await;
             }
             let queue = net.listeners.borrow().get(&to).cloned();
-            let Some(queue) = queue.filter(|q| q.waiting.borrow().len() < BACKLOG) else {
+            let Some(queue) = queue.filter(|queue| queue.waiting.borrow().len() < BACKLOG) else {
                 return Err(ErrorKind::ConnectionRefused.into());
             };
             let connection = Rc::new(Connection {
@@ -509,7 +514,7 @@
 struct Mailbox {
     at: SocketAddr,
     owner: Rc<Cell<bool>>,
-    /// Datagrams in the order of arrival.
+    /// Datagrams in the order of arrival: time of arrival, sender and content.
     datagrams: RefCell<VecDeque<(Instant, SocketAddr, Vec<u8>)>>,
     waker: RefCell<Option<Waker>>,
     timer: RefCell<Option<Pin<Box<Sleep>>>>,
@@ -522,7 +527,7 @@
 
 impl MemoryDatagramSocket {
     fn send(&self, to: &Mailbox, bytes: &[u8]) {
-        let arrival = {
+        let arrives_at = {
             let mut datagram_faults = self.net.datagram_faults.borrow_mut();
             let (lost, max_delay) = (datagram_faults.lost, datagram_faults.max_delay.as_micros() as u64);
             if lost > 0.0 && datagram_faults.random.random_bool(lost) {
@@ -533,8 +538,8 @@
         };
         let mut datagrams = to.datagrams.borrow_mut();
         if datagrams.len() < MAX_QUEUED_DATAGRAMS && !self.net.is_cut(self.mailbox.at.ip(), to.at.ip()) {
-            let position = datagrams.partition_point(|l| l.0 <= arrival);
-            datagrams.insert(position, (arrival, self.mailbox.at, bytes.to_vec()));
+            let position = datagrams.partition_point(|datagram| datagram.0 <= arrives_at);
+            datagrams.insert(position, (arrives_at, self.mailbox.at, bytes.to_vec()));
             if let Some(waker) = to.waker.take() {
                 waker.wake();
             }
@@ -546,7 +551,7 @@
     fn poll_recv_from(&self, cx: &mut Context<'_>, buf: &mut [u8]) -> Poll<io::Result<(usize, SocketAddr)>> {
         let mut datagrams = self.mailbox.datagrams.borrow_mut();
         *self.mailbox.waker.borrow_mut() = Some(cx.waker().clone());
-        let Some(at) = datagrams.front().map(|l| l.0) else { return Poll::Pending };
+        let Some(at) = datagrams.front().map(|datagram| datagram.0) else { return Poll::Pending };
         if at > Instant::now() {
             let mut timer = self.mailbox.timer.borrow_mut();
             let sleep = timer.get_or_insert_with(|| Box::pin(sleep_until(at)));
@@ -570,12 +575,12 @@
         let receivers: Vec<Rc<Mailbox>> = {
             let all = self.net.mailboxes.borrow();
             if self.net.broadcast_addr.get() == Some(to) {
-                all.values().filter(|m| m.at != self.mailbox.at).cloned().collect()
+                all.values().filter(|mailbox| mailbox.at != self.mailbox.at).cloned().collect()
             } else {
                 all.get(&to).cloned().into_iter().collect()
             }
         };
-        receivers.iter().for_each(|m| self.send(m, bytes));
+        receivers.iter().for_each(|receiver| self.send(receiver, bytes));
         Ok(bytes.len())
     }
 }
--- a/crates/rehearsal/src/windows.rs
+++ b/crates/rehearsal/src/windows.rs
@@ -11,7 +11,7 @@
 
 /// The senders' view of one partner, summed over all senders and routes; one value for each second.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct BeliefSeries {
+pub struct SenderViewSeries {
     /// Sum of the windows.
     pub window: Vec<f64>,
     /// Calls in flight.
@@ -21,7 +21,7 @@
 }
 
 /// Reads the recordings that senders left in `folder` during a run of `seconds` seconds, whose time zero was
-/// `lead` microseconds after the start of the environment. Returns a series for each partner in the
+/// `startup_micros` after the start of the environment. Returns a series for each partner in the
 /// scenario's order.
 ///
 /// # Errors
@@ -30,18 +30,18 @@
     folder: &Path,
     scenario: &Scenario,
     seconds: usize,
-    lead: u64,
-) -> Result<Vec<BeliefSeries>, String> {
+    startup_micros: u64,
+) -> Result<Vec<SenderViewSeries>, String> {
     let empty = || vec![0.0; seconds];
-    let new_series = || BeliefSeries { window: empty(), in_flight: empty(), held: empty() };
-    let mut series: Vec<BeliefSeries> = scenario.partner.iter().map(|_| new_series()).collect();
-    let partners: Vec<usize> = scenario.destinations().into_iter().map(|d| d.0).collect();
+    let new_series = || SenderViewSeries { window: empty(), in_flight: empty(), held: empty() };
+    let mut series: Vec<SenderViewSeries> = scenario.partner.iter().map(|_| new_series()).collect();
+    let partners: Vec<usize> = scenario.destinations().into_iter().map(|destination| destination.0).collect();
     for sender in 0..scenario.senders.count {
         let path = folder.join(format!("n{sender}"));
         let bytes = store::load(&path).map_err(|e| format!("{}: {e}", path.display()))?;
         let recording = Recording::read(&bytes);
         let mut sampler = Sampler {
-            zero: EPOCH + lead,
+            zero: EPOCH + startup_micros,
             partners: &partners,
             offset: 0,
             next: 0,
@@ -49,8 +49,8 @@
             series: &mut series,
         };
         let done = replay(&recording, &mut sampler);
-        if let Some(d) = done.difference {
-            return Err(format!("{}: {d}", path.display()));
+        if let Some(difference) = done.difference {
+            return Err(format!("{}: {difference}", path.display()));
         }
     }
     Ok(series)
@@ -67,7 +67,7 @@
     next: usize,
     /// Values at the last tick, by partner: window, calls in flight, messages held.
     last: Vec<[f64; 3]>,
-    series: &'a mut [BeliefSeries],
+    series: &'a mut [SenderViewSeries],
 }
 
 impl Sampler<'_> {
@@ -76,8 +76,8 @@
         let now = i128::from(at) + self.offset - i128::from(self.zero);
         while (self.next as i128) * 1_000_000 < now {
             for (series_of_partner, last) in self.series.iter_mut().zip(&self.last) {
-                if let Some(x) = series_of_partner.window.get_mut(self.next) {
-                    *x += last[0];
+                if let Some(window) = series_of_partner.window.get_mut(self.next) {
+                    *window += last[0];
                     series_of_partner.in_flight[self.next] += last[1];
                     series_of_partner.held[self.next] += last[2];
                 }
@@ -87,7 +87,7 @@
     }
 
     fn sample(&mut self, sender: &Sender) {
-        self.last.iter_mut().for_each(|l| *l = [0.0; 3]);
+        self.last.iter_mut().for_each(|sample| *sample = [0.0; 3]);
         // Destinations are counted from 1 in the senders' endpoint list.
         let partner = |dest: u64| self.partners.get((dest as usize).checked_sub(1)?).copied();
         for view in sender.route_views(None) {
@@ -108,7 +108,7 @@
     fn on_segment(&mut self, header: &Header, sender: &Sender, goes_on: bool) {
         if !goes_on {
             // There are no windows between two processes.
-            self.last.iter_mut().for_each(|l| *l = [0.0; 3]);
+            self.last.iter_mut().for_each(|sample| *sample = [0.0; 3]);
             self.offset = i128::from(header.unix) - i128::from(header.at);
             self.advance(header.at);
         }
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -118,12 +118,12 @@
         self.read_message(false).await?.ok_or_else(|| ErrorKind::UnexpectedEof.into())
     }
 
-    async fn read_message(&mut self, request: bool) -> io::Result<Option<Message>> {
+    async fn read_message(&mut self, is_request: bool) -> io::Result<Option<Message>> {
         if !self.buffer.is_empty() {
             self.first_byte_at.get_or_insert_with(Instant::now);
         }
-        let (mut message, head, length) = loop {
-            if let Some(found) = parse_head(&self.buffer, request)? {
+        let (mut message, head_length, body_length) = loop {
+            if let Some(found) = parse_head(&self.buffer, is_request)? {
                 break found;
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
@@ -133,35 +133,35 @@
                 return if self.buffer.is_empty() { Ok(None) } else { Err(ErrorKind::UnexpectedEof.into()) };
             }
         };
-        while self.buffer.len() < head + length {
+        while self.buffer.len() < head_length + body_length {
             if !self.fill().await? {
                 return Err(ErrorKind::UnexpectedEof.into());
             }
         }
         message.first_byte_at = self.first_byte_at.take();
-        message.body = self.buffer[head..head + length].to_vec();
-        self.buffer.drain(..head + length);
+        message.body = self.buffer[head_length..head_length + body_length].to_vec();
+        self.buffer.drain(..head_length + body_length);
         Ok(Some(message))
     }
 }
 
 /// Parses a head. Returns the message, the length of its head and that of its body, or None while the head
 /// is incomplete.
-fn parse_head(bytes: &[u8], request: bool) -> io::Result<Option<(Message, usize, usize)>> {
+fn parse_head(bytes: &[u8], is_request: bool) -> io::Result<Option<(Message, usize, usize)>> {
     let mut headers = [httparse::EMPTY_HEADER; 32];
     let mut message = Message::default();
     let bad = |e: httparse::Error| invalid_data(&e.to_string());
-    let (status, found) = if request {
-        let mut r = httparse::Request::new(&mut headers);
-        let status = r.parse(bytes).map_err(bad)?;
-        message.method = r.method.unwrap_or_default().to_owned();
-        message.path = r.path.unwrap_or_default().to_owned();
-        (status, r.headers)
+    let (status, found) = if is_request {
+        let mut parsed = httparse::Request::new(&mut headers);
+        let status = parsed.parse(bytes).map_err(bad)?;
+        message.method = parsed.method.unwrap_or_default().to_owned();
+        message.path = parsed.path.unwrap_or_default().to_owned();
+        (status, parsed.headers)
     } else {
-        let mut r = httparse::Response::new(&mut headers);
-        let status = r.parse(bytes).map_err(bad)?;
-        message.status = r.code.unwrap_or_default();
-        (status, r.headers)
+        let mut parsed = httparse::Response::new(&mut headers);
+        let status = parsed.parse(bytes).map_err(bad)?;
+        message.status = parsed.code.unwrap_or_default();
+        (status, parsed.headers)
     };
     let httparse::Status::Complete(end) = status else { return Ok(None) };
     for header in found.iter() {
--- a/crates/rehearsal/tests/world/determinism.rs
+++ b/crates/rehearsal/tests/world/determinism.rs
@@ -27,8 +27,8 @@
 fn four_jobs_find_the_same_as_one() {
     let base = BaseScenario { text: DAY.into(), name: "day".into(), folder: PathBuf::new() };
     let find = |jobs| {
-        let f = hunt(&base, 1, 8, jobs, |_, _| {}).expect("the scenario is valid");
-        (f.seeds, f.kept.to_bits(), f.rules, f.violations, f.failed)
+        let found = hunt(&base, 1, 8, jobs, |_, _| {}).expect("the scenario is valid");
+        (found.seeds, found.kept.to_bits(), found.rules, found.violations, found.failed)
     };
     let one = find(1);
     assert!(one.0 == 8 && one.4.is_empty(), "{one:?}");
--- a/crates/rehearsal/tests/world/faulty_environment.rs
+++ b/crates/rehearsal/tests/world/faulty_environment.rs
@@ -66,9 +66,9 @@
     let starts = RefCell::new(BTreeMap::<usize, u32>::new());
     Rc::new(move |sender, environment: Environment| {
         let mut starts = starts.borrow_mut();
-        let n = starts.entry(sender).or_default();
-        *n += 1;
-        if *n > 1 {
+        let start_count = starts.entry(sender).or_default();
+        *start_count += 1;
+        if *start_count > 1 {
             let files = environment.disk.list_files().expect("a folder");
             files.iter().for_each(|(name, _)| environment.disk.remove(name).expect("removed"));
         }
@@ -98,7 +98,7 @@
 
     fn append(&self, name: &str) -> io::Result<Box<dyn File>> {
         // The header of a segment that an earlier process started is already in the file.
-        let header = self.0.read(name)?.and_then(|b| Header::decode(&b).ok());
+        let header = self.0.read(name)?.and_then(|bytes| Header::decode(&bytes).ok());
         Ok(Box::new(RecordDroppingFile(self.0.append(name)?, self.1, header)))
     }
 
@@ -119,6 +119,8 @@
     }
 }
 
+/// A file of [`RecordDroppingDisk`]: the file itself, the kinds of records to drop, and the header of the
+/// segment, once it is written.
 struct RecordDroppingFile(Box<dyn File>, &'static [u8], Option<Header>);
 
 impl RecordDroppingFile {
@@ -230,21 +232,22 @@
         }
         let mut forged_answer = self.forged_answer.borrow_mut();
         if !forged_answer.is_empty() {
-            let n = forged_answer.len().min(buf.len());
-            buf[..n].copy_from_slice(&forged_answer[..n]);
-            forged_answer.drain(..n);
-            return Ok(n);
+            let length = forged_answer.len().min(buf.len());
+            buf[..length].copy_from_slice(&forged_answer[..length]);
+            forged_answer.drain(..length);
+            return Ok(length);
         }
-        let n = self.inner.try_read(buf)?;
+        let length = self.inner.try_read(buf)?;
         for fault in self.faults {
             if let StreamFault::ReplaceRead(from, to) = fault {
                 assert_eq!(from.len(), to.len());
-                let positions: Vec<usize> =
-                    (0..n.saturating_sub(from.len() - 1)).filter(|&i| buf[i..n].starts_with(from)).collect();
+                let positions: Vec<usize> = (0..length.saturating_sub(from.len() - 1))
+                    .filter(|&i| buf[i..length].starts_with(from))
+                    .collect();
                 positions.into_iter().for_each(|i| buf[i..i + to.len()].copy_from_slice(to));
             }
         }
-        Ok(n)
+        Ok(length)
     }
 
     fn poll_write_ready(&self, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
@@ -257,23 +260,23 @@
 
     fn try_write(&self, buf: &[u8]) -> io::Result<usize> {
         for fault in self.faults {
-            let n = self.count.get() + 1;
+            let count = self.count.get() + 1;
             match fault {
                 StreamFault::WrittenButFailed(each) => {
-                    self.count.set(n);
-                    if n.is_multiple_of(*each) {
+                    self.count.set(count);
+                    if count.is_multiple_of(*each) {
                         self.inner.try_write(buf)?;
                         self.dead.set(true);
                         return Err(io::ErrorKind::BrokenPipe.into());
                     }
                 }
                 StreamFault::DropReport(each) if buf.starts_with(b"POST /reports") => {
-                    self.count.set(n);
-                    if n.is_multiple_of(*each) {
+                    self.count.set(count);
+                    if count.is_multiple_of(*each) {
                         *self.forged_answer.borrow_mut() =
                             b"HTTP/1.1 204 X\r\nContent-Length: 0\r\n\r\n".to_vec();
-                        if let Some(w) = self.waker.take() {
-                            w.wake();
+                        if let Some(waker) = self.waker.take() {
+                            waker.wake();
                         }
                         return Ok(buf.len());
                     }
--- a/crates/rehearsal/tests/world/hard.rs
+++ b/crates/rehearsal/tests/world/hard.rs
@@ -19,38 +19,39 @@
 fn answer_a_millisecond_before_the_deadline_counts_and_one_after_does_not() {
     // The resolution of time is one millisecond and nothing else takes time, so the answer arrives when the
     // service ends.
-    let of = |ms: u32| {
+    // Returns the numbers of deliveries, notices and effects for this service time.
+    let run_with = |ms: u32| {
         let is = format!("service = {{ default = {{ mean_ms = {ms}.0, cv = 0.0 }} }}");
-        let (o, score, violations) =
+        let (result, score, violations) =
             run_text(&small_scenario("at_most_once", 2.0, &is, ""), 1, &Options::default());
         assert!(violations.is_empty(), "{ms} ms: {}", violations[0]);
-        (score.counts.delivered, score.counts.notices, o.ledgers[0].effects.len())
+        (score.counts.delivered, score.counts.notices, result.ledgers[0].effects.len())
     };
-    assert_eq!(of(1_800), (2, 0, 2));
+    assert_eq!(run_with(1_800), (2, 0, 2));
     // Within 170 ms of the deadline an answer may not count, in case the sender was delayed, so a notice is
     // sent as well.
-    assert_eq!(of(1_980), (2, 2, 2));
+    assert_eq!(run_with(1_980), (2, 2, 2));
     // A call that cannot be answered in time still runs: it takes effect, and the message is not resent.
-    assert_eq!(of(2_001), (0, 2, 2));
+    assert_eq!(run_with(2_001), (0, 2, 2));
     // The boundary is sharp and the same in each run.
-    let edge: Vec<usize> = (1_981..2_001).map(|ms| of(ms).0).collect();
+    let edge: Vec<usize> = (1_981..2_001).map(|ms| run_with(ms).0).collect();
     assert!(edge.is_sorted_by(|a, b| a >= b), "{edge:?}");
-    assert_eq!(edge, (1_981..2_001).map(|ms| of(ms).0).collect::<Vec<_>>());
+    assert_eq!(edge, (1_981..2_001).map(|ms| run_with(ms).0).collect::<Vec<_>>());
 }
 
 #[test]
 fn unsafe_call_that_runs_after_its_caller_gave_up_is_not_repeated() {
     let events = "[[event]]\nat_s = 0.5\ndo = \"silent\"\npartner = \"bank\"\nfor_s = 7.0\n";
     let is = "service = { default = { mean_ms = 10.0, cv = 0.0 } }";
-    let (o, score, violations) =
+    let (result, score, violations) =
         run_text(&small_scenario("at_most_once", 4.0, is, events), 3, &Options::default());
     assert!(violations.is_empty(), "{}", violations[0]);
-    let late = o.ledgers[0].effects.iter().filter(|e| e.abandoned).count();
+    let late = result.ledgers[0].effects.iter().filter(|e| e.abandoned).count();
     assert!(late >= 1, "no call ran after its caller had closed");
-    let mut ran: Vec<u64> = o.ledgers[0].effects.iter().map(|e| e.message).collect();
+    let mut ran: Vec<u64> = result.ledgers[0].effects.iter().map(|e| e.message).collect();
     ran.sort_unstable();
     ran.dedup();
-    assert_eq!(ran.len(), o.ledgers[0].effects.len(), "each message must run once");
+    assert_eq!(ran.len(), result.ledgers[0].effects.len(), "each message must run once");
     assert!(score.counts.notices > 0);
 }
 
@@ -70,9 +71,9 @@
     let is = "rate_per_s = 1.0, burst = 1.0, hint = false, service = { default = { mean_ms = 5.0 } }";
     let mut text = small_scenario("idempotent", 4.0, is, "");
     text = text.replace("count = 2\n", "rate_per_s = 30.0\n");
-    let (o, score, violations) = run_text(&text, 1, &Options::default());
+    let (result, score, violations) = run_text(&text, 1, &Options::default());
     assert!(violations.is_empty(), "{}", violations[0]);
-    let calls = &o.ledgers[0].calls;
+    let calls = &result.ledgers[0].calls;
     assert!(score.counts.refused > 0 && calls.iter().all(|c| c.retry_after.is_none()));
     assert!(calls.len() < 180 * 2, "{} calls for 180 messages, of which ten can pass", calls.len());
 }
@@ -80,22 +81,26 @@
 #[test]
 fn full_folder_refuses_new_messages_and_loses_none() {
     let day = format!("{DAY}[[event]]\nat_s = 8.0\ndo = \"disk_full\"\nsender = 1\nfor_s = 3.0\n");
-    let (o, _, violations) = run_text(&day, 5, &Options::default());
+    let (result, _, violations) = run_text(&day, 5, &Options::default());
     assert!(violations.is_empty(), "{}", violations[0]);
-    let messages = o.observations.messages.borrow();
-    let within = |m: &&notchpoint_rehearsal::observations::Message| {
-        m.sender == 1 && (8_100_000..10_900_000).contains(&m.submitted_at)
+    let messages = result.observations.messages.borrow();
+    let is_submitted_while_full = |message: &&notchpoint_rehearsal::observations::Message| {
+        message.sender == 1 && (8_100_000..10_900_000).contains(&message.submitted_at)
     };
-    let refused = messages.values().filter(within).filter(|m| m.answer.is_some_and(|a| a.1 == 503)).count();
+    let refused = messages
+        .values()
+        .filter(is_submitted_while_full)
+        .filter(|message| message.answer.is_some_and(|answer| answer.1 == 503))
+        .count();
     assert!(refused > 10, "{refused} refused while the folder was full");
 }
 
 #[test]
 fn bad_clients_get_an_error_or_a_close_and_good_clients_their_answers() {
     let day = format!("{DAY}[[bad_client]]\nrate_per_s = 10.0\n");
-    let (o, score, violations) = run_text(&day, 2, &Options::default());
+    let (result, score, violations) = run_text(&day, 2, &Options::default());
     assert!(violations.is_empty(), "{}", violations[0]);
-    assert!(o.observations.bad_requests.borrow().len() >= 190 && score.kept > 0.6, "{score:?}");
+    assert!(result.observations.bad_requests.borrow().len() >= 190 && score.kept > 0.6, "{score:?}");
 }
 
 #[test]
@@ -105,8 +110,9 @@
         .replace("fall_multiple = 1.5", "fall_multiple = 1.0")
         .replace("start_share = 0.1", "start_share = 0.01");
     let found = (1..6).any(|seed| {
-        let (o, _, violations) = run_text(&day, seed, &Options::default());
-        let overload_failures: usize = o.ledgers.iter().map(|l| l.overload_failures.len()).sum();
+        let (result, _, violations) = run_text(&day, seed, &Options::default());
+        let overload_failures: usize =
+            result.ledgers.iter().map(|ledger| ledger.overload_failures.len()).sum();
         assert_eq!(
             overload_failures,
             violations.iter().filter(|violation| violation.rule == Rule::ReturningNotPushed).count()
--- a/crates/rehearsal/tests/world/shown.rs
+++ b/crates/rehearsal/tests/world/shown.rs
@@ -30,7 +30,7 @@
     // The page contains the series, and omits them without recordings.
     let violations = notchpoint_rehearsal::checker::check(&result);
     let score = notchpoint_rehearsal::score::score(&result, violations.len());
-    let page = |beliefs| report::html(&result, &score, &violations, beliefs).expect("a page");
+    let page = |sender_views| report::html(&result, &score, &violations, sender_views).expect("a page");
     assert_eq!(page(Some(&series)).matches("what senders believe").count(), 3);
     assert_eq!(page(None).matches("what senders believe").count(), 0);
     // A missing recording is an error that names its path.
--- a/crates/rehearsal/tests/world/zones.rs
+++ b/crates/rehearsal/tests/world/zones.rs
@@ -4,7 +4,7 @@
 use notchpoint_rehearsal::Options;
 
 #[test]
-fn evacuating_together_wastes_fewer_calls_and_breaks_no_rule() {
+fn evacuating_together_wastes_fewer_calls_and_violates_no_rule() {
     let text = shipped("zone-left.toml");
     for seed in [1, 2] {
         let (_, with, violations) = run_text(&text, seed, &Options::default());
@@ -12,10 +12,10 @@
         let (_, without, _) =
             run_text(&text.replace("zones = true", "zones = false"), seed, &Options::default());
         // Wasted calls: those in excess of the number of orders.
-        let wasted = |c: usize, orders: usize| c.saturating_sub(orders);
-        let (a, b) = (&with.counts, &without.counts);
-        let (a, b) = (wasted(a.calls, a.orders), wasted(b.calls, b.orders));
-        assert!(4 * a < 3 * b, "seed {seed}: {a} calls wasted, {b} alone");
+        let wasted = |calls: usize, orders: usize| calls.saturating_sub(orders);
+        let (together, alone) = (&with.counts, &without.counts);
+        let (together, alone) = (wasted(together.calls, together.orders), wasted(alone.calls, alone.orders));
+        assert!(4 * together < 3 * alone, "seed {seed}: {together} calls wasted, {alone} alone");
     }
 }
 
