--- a/crates/rehearsal/src/report.rs
+++ b/crates/rehearsal/src/report.rs
@@ -1,6 +1,6 @@
 //! Formats the result of a run as text, as JSON, and as a self-contained HTML page.
 
-use crate::checker::{Breach, RULES};
+use crate::checker::{RULES, Violation};
 use crate::run::RunResult;
 use crate::score::Score;
 use crate::windows;
@@ -8,19 +8,19 @@
 use serde_json::json;
 use std::fmt::Write;
 
-/// Maximum number of breaches that are printed; the others are only counted.
-const MAX_SHOWN_BREACHES: usize = 20;
+/// Maximum number of violations that are printed; the others are only counted.
+const MAX_SHOWN_VIOLATIONS: usize = 20;
 /// Seconds covered by one row of the table by time.
 pub const ROW_SECONDS: usize = 5;
 /// Load samples of partners per second.
 const SAMPLES_PER_SECOND: usize = 4;
 
 /// Formats a result for a terminal.
-pub fn text(result: &RunResult, score: &Score, breaches: &[Breach]) -> String {
+pub fn text(result: &RunResult, score: &Score, violations: &[Violation]) -> String {
     let mut out = String::new();
     let counts = &score.counts;
-    let how = if result.live { "on loopback sockets" } else { "in virtual time" };
-    let _ = writeln!(out, "{}, seed {}, {how}", result.scenario.name, result.seed);
+    let environment = if result.live { "on loopback sockets" } else { "in virtual time" };
+    let _ = writeln!(out, "{}, seed {}, {environment}", result.scenario.name, result.seed);
     let _ = writeln!(
         out,
         "  score {:.4}   worth kept {:.4}   worst 10 s from {:.0} s on: {:.3}",
@@ -32,8 +32,8 @@
          {} refused; {} effects",
         counts.orders,
         counts.delivered,
-        counts.handed,
-        counts.taken,
+        counts.submissions,
+        counts.accepted,
         counts.notices,
         counts.calls,
         counts.refused,
@@ -42,18 +42,18 @@
     for (what, shares) in
         [("class", &score.classes), ("tenant", &score.tenants), ("partner", &score.partners)]
     {
-        let all: Vec<String> = shares.iter().map(|(name, x)| format!("{name} {x:.3}")).collect();
+        let all: Vec<String> = shares.iter().map(|(name, share)| format!("{name} {share:.3}")).collect();
         let _ = writeln!(out, "  by {what}: {}", all.join("  "));
     }
-    if breaches.is_empty() {
+    if violations.is_empty() {
         let _ = writeln!(out, "  rules: all {} kept", RULES.len());
     } else {
-        let _ = writeln!(out, "  rules: BROKEN {} times (seed {})", breaches.len(), result.seed);
-        for breach in breaches.iter().take(MAX_SHOWN_BREACHES) {
-            let _ = writeln!(out, "    {breach}");
+        let _ = writeln!(out, "  rules: BROKEN {} times (seed {})", violations.len(), result.seed);
+        for violation in violations.iter().take(MAX_SHOWN_VIOLATIONS) {
+            let _ = writeln!(out, "    {violation}");
         }
-        if breaches.len() > MAX_SHOWN_BREACHES {
-            let _ = writeln!(out, "    and {} more", breaches.len() - MAX_SHOWN_BREACHES);
+        if violations.len() > MAX_SHOWN_VIOLATIONS {
+            let _ = writeln!(out, "    and {} more", violations.len() - MAX_SHOWN_VIOLATIONS);
         }
     }
     out
@@ -65,7 +65,8 @@
     /// First second of the row.
     pub from_s: usize,
     /// Number of orders created.
-    pub asked: usize,
+    #[serde(rename = "asked")]
+    pub orders: usize,
     /// Share of orders delivered within the wanted time.
     pub in_time: f64,
     /// Share of orders delivered later, but before the deadline.
@@ -92,7 +93,7 @@
     let row_index = |t: u64| ((t / 1_000_000) as usize / width).min(last);
     for order in result.observations.orders.borrow().iter() {
         let row = &mut rows[row_index(order.requested_at)];
-        row.asked += 1;
+        row.orders += 1;
         let class = result.scenario.class[order.class].get_ref();
         if let Some(latency) = order.delivered.map(|t| (t - order.requested_at) as f64 / 1e6) {
             row.in_time += f64::from(u8::from(latency <= class.wanted_s));
@@ -105,13 +106,13 @@
     let mut held = vec![vec![false; seconds]; result.ledgers.len()];
     let mut called = held.clone();
     for message in result.observations.messages.borrow().values() {
-        if message.answered.is_some_and(|a| matches!(a.1, 200 | 202)) {
+        if message.answer.is_some_and(|answer| matches!(answer.1, 200 | 202)) {
             let order = &orders[message.order];
             accepted[row_index(message.submitted_at)] += 1;
             let end = message.delivered.or(message.notices.first().map(|n| n.at)).unwrap_or(message.deadline);
             for second in (message.submitted_at / 1_000_000 + 1)..(end / 1_000_000) {
-                if let Some(h) = held[order.destination].get_mut(second as usize) {
-                    *h = true;
+                if let Some(is_held) = held[order.destination].get_mut(second as usize) {
+                    *is_held = true;
                 }
             }
         }
@@ -121,23 +122,25 @@
             let row = row_index(call.received_at);
             rows[row].calls += 1;
             rows[row].refused += usize::from(matches!(call.answer, Some((_, 429 | 503))));
-            rows[row].unanswered += usize::from(call.answer.is_none_or(|a| a.1 == 0));
+            rows[row].unanswered += usize::from(call.answer.is_none_or(|answer| answer.1 == 0));
             attempts[row] += call.messages.len();
-            if let Some(x) = called[destination].get_mut((call.received_at / 1_000_000) as usize) {
-                *x = true;
+            if let Some(is_called) = called[destination].get_mut((call.received_at / 1_000_000) as usize) {
+                *is_called = true;
             }
         }
     }
     for (n, row) in rows.iter_mut().enumerate() {
-        let asked = row.asked.max(1) as f64;
-        (row.in_time, row.late) = (row.in_time / asked, row.late / asked);
+        let orders = row.orders.max(1) as f64;
+        (row.in_time, row.late) = (row.in_time / orders, row.late / orders);
         row.attempts = attempts[n] as f64 / accepted[n].max(1) as f64;
         let all = || {
             (row.from_s..(row.from_s + width).min(seconds))
-                .flat_map(|s| (0..held.len()).map(move |destination| (destination, s)))
+                .flat_map(|second| (0..held.len()).map(move |destination| (destination, second)))
         };
-        let back = all().filter(|&(destination, s)| held[destination][s] && !called[destination][s]).count();
-        row.held_back = back as f64 / all().count().max(1) as f64;
+        let held_back = all()
+            .filter(|&(destination, second)| held[destination][second] && !called[destination][second])
+            .count();
+        row.held_back = held_back as f64 / all().count().max(1) as f64;
     }
     rows
 }
@@ -152,7 +155,7 @@
             out,
             "  {:>6} {:>7} {:>10.1} {:>7.1} {:>9.2} {:>7} {:>8} {:>11} {:>12.1}",
             row.from_s,
-            row.asked,
+            row.orders,
             row.in_time * 100.0,
             row.late * 100.0,
             row.attempts,
@@ -166,18 +169,18 @@
 }
 
 /// Formats a result as JSON.
-pub fn json(result: &RunResult, score: &Score, breaches: &[Breach]) -> serde_json::Value {
+pub fn json(result: &RunResult, score: &Score, violations: &[Violation]) -> serde_json::Value {
     let rules: serde_json::Map<_, _> = RULES
         .iter()
-        .map(|r| {
+        .map(|rule| {
             (
-                json!(r).as_str().unwrap_or_default().to_owned(),
-                json!(breaches.iter().filter(|b| b.rule == *r).count()),
+                json!(rule).as_str().unwrap_or_default().to_owned(),
+                json!(violations.iter().filter(|violation| violation.rule == *rule).count()),
             )
         })
         .collect();
     json!({"scenario": result.scenario.name, "seed": result.seed, "live": result.live, "score": score,
-        "rules": rules, "breaches": breaches, "windows": rows(result, ROW_SECONDS)})
+        "rules": rules, "breaches": violations, "windows": rows(result, ROW_SECONDS)})
 }
 
 /// The plotted values of a partner: calls, refusals and load in each second.
@@ -193,9 +196,9 @@
     let partners = result.scenario.partner.iter().enumerate();
     let destinations = result.scenario.destinations();
     partners
-        .map(|(n, p)| {
-            let mut c = PartnerSeries {
-                name: p.get_ref().name.clone(),
+        .map(|(n, partner)| {
+            let mut series = PartnerSeries {
+                name: partner.get_ref().name.clone(),
                 calls: vec![0.0; seconds],
                 refused: vec![0.0; seconds],
                 waiting: vec![0.0; seconds],
@@ -203,15 +206,15 @@
             for (destination, _) in destinations.iter().enumerate().filter(|(_, x)| x.0 == n) {
                 for call in &result.ledgers[destination].calls {
                     let at = ((call.received_at / 1_000_000) as usize).min(seconds - 1);
-                    c.calls[at] += 1.0;
-                    c.refused[at] += f64::from(u8::from(matches!(call.answer, Some((_, 429 | 503)))));
+                    series.calls[at] += 1.0;
+                    series.refused[at] += f64::from(u8::from(matches!(call.answer, Some((_, 429 | 503)))));
                 }
                 for (sample, (serving, queued)) in result.loads[destination].iter().enumerate() {
                     let at = (sample / SAMPLES_PER_SECOND).min(seconds - 1);
-                    c.waiting[at] += (f64::from(*serving) + *queued as f64) / SAMPLES_PER_SECOND as f64;
+                    series.waiting[at] += (f64::from(*serving) + *queued as f64) / SAMPLES_PER_SECOND as f64;
                 }
             }
-            c
+            series
         })
         .collect()
 }
@@ -225,8 +228,8 @@
 /// Returns the error of the plotting library.
 pub fn plot(title: &str, lines: &[Line<'_>]) -> Result<String, String> {
     let mut svg = String::new();
-    let seconds = lines.iter().map(|l| l.1.len()).max().unwrap_or(1).max(2);
-    let top = lines.iter().flat_map(|l| l.1.iter().copied()).fold(1.0, f64::max) * 1.05;
+    let seconds = lines.iter().map(|line| line.1.len()).max().unwrap_or(1).max(2);
+    let top = lines.iter().flat_map(|line| line.1.iter().copied()).fold(1.0, f64::max) * 1.05;
     {
         let area = SVGBackend::with_string(&mut svg, (760, 220)).into_drawing_area();
         let fail = |e: &dyn std::fmt::Display| e.to_string();
@@ -267,16 +270,16 @@
     text.replace('&', "&amp;").replace('<', "&lt;").replace('>', "&gt;")
 }
 
-/// Formats a result as an HTML page. `beliefs` has the series of each partner from the senders' recorders,
-/// if they were enabled.
+/// Formats a result as an HTML page. `sender_views` has the series of each partner from the senders'
+/// recorders, if they were enabled.
 ///
 /// # Errors
 /// Fails if a plot cannot be drawn.
 pub fn html(
     result: &RunResult,
     score: &Score,
-    breaches: &[Breach],
-    beliefs: Option<&[windows::BeliefSeries]>,
+    violations: &[Violation],
+    sender_views: Option<&[windows::SenderViewSeries]>,
 ) -> Result<String, String> {
     let mut page = String::from(
         "<!doctype html>\n<html lang=\"en\"><head><meta charset=\"utf-8\"><title>Rehearsal</title>\n<style>\
@@ -289,7 +292,7 @@
         escape(&result.scenario.name),
         escape(&result.scenario.about)
     );
-    let (class, verdict) = match breaches.len() {
+    let (class, verdict) = match violations.len() {
         0 => ("kept", "all rules kept".to_owned()),
         n => ("broken", format!("rules broken {n} times")),
     };
@@ -298,12 +301,12 @@
         "<p class=\"{class}\"><b>score {:.4}</b>, {verdict}, seed {}</p>",
         score.score, result.seed
     );
-    let _ = writeln!(page, "<pre>{}</pre>", escape(&text(result, score, breaches)));
-    let asked: Vec<f64> = score.seconds.iter().map(|x| x.0).collect();
-    let got: Vec<f64> = score.seconds.iter().map(|x| x.1).collect();
+    let _ = writeln!(page, "<pre>{}</pre>", escape(&text(result, score, violations)));
+    let requested: Vec<f64> = score.seconds.iter().map(|worth| worth.0).collect();
+    let delivered: Vec<f64> = score.seconds.iter().map(|worth| worth.1).collect();
     page += &plot(
         "worth by the second in which it was asked for",
-        &[("asked", &asked, GREY_LINE), ("delivered", &got, BLUE_LINE)],
+        &[("asked", &requested, GREY_LINE), ("delivered", &delivered, BLUE_LINE)],
     )?;
     for (n, partner) in partner_series(result).iter().enumerate() {
         page += &plot(
@@ -314,13 +317,13 @@
                 ("in service or queued", &partner.waiting, GREY_LINE),
             ],
         )?;
-        if let Some(belief) = beliefs.and_then(|all| all.get(n)) {
+        if let Some(view) = sender_views.and_then(|all| all.get(n)) {
             page += &plot(
                 &format!("{}: what senders believe, all together", partner.name),
                 &[
-                    ("windows", &belief.window, BLUE_LINE),
-                    ("calls out", &belief.in_flight, RED_LINE),
-                    ("messages held", &belief.held, GREY_LINE),
+                    ("windows", &view.window, BLUE_LINE),
+                    ("calls out", &view.in_flight, RED_LINE),
+                    ("messages held", &view.held, GREY_LINE),
                 ],
             )?;
         }
--- a/crates/rehearsal/tests/world/shown.rs
+++ b/crates/rehearsal/tests/world/shown.rs
@@ -28,9 +28,9 @@
     assert!(mean(&bank.held, 24, 32) < 5.0, "{:?}", bank.held);
     assert!(shop.in_flight.iter().any(|n| *n > 0.0));
     // The page contains the series, and omits them without recordings.
-    let breaches = notchpoint_rehearsal::checker::check(&result);
-    let score = notchpoint_rehearsal::score::score(&result, breaches.len());
-    let page = |beliefs| report::html(&result, &score, &breaches, beliefs).expect("a page");
+    let violations = notchpoint_rehearsal::checker::check(&result);
+    let score = notchpoint_rehearsal::score::score(&result, violations.len());
+    let page = |sender_views| report::html(&result, &score, &violations, sender_views).expect("a page");
     assert_eq!(page(Some(&series)).matches("what senders believe").count(), 3);
     assert_eq!(page(None).matches("what senders believe").count(), 0);
     // A missing recording is an error that names its path.
@@ -43,9 +43,9 @@
     let (result, score, _) = run_text(&shipped("hall-silent.toml"), 1, &Options::default());
     let rows = report::rows(&result, report::ROW_SECONDS);
     assert_eq!(rows.len(), 12);
-    assert_eq!(rows.iter().map(|r| r.asked).sum::<usize>(), score.counts.orders);
+    assert_eq!(rows.iter().map(|r| r.orders).sum::<usize>(), score.counts.orders);
     assert_eq!(rows.iter().map(|r| r.calls).sum::<usize>(), score.counts.calls);
-    let delivered: f64 = rows.iter().map(|r| (r.in_time + r.late) * r.asked as f64).sum();
+    let delivered: f64 = rows.iter().map(|r| (r.in_time + r.late) * r.orders as f64).sum();
     assert!((delivered - score.counts.delivered as f64).abs() < 1.0, "{delivered}");
     // While a zone is silent, calls are reduced to probes. There is one probe per second, so no destination
     // goes without a call for a second.
