--- a/crates/copies/examples/size.rs
+++ b/crates/copies/examples/size.rs
@@ -85,8 +85,8 @@
     let rows: Vec<Row> =
         SIZES.into_iter().map(measure).inspect(|r| eprintln!("{} senders measured", r.senders)).collect();
     let mut csv = String::from(
-        "senders,links_mean,links_most,idle_frames_mean,idle_frames_most,idle_bytes_mean,\
-         bytes_a_message,mended_ms\n",
+        "senders,links_mean,links_max,idle_frames_mean,idle_frames_max,idle_bytes_mean,\
+         bytes_per_message,tolerant_again_ms\n",
     );
     for r in &rows {
         writeln!(
--- a/crates/limits/examples/curve.rs
+++ b/crates/limits/examples/curve.rs
@@ -121,12 +121,12 @@
         (30, 10.0, false),
     ];
     println!(
-        "senders  limit/s  refused count  how    of the limit used  calls refused  in 10 s after: halved  \
-         doubled"
+        "senders  limit/s  refused count  how            of the limit used  calls refused  \
+         in 10 s after: halved  doubled"
     );
     let mut shown = Vec::new();
     for (senders, per_s, counts_refused) in cases {
-        for (how, paced) in [("rests", false), ("Rate", true)] {
+        for (how, paced) in [("fixed backoff", false), ("AdaptiveRate", true)] {
             let all = simulate_limit(Limit { senders, per_s, counts_refused }, paced);
             for (second, (a, r)) in all.iter().enumerate() {
                 writeln!(csv, "{senders},{per_s},{counts_refused},{how},{second},{a:.3},{r:.3}")?;
@@ -138,7 +138,7 @@
             let (a, r) = (sum(0, phase, |x| x.0), sum(0, phase, |x| x.1));
             let after = |from: usize, limit: f64| sum(from, from + 10, |x| x.0) / 10.0 / limit;
             println!(
-                "{senders:>7}  {per_s:>7}  {:>13}  {how:<5}  {:>17.2}  {:>13.2}  {:>21.2}  {:>7.2}",
+                "{senders:>7}  {per_s:>7}  {:>13}  {how:<13}  {:>17.2}  {:>13.2}  {:>21.2}  {:>7.2}",
                 if counts_refused { "yes" } else { "no" },
                 a / phase as f64 / per_s,
                 r / (a + r),
@@ -166,7 +166,7 @@
     chart.configure_mesh().x_desc("seconds").y_desc("calls a second").light_line_style(WHITE).draw()?;
     let (red, blue) = (RGBColor(190, 40, 40), RGBColor(31, 90, 160));
     for (name, all) in &shown {
-        let color = if *name == "Rate" { blue } else { red };
+        let color = if *name == "AdaptiveRate" { blue } else { red };
         let points = |of: fn(&(f64, f64)) -> f64| all.iter().enumerate().map(move |(n, x)| (n as f64, of(x)));
         let legend = move |(x, y): (i32, i32)| PathElement::new(vec![(x, y), (x + 14, y)], color);
         chart
--- a/crates/zones/examples/fleet.rs
+++ b/crates/zones/examples/fleet.rs
@@ -195,8 +195,8 @@
 fn compare_sizes(folder: &std::path::Path) -> Result<(), BoxError> {
     let rows: Vec<SizeResult> = FLEET_SIZES.into_iter().map(run_size).collect();
     let mut table = String::from(
-        "senders,notes_a_second_of_one_at_rest,notes_a_second_of_one_in_trouble,trials_a_second_of_all,\
-         first_left_s,last_left_s\n",
+        "senders,notes_per_second_of_one_when_idle,notes_per_second_of_one_during_failure,\
+         probes_per_second_of_all,first_evacuated_s,last_evacuated_s\n",
     );
     for row in &rows {
         writeln!(
