--- a/crates/copies/src/failure_detector.rs
+++ b/crates/copies/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Detects failed senders by missing heartbeats. The result decides only when something is tried; a wrong
-//! suspicion costs some frames, but not safety.
+//! Detects failed senders by missing heartbeats. A suspicion decides only when claims are made and granted; a
+//! wrong one costs some frames, but not safety.
 
 use crate::ids::Micros;
 use notchpoint_limits::Latency;
@@ -30,10 +30,10 @@
         self.last_heartbeat = now;
     }
 
-    /// Returns whether no heartbeat came for longer than usual, and for longer than `floor`.
-    pub fn is_suspected(&self, now: Micros, floor: Micros) -> bool {
+    /// Returns whether no heartbeat came for longer than usual, and for longer than `min_silence`.
+    pub fn is_suspected(&self, now: Micros, min_silence: Micros) -> bool {
         let usual = (self.gaps.upper_bound(0) * USUAL_GAP_FACTOR) as Micros;
-        now.saturating_sub(self.last_heartbeat) > floor.max(usual)
+        now.saturating_sub(self.last_heartbeat) > min_silence.max(usual)
     }
 }
 
--- a/crates/copies/src/membership.rs
+++ b/crates/copies/src/membership.rs
@@ -268,12 +268,12 @@
                     let group = WitnessGroup { epoch, ..first_group(me) };
                     assert_quorums_intersect(&membership, group, count);
                     let witnesses = membership.witnesses(group);
-                    let standing = witnesses.iter().filter(|w| is_reachable(**w)).count();
-                    let all = candidates.iter().filter(|w| is_reachable(**w)).count();
+                    let reachable = witnesses.iter().filter(|w| is_reachable(**w)).count();
+                    let all_reachable = candidates.iter().filter(|w| is_reachable(**w)).count();
                     assert!(!witnesses.contains(&me), "{group:?}");
                     assert!(
-                        all < count || standing >= membership.claim_quorum(group),
-                        "{group:?} {all} reachable"
+                        all_reachable < count || reachable >= membership.claim_quorum(group),
+                        "{group:?} {all_reachable} reachable"
                     );
                     if away == 0 {
                         assert_eq!(
@@ -301,13 +301,13 @@
 
     #[test]
     fn candidates_are_in_other_zones_first_equal_for_all_senders_and_evenly_spread() {
-        let (one, many) = (membership(300, 3, 1), membership(300, 3, 1));
+        let (first, second) = (membership(300, 3, 1), membership(300, 3, 1));
         let mut served: BTreeMap<Peer, usize> = BTreeMap::new();
-        for (peer, _) in one.senders() {
-            let candidates = one.candidates(peer);
-            assert_eq!(candidates, many.candidates(peer));
+        for (peer, _) in first.senders() {
+            let candidates = first.candidates(peer);
+            assert_eq!(candidates, second.candidates(peer));
             assert_eq!(candidates.len(), REPLICA_CANDIDATES);
-            assert!(candidates.iter().all(|&p| p != peer && !one.same_zone(p, peer)));
+            assert!(candidates.iter().all(|&p| p != peer && !first.same_zone(p, peer)));
             candidates.into_iter().for_each(|p| *served.entry(p).or_default() += 1);
         }
         // The number of senders that one serves stays near the mean: no sender stores copies for a third of
@@ -342,9 +342,12 @@
             counts
         };
         assert!(chosen(&|_| 1.0).values().all(|n| (850..1_150).contains(n)));
-        let poor = candidates[0];
-        let counts = chosen(&|p| if p == poor { 0.5 } else { 1.0 });
-        assert!((400..650).contains(&counts[&poor]), "half of the space, half of the copies: {counts:?}");
+        let half_free = candidates[0];
+        let counts = chosen(&|p| if p == half_free { 0.5 } else { 1.0 });
+        assert!(
+            (400..650).contains(&counts[&half_free]),
+            "half of the space, half of the copies: {counts:?}"
+        );
     }
 
     #[test]
--- a/crates/copies/src/owned.rs
+++ b/crates/copies/src/owned.rs
@@ -90,11 +90,12 @@
     max_attempts.div_ceil(2)
 }
 
-/// A consent that is not decided yet.
+/// The answers of witnesses to a request for consent to an attempt.
 #[derive(Debug, Default)]
 pub(crate) struct PendingConsent {
     pub granted_by: BTreeSet<Peer>,
     pub refused_by: BTreeSet<Peer>,
+    /// Whether enough witnesses have consented, so that the attempt was granted.
     pub granted: bool,
 }
 
--- a/crates/copies/src/witness.rs
+++ b/crates/copies/src/witness.rs
@@ -146,7 +146,8 @@
             }
         }
         if !known {
-            // The order has few keys without an entry, and each is skipped once.
+            // Keys of forgotten entries are removed only when the order is twice as long as the limit of
+            // entries, so that the cost of a pass is spread over many new keys.
             if self.order.len() >= 2 * self.max_entries {
                 self.order.retain(|k| self.entries.contains_key(k));
             }
