--- a/crates/copies/src/describe.rs
+++ b/crates/copies/src/describe.rs
@@ -6,20 +6,20 @@
 use crate::record::AttemptRecord;
 use crate::witness::WitnessEntry;
 
-fn instance(instance: Instance) -> String {
+fn describe_instance(instance: Instance) -> String {
     format!("sender {:016x}, incarnation {:016x}", instance.peer.0, instance.incarnation.0)
 }
 
-fn witness_group(group: WitnessGroup) -> String {
-    format!("{}, epoch {}", instance(group.owner), group.epoch)
+fn describe_group(group: WitnessGroup) -> String {
+    format!("{}, epoch {}", describe_instance(group.owner), group.epoch)
 }
 
-fn message(key: Key) -> String {
-    format!("{} in the group of {}", key.id, witness_group(key.group))
+fn describe_message(key: Key) -> String {
+    format!("{} in the group of {}", key.id, describe_group(key.group))
 }
 
-fn attempts(all: &[AttemptRecord]) -> String {
-    let ran = all.iter().filter(|t| !t.never_ran).count();
+fn describe_attempts(all: &[AttemptRecord]) -> String {
+    let ran = all.iter().filter(|attempt| !attempt.never_ran).count();
     format!("{} attempts known, {ran} of which may have run", all.len())
 }
 
@@ -33,10 +33,10 @@
             Row::LocalState => "state of this sender".to_owned(),
             Row::PeerIncarnations(peer) => format!("incarnations of sender {:016x}", peer.0),
             Row::Placement(id) => format!("group of {id}, owned here"),
-            Row::Copy(key) => format!("copy of {}", message(key)),
-            Row::CopyAcknowledged(key) => format!("acknowledgement of {}", message(key)),
-            Row::WitnessGroup(group) => format!("witness for {}", witness_group(group)),
-            Row::WitnessEntry(key) => format!("attempts and claims of {}", message(key)),
+            Row::Copy(key) => format!("copy of {}", describe_message(key)),
+            Row::CopyAcknowledged(key) => format!("acknowledgement of {}", describe_message(key)),
+            Row::WitnessGroup(group) => format!("witness for {}", describe_group(group)),
+            Row::WitnessEntry(key) => format!("attempts and claims of {}", describe_message(key)),
         });
     };
     Some(match row {
@@ -44,7 +44,7 @@
             let local: LocalState = decode(value)?;
             format!(
                 "this sender is {}; {} witnesses have registered its epoch {}",
-                instance(local.instance),
+                describe_instance(local.instance),
                 local.confirmed_by.len(),
                 local.epoch
             )
@@ -61,25 +61,25 @@
             let placement: Placement = decode(value)?;
             format!(
                 "{id}, owned here, is in the group of {}, term {}",
-                witness_group(placement.group),
+                describe_group(placement.group),
                 placement.term
             )
         }
         Row::Copy(key) => {
             let copy: StoredCopy = decode(value)?;
-            let (owner, attempts) = (instance(copy.owner), attempts(&copy.record.attempts));
-            format!("copy of {}; owner {owner}, term {}; {attempts}", message(key), copy.term)
+            let (owner, attempts) = (describe_instance(copy.owner), describe_attempts(&copy.record.attempts));
+            format!("copy of {}; owner {owner}, term {}; {attempts}", describe_message(key), copy.term)
         }
-        Row::CopyAcknowledged(key) => format!("{} may be acknowledged to its client", message(key)),
+        Row::CopyAcknowledged(key) => format!("{} may be acknowledged to its client", describe_message(key)),
         Row::WitnessGroup(group) => {
             let closed: bool = decode(value)?;
-            format!("witness for {}{}", witness_group(group), if closed { ", closed" } else { "" })
+            format!("witness for {}{}", describe_group(group), if closed { ", closed" } else { "" })
         }
         Row::WitnessEntry(key) => {
             let entry: WitnessEntry = decode(value)?;
-            let (owner, attempts) = (instance(entry.owner), attempts(&entry.attempts));
+            let (owner, attempts) = (describe_instance(entry.owner), describe_attempts(&entry.attempts));
             let end = if entry.ended { "; ended" } else { "" };
-            format!("{}: {owner} owns it in term {}; {attempts}{end}", message(key), entry.term)
+            format!("{}: {owner} owns it in term {}; {attempts}{end}", describe_message(key), entry.term)
         }
     })
 }
--- a/crates/copies/src/ledger.rs
+++ b/crates/copies/src/ledger.rs
@@ -74,17 +74,17 @@
 /// Attempts as a witness and a replica report them.
 pub(crate) type Attempts = Vec<AttemptRecord>;
 
-fn bytes(value: &impl Serialize) -> Vec<u8> {
+fn encode(value: &impl Serialize) -> Vec<u8> {
     // Serializing plain data into memory cannot fail.
     postcard::to_allocvec(value).unwrap_or_default()
 }
 
 pub(crate) fn put_row(row: Row, value: &impl Serialize) -> Change {
-    Change { key: bytes(&row), value: Some(bytes(value)) }
+    Change { key: encode(&row), value: Some(encode(value)) }
 }
 
 pub(crate) fn delete_row(row: Row) -> Change {
-    Change { key: bytes(&row), value: None }
+    Change { key: encode(&row), value: None }
 }
 
 pub(crate) fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Option<T> {
--- a/crates/copies/src/replicator/takeover.rs
+++ b/crates/copies/src/replicator/takeover.rs
@@ -84,7 +84,8 @@
         if may_be_incomplete || record.at_most_once && !record.acknowledged {
             record.add_attempt(POSSIBLE_ATTEMPT);
         }
-        // The first owner may have made these attempts without consent.
+        // The first owner may have made these attempts without consent, so that no witness knows them. The
+        // record of the last one makes this owner continue with the number after it.
         let free_attempts = attempts_without_consent(self.settings.max_attempts);
         if !record.at_most_once
             && free_attempts > 0
