--- a/crates/copies/examples/size.rs
+++ b/crates/copies/examples/size.rs
@@ -17,7 +17,7 @@
 type Line = (&'static str, RGBColor, fn(&Row) -> f64);
 
 const SIZES: [usize; 6] = [5, 10, 30, 100, 300, 1_000];
-/// The number of messages that each sender takes on while bytes are counted.
+/// The number of messages that are submitted to each sender while bytes are counted.
 const MESSAGES: usize = 20;
 
 struct Row {
@@ -49,7 +49,7 @@
     let begun = fleet.now;
     for n in 0..MESSAGES {
         for i in 0..senders {
-            fleet.hand_in(i, n % 2 == 0, 5 * S);
+            fleet.submit(i, n % 2 == 0, 5 * S);
         }
         fleet.run(50 * MS);
     }
@@ -60,7 +60,7 @@
     // A sender is lost while it holds many messages.
     fleet.full_percent = 100;
     for n in 0..40 {
-        fleet.hand_in(0, n % 2 == 0, 30 * S);
+        fleet.submit(0, n % 2 == 0, 30 * S);
     }
     fleet.run(200 * MS);
     let lost = fleet.now;
--- a/crates/copies/src/ids.rs
+++ b/crates/copies/src/ids.rs
@@ -33,13 +33,13 @@
     pub incarnation: Incarnation,
 }
 
-/// A group of witnesses: all messages that an instance takes on during an epoch belong to it. The epoch
-/// determines the witnesses permanently ([`Epoch`]). A new epoch begins when a witness has lost its state, or
-/// was lost before it had registered the epoch: whatever it forgot, or never received, then concerns earlier
-/// epochs only.
+/// A group of witnesses: all messages that clients submit to an instance during an epoch belong to it. The
+/// epoch determines the witnesses permanently ([`Epoch`]). A new epoch begins when a witness has lost its
+/// state, or was lost before it had registered the epoch: whatever it forgot, or never received, then
+/// concerns earlier epochs only.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct WitnessGroup {
-    /// The instance that took the messages on.
+    /// The instance to which the messages were submitted.
     pub owner: Instance,
     /// The epoch of that instance.
     pub epoch: Epoch,
@@ -47,7 +47,7 @@
 
 /// An epoch: its number, and which of the owner's replica candidates are its witnesses. Both are packed into
 /// one integer, so that a sender that receives a group knows its witnesses without a further request. Rows
-/// and frames from before witnesses were selectable keep their meaning.
+/// and frames of builds that could not select witnesses keep their meaning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Epoch(pub u32);
 
@@ -114,7 +114,7 @@
 /// one granted does not own the message any more.
 pub type Term = u32;
 
-/// The term of the sender that took the message on.
+/// The term of the sender to which the client submitted the message.
 pub const FIRST_TERM: Term = 1;
 
 #[cfg(test)]
--- a/crates/copies/src/replicator.rs
+++ b/crates/copies/src/replicator.rs
@@ -125,8 +125,8 @@
         /// The response.
         frame: Frame,
     },
-    /// A client submits a message, which waits for copies.
-    TakeOn {
+    /// A client submits a message. It is committed once enough copies are stored.
+    Submit {
         /// Its id.
         id: Id,
         /// Its record.
@@ -205,32 +205,32 @@
 /// An event for the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Messages were taken over from a failed sender.
-    TookOver {
+    /// This sender took over messages of a failed sender.
+    MessagesTakenOver {
         /// The earlier owner.
         from: Instance,
         /// The number of messages.
         count: usize,
     },
-    /// Messages of this sender were taken over by another one.
-    GaveUp {
+    /// Another sender took over messages of this sender.
+    MessagesGivenUp {
         /// The new owner.
         to: Instance,
         /// The number of messages.
         count: usize,
     },
-    /// A sender is suspected to have failed, or a new incarnation has replaced it.
-    Gone(Instance),
-    /// A suspected sender is alive again.
-    Back(Instance),
-    /// Frames of an earlier incarnation were rejected.
-    Old(Instance),
-    /// A witness has lost its state: a new epoch begins.
-    Forgot(Peer),
-    /// A witness failed before it had registered the epoch: a new one begins with other witnesses.
-    Replaced(Peer),
+    /// An instance is suspected to have failed, or a new incarnation has replaced it.
+    InstanceFailed(Instance),
+    /// An instance that was suspected to have failed has sent a frame or connected again.
+    InstanceReachable(Instance),
+    /// A link with an instance was rejected, since another incarnation has replaced it. Logged once for each.
+    StaleIncarnationRejected(Instance),
+    /// A witness has lost its state, so a new epoch begins.
+    WitnessStateLost(Peer),
+    /// A witness failed before it had registered the epoch, so a new epoch begins with other witnesses.
+    WitnessReplaced(Peer),
     /// A row could not be written.
-    Unwritten,
+    WriteFailed,
 }
 
 /// What would be lost if as many more senders failed as there are copies of a message.
@@ -521,7 +521,7 @@
         inbound.link = link;
         inbound.failure_detector.restart(now);
         if std::mem::replace(&mut inbound.suspected, false) {
-            out.push(Output::Log(Event::Back(from)));
+            out.push(Output::Log(Event::InstanceReachable(from)));
         }
         // The peer may have to be notified of messages that were taken over from it.
         if self.takeovers.keys().any(|h| h.peer == from.peer) {
@@ -565,7 +565,7 @@
                     self.handle_response(Instance { peer: from, incarnation }, frame, ledger, out);
                 }
             }
-            Input::TakeOn { id, record } => self.take_on(id, record, out),
+            Input::Submit { id, record } => self.submit(id, record, out),
             Input::CommitAnyway { id } => {
                 if let Some(message) = self.owned.messages.get_mut(&id) {
                     (message.committed, message.record.acknowledged) = (true, true);
--- a/crates/copies/src/replicator/links.rs
+++ b/crates/copies/src/replicator/links.rs
@@ -15,7 +15,7 @@
             Some(known) if known.current == from.incarnation => return true,
             Some(known) if known.retired.contains(&from.incarnation) => {
                 if self.reported_stale.insert(from) {
-                    out.push(Output::Log(Event::Old(from)));
+                    out.push(Output::Log(Event::StaleIncarnationRejected(from)));
                 }
                 return false;
             }
@@ -31,12 +31,12 @@
         // If this cannot be written, the next process learns it from the first instance that dials it. Safety
         // rests on the witnesses alone.
         if !ledger.write(&[put_row(Row::PeerIncarnations(from.peer), &known)]) {
-            out.push(Output::Log(Event::Unwritten));
+            out.push(Output::Log(Event::WriteFailed));
         }
         if let Some(&before) = known.retired.last() {
             let before = Instance { peer: from.peer, incarnation: before };
             self.takeovers.remove(&before);
-            out.push(Output::Log(Event::Gone(before)));
+            out.push(Output::Log(Event::InstanceFailed(before)));
         }
         self.incarnations.insert(from.peer, known);
         true
@@ -133,7 +133,7 @@
             Some(_) => {
                 // Even if the row of the new epoch cannot be written, the witness does not know this epoch.
                 self.local.confirmed_by.remove(&peer);
-                out.push(Output::Log(Event::Forgot(peer)));
+                out.push(Output::Log(Event::WitnessStateLost(peer)));
                 // This registers the new epoch with all witnesses, including this one.
                 return self.begin_epoch(ledger, out);
             }
@@ -141,7 +141,7 @@
                 let mut local = self.local.clone();
                 local.registered.insert(peer, incarnation);
                 if !ledger.write(&[put_row(Row::LocalState, &local)]) {
-                    out.push(Output::Log(Event::Unwritten));
+                    out.push(Output::Log(Event::WriteFailed));
                     return;
                 }
                 self.local = local;
--- a/crates/copies/src/replicator/moves.rs
+++ b/crates/copies/src/replicator/moves.rs
@@ -30,7 +30,7 @@
             new_placements.push((id, placement));
         }
         if !ledger.write(&rows) {
-            out.push(Output::Log(Event::Unwritten));
+            out.push(Output::Log(Event::WriteFailed));
             return;
         }
         self.placements.extend(new_placements);
@@ -85,7 +85,7 @@
         let reachable = new_witnesses.iter().filter(|w| self.is_linked(**w)).count();
         // Otherwise the new epoch would not be registered any sooner.
         if new_witnesses != witnesses && reachable >= self.membership.claim_quorum(next) {
-            out.push(Output::Log(Event::Replaced(away)));
+            out.push(Output::Log(Event::WitnessReplaced(away)));
             self.begin_epoch(ledger, out);
         }
     }
@@ -207,7 +207,7 @@
         }
         let placement = Placement { group: to, term: FIRST_TERM };
         if !ledger.write(&[put_row(Row::Placement(key.id), &placement)]) {
-            out.push(Output::Log(Event::Unwritten));
+            out.push(Output::Log(Event::WriteFailed));
             return;
         }
         self.placements.insert(key.id, placement);
--- a/crates/copies/src/replicator/owned.rs
+++ b/crates/copies/src/replicator/owned.rs
@@ -3,8 +3,8 @@
 use super::*;
 
 impl Replicator {
-    /// Takes on a message of a client, and asks replicas to store copies.
-    pub(super) fn take_on(&mut self, id: Id, record: Record, out: &mut Vec<Output>) {
+    /// Adds a message that a client submits, and asks replicas to store copies.
+    pub(super) fn submit(&mut self, id: Id, record: Record, out: &mut Vec<Output>) {
         let mut message = OwnedMessage::new(self.current_group(), FIRST_TERM, record);
         message.replicas_requested_at = self.time.now;
         self.owned.messages.insert(id, message);
--- a/crates/copies/src/replicator/requests.rs
+++ b/crates/copies/src/replicator/requests.rs
@@ -21,7 +21,7 @@
         }
         inbound.failure_detector.record_heartbeat(now);
         if std::mem::replace(&mut inbound.suspected, false) {
-            out.push(Output::Log(Event::Back(from)));
+            out.push(Output::Log(Event::InstanceReachable(from)));
         }
         let peer = from.peer;
         let mut respond = |frame| out.push(Output::SendResponse(peer, frame));
--- a/crates/copies/src/replicator/takeover.rs
+++ b/crates/copies/src/replicator/takeover.rs
@@ -105,7 +105,7 @@
             delete_row(Row::CopyAcknowledged(key)),
         ];
         if !ledger.adopt(key.id, &record, &rows) {
-            out.push(Output::Log(Event::Unwritten));
+            out.push(Output::Log(Event::WriteFailed));
             return;
         }
         self.copies.remove(key);
--- a/crates/copies/src/replicator/ticks.rs
+++ b/crates/copies/src/replicator/ticks.rs
@@ -73,7 +73,10 @@
             if !inbound.suspected && inbound.failure_detector.is_suspected(now, silence) {
                 inbound.suspected = true;
                 if let Some(known) = self.incarnations.get(&peer) {
-                    out.push(Output::Log(Event::Gone(Instance { peer, incarnation: known.current })));
+                    out.push(Output::Log(Event::InstanceFailed(Instance {
+                        peer,
+                        incarnation: known.current,
+                    })));
                 }
             }
         }
@@ -92,10 +95,10 @@
         self.replace_lost_replicas(out);
         self.query_owners(out);
         for (from, count) in std::mem::take(&mut self.taken_over) {
-            out.push(Output::Log(Event::TookOver { from, count }));
+            out.push(Output::Log(Event::MessagesTakenOver { from, count }));
         }
         for (to, count) in std::mem::take(&mut self.given_up) {
-            out.push(Output::Log(Event::GaveUp { to, count }));
+            out.push(Output::Log(Event::MessagesGivenUp { to, count }));
         }
     }
 
--- a/crates/copies/tests/fleet.rs
+++ b/crates/copies/tests/fleet.rs
@@ -19,7 +19,7 @@
         for _ in 0..3 {
             let (i, at_most_once) = (fleet.rng.random_range(0..n), fleet.rng.random_bool(0.6));
             let time = fleet.rng.random_range(S / 2..8 * S);
-            fleet.hand_in(i, at_most_once, time);
+            fleet.submit(i, at_most_once, time);
         }
         fleet.run(100 * MS);
         // Faults are injected for 4 s. Then the senders have 3 s to reconnect and to store missing copies.
@@ -129,7 +129,7 @@
         let fleet = three(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..20 {
-                fleet.hand_in(0, true, 9 * S);
+                fleet.submit(0, true, 9 * S);
             }
             fleet.run(100 * MS);
             fleet.stop(0, 4 * S);
@@ -151,7 +151,7 @@
 fn a_commit_before_any_replica_has_a_copy_is_found() {
     let lost = |mutant| {
         let fleet = three(mutant, |fleet| {
-            fleet.hand_in(0, true, 4 * S);
+            fleet.submit(0, true, 4 * S);
             fleet.lose(0, S);
         });
         fleet.check()
@@ -167,7 +167,7 @@
         let fleet = three(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..20 {
-                fleet.hand_in(0, true, 5 * S);
+                fleet.submit(0, true, 5 * S);
             }
             fleet.run(100 * MS);
             for other in [1, 2] {
@@ -201,7 +201,7 @@
             // All attempts are refused, so that the messages are still held and could be taken over.
             fleet.full_percent = 100;
             for n in 0..20 {
-                fleet.hand_in(0, n % 2 == 0, 8 * S);
+                fleet.submit(0, n % 2 == 0, 8 * S);
             }
             fleet.run(100 * MS);
             fleet.cut(0, 1, 6 * S);
@@ -223,7 +223,7 @@
         let fleet = three(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..10 {
-                fleet.hand_in(0, false, 20 * S);
+                fleet.submit(0, false, 20 * S);
             }
             fleet.run(100 * MS);
             fleet.kill(0, 4 * S);
@@ -246,7 +246,7 @@
         fleet.run(S);
         (fleet.full_percent, fleet.silent_percent, fleet.attempt_time) = (100, 0, 20 * MS);
         for _ in 0..10 {
-            fleet.hand_in(0, false, 20 * S);
+            fleet.submit(0, false, 20 * S);
         }
         fleet.run(100 * MS);
         // The order in which senders connect differs with the seed.
@@ -265,7 +265,7 @@
     let fleet = three(Mutant::None, |fleet| {
         fleet.full_percent = 100;
         for n in 0..20 {
-            fleet.hand_in(0, n % 2 == 0, 8 * S);
+            fleet.submit(0, n % 2 == 0, 8 * S);
         }
         fleet.run(100 * MS);
         fleet.kill(0, 600 * MS);
@@ -279,7 +279,7 @@
         let fleet = three(mutant, |fleet| {
             (fleet.full_percent, fleet.silent_percent) = (30, 10);
             for n in 0..200 {
-                fleet.hand_in(n % 3, n % 2 == 0, 3 * S);
+                fleet.submit(n % 3, n % 2 == 0, 3 * S);
                 fleet.run(10 * MS);
             }
         });
@@ -297,7 +297,7 @@
         // Consents are followed at random by a stop of several seconds.
         fleet.faults = true;
         for _ in 0..200 {
-            fleet.hand_in(0, true, 8 * S);
+            fleet.submit(0, true, 8 * S);
             fleet.run(20 * MS);
         }
         fleet.faults = false;
@@ -313,7 +313,7 @@
     let fleet = three(Mutant::None, |fleet| {
         fleet.full_percent = 60;
         for n in 0..60 {
-            fleet.hand_in(n % 3, n % 2 == 0, 8 * S);
+            fleet.submit(n % 3, n % 2 == 0, 8 * S);
             fleet.run(10 * MS);
         }
         for other in [1, 2] {
@@ -324,7 +324,9 @@
         fleet.full_percent = 0;
     });
     assert_eq!(fleet.check(), Ok(()));
-    assert!(fleet.taken_over > 0 && fleet.events.iter().any(|s| matches!(s.2, Event::GaveUp { .. })));
+    assert!(
+        fleet.taken_over > 0 && fleet.events.iter().any(|s| matches!(s.2, Event::MessagesGivenUp { .. }))
+    );
 }
 
 #[test]
@@ -334,7 +336,7 @@
         fleet.run(S);
         fleet.full_percent = 60;
         for n in 0..80 {
-            fleet.hand_in(n % 4, n % 2 == 0, 8 * S);
+            fleet.submit(n % 4, n % 2 == 0, 8 * S);
             fleet.run(10 * MS);
         }
         fleet.lose(0, 30 * S);
@@ -355,7 +357,7 @@
         fleet.run(S);
         fleet.full_percent = 50;
         for n in 0..200 {
-            fleet.hand_in(n % 3, true, 4 * S);
+            fleet.submit(n % 3, true, 4 * S);
             fleet.run(5 * MS);
             if n == 100 {
                 fleet.kill(0, 3 * S);
@@ -376,7 +378,7 @@
     for n in 0..8 {
         fleet.full_percent = 80;
         for k in 0..50 {
-            fleet.hand_in(k % 5, k % 2 == 0, 30 * S);
+            fleet.submit(k % 5, k % 2 == 0, 30 * S);
             fleet.run(2 * MS);
         }
         fleet.lose(n % 5, 100 * MS);
--- a/crates/copies/tests/sim/mod.rs
+++ b/crates/copies/tests/sim/mod.rs
@@ -261,14 +261,14 @@
         let all: Vec<(Id, Record)> = node.folder.messages.iter().map(|(&i, r)| (i, r.clone())).collect();
         for (id, record) in all {
             self.handle_input(i, Input::Resume { id, record: record.clone() });
-            self.take_up(i, id, &record, self.now);
+            self.resume_message(i, id, &record, self.now);
         }
         self.handle_input(i, Input::Tick);
     }
 
     /// Continues an owned message. A message that may have been processed is not attempted again unless it
     /// may be repeated.
-    fn take_up(&mut self, i: usize, id: Id, record: &Record, from: Micros) {
+    fn resume_message(&mut self, i: usize, id: Id, record: &Record, from: Micros) {
         let made = record.attempts.iter().filter(|t| t.number < 1 << 16).map(|t| t.number + 1).max();
         let node = &mut self.nodes[i];
         node.numbers.insert(id, made.unwrap_or(0));
@@ -451,7 +451,7 @@
                 Output::TakenOver(id) => {
                     self.taken_over += 1;
                     let record = self.nodes[i].folder.messages[&id].clone();
-                    self.take_up(i, id, &record, self.now);
+                    self.resume_message(i, id, &record, self.now);
                 }
                 Output::OwnershipLost(id) => {
                     self.given_up += 1;
@@ -492,7 +492,7 @@
     }
 
     /// Submits a message of a client.
-    pub fn hand_in(&mut self, i: usize, at_most_once: bool, time: Micros) -> Id {
+    pub fn submit(&mut self, i: usize, at_most_once: bool, time: Micros) -> Id {
         let id = Id(self.next_id);
         self.next_id += 1;
         let record = Record {
@@ -518,7 +518,7 @@
         self.nodes[i].folder.messages.insert(id, record.clone());
         self.nodes[i].activity.insert(id, Activity::AwaitsCommit(until));
         self.nodes[i].numbers.insert(id, 0);
-        self.handle_input(i, Input::TakeOn { id, record });
+        self.handle_input(i, Input::Submit { id, record });
         if self.mutant == Mutant::CommitBeforeReplica {
             self.committed(i, id);
         }
@@ -753,8 +753,8 @@
         let text = format!("{what:?}");
         if text.contains(&format!("Id({id})"))
             || text.contains("fault")
-            || text.contains("Forgot")
-            || text.contains("Unwritten")
+            || text.contains("WitnessStateLost")
+            || text.contains("WriteFailed")
             || text.contains("Regist")
             || text.contains("LinkUp")
             || text.contains("LinkDown")
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -309,29 +309,29 @@
     fn log_event(&self, event: &Event) {
         let name = |h: &Instance| self.name(h.peer);
         match event {
-            Event::TookOver { from, count } => {
+            Event::MessagesTakenOver { from, count } => {
                 tracing::warn!("copies: took over {count} messages of {}", name(from));
             }
-            Event::GaveUp { to, count } => {
+            Event::MessagesGivenUp { to, count } => {
                 tracing::warn!("copies: {count} messages are taken over by {}", name(to));
             }
-            Event::Gone(instance) => {
+            Event::InstanceFailed(instance) => {
                 tracing::warn!("copies: {} has failed or is unreachable", name(instance));
             }
-            Event::Back(instance) => tracing::info!("copies: {} is reachable", name(instance)),
-            Event::Old(instance) => {
+            Event::InstanceReachable(instance) => tracing::info!("copies: {} is reachable", name(instance)),
+            Event::StaleIncarnationRejected(instance) => {
                 tracing::warn!("copies: rejected {}: its incarnation has been replaced", name(instance));
             }
-            Event::Forgot(peer) => {
+            Event::WitnessStateLost(peer) => {
                 tracing::warn!("copies: {} has lost its folder; a new epoch begins", self.name(*peer));
             }
-            Event::Replaced(peer) => {
+            Event::WitnessReplaced(peer) => {
                 let name = self.name(*peer);
                 tracing::warn!(
                     "copies: {name} failed before it had registered the epoch; a new epoch begins without it"
                 );
             }
-            Event::Unwritten => self.warn_once("copies: cannot write to the folder".to_owned()),
+            Event::WriteFailed => self.warn_once("copies: cannot write to the folder".to_owned()),
         }
     }
 
@@ -371,7 +371,7 @@
         self.pending_commits.borrow_mut().insert(id, sender);
         // The caller's future may be dropped meanwhile.
         let _pending = PendingCommit { service: self.clone(), id };
-        self.handle_input(ProtocolInput::TakeOn { id, record });
+        self.handle_input(ProtocolInput::Submit { id, record });
         let is_replicated = match timeout_at(until, receiver).await {
             Ok(is_replicated) => is_replicated.unwrap_or(false),
             Err(_) => {
