--- a/crates/copies/src/copy_store.rs
+++ b/crates/copies/src/copy_store.rs
@@ -29,7 +29,8 @@
 struct Claim {
     owner: Instance,
     term: Term,
-    /// The current round. Grants of an earlier round may have been released.
+    /// The current round, or 0 if the claim was released and is to be sent again in a new one. Grants of an
+    /// earlier round may have been released.
     round: u64,
     grants: BTreeMap<Peer, ClaimGrant>,
     /// The group to which the message has moved, and the witnesses of the old group that have recorded that.
@@ -175,7 +176,7 @@
             return;
         };
         let mut updated = copy.clone();
-        attempts.iter().for_each(|t| updated.record.add_attempt(*t));
+        attempts.iter().for_each(|attempt| updated.record.add_attempt(*attempt));
         updated.record.verdict = verdict.or(updated.record.verdict);
         // The time left is reported without the time on the network, so the earliest deadline is the most
         // accurate. A small difference is not worth writing a row.
@@ -268,7 +269,8 @@
             .is_some_and(|c| c.grants.contains_key(&witness) || c.closed_by.contains(&witness))
     }
 
-    /// Returns the state of a claim. A granted claim is carried out, again if necessary.
+    /// Returns the state of a claim. The caller carries out a granted claim, also if an earlier try to do so
+    /// could not be written.
     pub fn claim_progress(&self, membership: &Membership, key: Key) -> ClaimProgress {
         self.evaluate_claim(membership, key)
     }
@@ -358,7 +360,7 @@
                 .values()
                 .flat_map(|g| &g.0)
                 .chain(attempts)
-                .for_each(|t| moved.record.add_attempt(*t));
+                .for_each(|attempt| moved.record.add_attempt(*attempt));
             if !claim.closed_by.is_empty() {
                 moved.record.add_attempt(POSSIBLE_ATTEMPT);
             }
--- a/crates/copies/src/failure_detector.rs
+++ b/crates/copies/src/failure_detector.rs
@@ -1,5 +1,5 @@
-//! Detects failed senders by missing heartbeats. A suspicion decides only when claims are made and granted; a
-//! wrong one costs some frames, but not safety.
+//! Detects failed senders by missing heartbeats. A suspicion decides only when something is tried,
+//! above all when claims are made and granted; a wrong one costs some frames, but not safety.
 
 use crate::ids::Micros;
 use notchpoint_limits::Latency;
--- a/crates/copies/src/frame.rs
+++ b/crates/copies/src/frame.rs
@@ -10,7 +10,7 @@
 use std::fmt;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// The version of the frames, raised with every change. The previous version is supported; there is none yet.
+/// The version of the frames, raised with every change. Only this version is accepted.
 pub const VERSION: u16 = 2;
 const MAGIC: [u8; 6] = *b"NPCOPY";
 /// The length of the greeting, which is the same in every version.
--- a/crates/copies/src/lib.rs
+++ b/crates/copies/src/lib.rs
@@ -9,7 +9,7 @@
 //! - `copy_store`: copies of messages that other senders own, and claims on them.
 //! - `witness`: records attempts and claims, so that intersecting quorums of senders agree on them.
 //! - `failure_detector`: decides when a sender is suspected to have failed. A suspicion decides only when
-//!   claims are made and granted: safety does not depend on it.
+//!   something is tried, above all when claims are made and granted: safety does not depend on it.
 //!
 //! Safety rests on two quorums among the witnesses of a message's group. An attempt of the first owner is
 //! recorded by [`Membership::attempt_quorum`] of them, a claim by [`Membership::claim_quorum`], and any two
--- a/crates/copies/src/membership.rs
+++ b/crates/copies/src/membership.rs
@@ -63,9 +63,9 @@
     pub fn new(me: Sender, others: Vec<Sender>, count: usize) -> Result<Self, MembershipError> {
         let local_peer = Peer::from_name(&me.name);
         let mut senders = BTreeMap::new();
-        for s in std::iter::once(me).chain(others) {
-            let name = s.name.clone();
-            if senders.insert(Peer::from_name(&name), s).is_some() {
+        for sender in std::iter::once(me).chain(others) {
+            let name = sender.name.clone();
+            if senders.insert(Peer::from_name(&name), sender).is_some() {
                 return Err(MembershipError::DuplicateName(name));
             }
         }
@@ -138,8 +138,8 @@
     }
 
     fn rank_candidates(&self, of: Peer) -> Vec<Peer> {
-        let position = |p: Peer| (self.same_zone(of, p), rendezvous_hash(of.0, p.0), p);
-        let mut all: Vec<_> = self.senders.keys().filter(|&&p| p != of).map(|&p| position(p)).collect();
+        let rank = |p: Peer| (self.same_zone(of, p), rendezvous_hash(of.0, p.0), p);
+        let mut all: Vec<_> = self.senders.keys().filter(|&&p| p != of).map(|&p| rank(p)).collect();
         // The candidates include all witnesses.
         let limit = REPLICA_CANDIDATES.max(2 * self.count);
         if all.len() > limit {
@@ -198,9 +198,9 @@
 
     /// Returns the rank of a sender as a replica for a message; the lowest rank is preferred. This is
     /// weighted rendezvous hashing: the logarithm weights the hash by free space.
-    pub fn rank(&self, id: Id, peer: Peer, room: f64) -> f64 {
+    pub fn rank(&self, id: Id, peer: Peer, free_space: f64) -> f64 {
         let unit = (rendezvous_hash(id.0, peer.0) >> 11) as f64 / (1u64 << 53) as f64;
-        -unit.max(f64::MIN_POSITIVE).ln() / room.max(1e-6)
+        -unit.max(f64::MIN_POSITIVE).ln() / free_space.max(1e-6)
     }
 
     /// Returns whether `a` takes precedence over `b` if both claim a message.
@@ -331,11 +331,11 @@
     fn replicas_spread_evenly_and_in_proportion_to_free_space() {
         let membership = membership(13, 3, 1);
         let candidates = membership.candidates(membership.local_peer());
-        let chosen = |room: &dyn Fn(Peer) -> f64| {
+        let chosen = |free_space: &dyn Fn(Peer) -> f64| {
             let mut counts: BTreeMap<Peer, usize> = BTreeMap::new();
             for id in (0..12_000).map(Id) {
                 let first = candidates.iter().copied().min_by(|&a, &b| {
-                    membership.rank(id, a, room(a)).total_cmp(&membership.rank(id, b, room(b)))
+                    membership.rank(id, a, free_space(a)).total_cmp(&membership.rank(id, b, free_space(b)))
                 });
                 *counts.entry(first.expect("some")).or_default() += 1;
             }
--- a/crates/copies/src/model.rs
+++ b/crates/copies/src/model.rs
@@ -35,7 +35,8 @@
     }
 }
 
-/// A packet. A sent packet stays in the set, so that it can be delivered again, or never.
+/// A packet between a witness, whose index comes first, and the owner, or a claimant if there is one. A sent
+/// packet stays in the set, so that it can be delivered again, or never.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Packet {
     Register(usize, WitnessGroup),
@@ -69,13 +70,16 @@
     confirmed_by: BTreeSet<usize>,
     group: Option<WitnessGroup>,
     pending_move: Option<(WitnessGroup, BTreeSet<usize>)>,
+    /// The witnesses that have consented, and `usize::MAX` once the attempt was made.
     consents: BTreeSet<usize>,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct ClaimState {
     grants: BTreeMap<usize, (bool, Option<WitnessGroup>)>,
+    /// The witnesses that have recorded the move.
     moved: BTreeSet<usize>,
+    /// As for the owner.
     consents: BTreeSet<usize>,
 }
 
@@ -186,9 +190,13 @@
     }
 
     fn is_running(&self, state: &State, peer: Peer) -> bool {
-        self.others.iter().zip(&state.others).any(|(other, o)| *other == peer && o.running)
+        self.others
+            .iter()
+            .zip(&state.others)
+            .any(|(other, other_state)| *other == peer && other_state.running)
     }
 
+    /// Returns whether the owner can commit messages, under the conditions of `Replicator::can_commit`.
     fn can_commit(&self, state: &State) -> bool {
         let group = self.group(state.owner.epoch);
         let witnesses = self.witnesses(group);
@@ -197,7 +205,8 @@
             && witnesses.iter().all(|index| is_confirmed(index) || !state.others[*index].running)
     }
 
-    /// As in `Replicator::replace_witnesses`.
+    /// Returns the epoch that replaces the current one, under the conditions of
+    /// `Replicator::replace_witnesses`.
     fn replacement(&self, state: &State) -> Option<Epoch> {
         let group = self.group(state.owner.epoch);
         let witnesses = self.witnesses(group);
@@ -263,7 +272,7 @@
 
     fn deliver(&self, state: &mut State, packet: Packet) {
         let (index, claimant) = packet.endpoints();
-        let (owner, term) = self.sender_and_term(state, claimant);
+        let (sender, term) = self.sender_and_term(state, claimant);
         let mut ledger = TestLedger;
         match packet {
             Packet::Register(_, group) => {
@@ -278,7 +287,7 @@
             }
             Packet::RequestConsent(_, group, _) => {
                 let witness = &mut state.others[index].witness;
-                if witness.record_attempt(Self::key(group), term, owner, ATTEMPT, &mut ledger).is_ok() {
+                if witness.record_attempt(Self::key(group), term, sender, ATTEMPT, &mut ledger).is_ok() {
                     state.packets.insert(Packet::Consent(index, group, claimant));
                 }
             }
@@ -296,7 +305,7 @@
             Packet::Move(_, group, to, attempted, _) => {
                 let attempts: &[AttemptRecord] = if attempted { &[ATTEMPT] } else { &[] };
                 let witness = &mut state.others[index].witness;
-                if witness.record_move(Self::key(group), (term, owner), to, attempts, &mut ledger).is_ok() {
+                if witness.record_move(Self::key(group), (term, sender), to, attempts, &mut ledger).is_ok() {
                     state.packets.insert(Packet::Moved(index, group, to, claimant));
                 }
             }
@@ -315,7 +324,7 @@
             }
             Packet::Claim(_, group, claimant) => {
                 let claim = (Self::key(group), CLAIM, ROUND);
-                let granted = state.others[index].witness.grant_claim(claim, owner, |_| false, &mut ledger);
+                let granted = state.others[index].witness.grant_claim(claim, sender, |_| false, &mut ledger);
                 if let Ok((attempts, moved)) = granted {
                     let moved = moved.map(|moved| moved.1);
                     state.packets.insert(Packet::Grant(index, group, claimant, !attempts.is_empty(), moved));
@@ -493,8 +502,8 @@
             }
             Action::Claims(index, group) => {
                 state.others[index].copies.get_mut(&group)?.claim = Some(ClaimState::default());
-                for to in self.witnesses(group) {
-                    state.packets.insert(Packet::Claim(to, group, index));
+                for witness in self.witnesses(group) {
+                    state.packets.insert(Packet::Claim(witness, group, index));
                 }
             }
         }
@@ -509,8 +518,8 @@
                 was_replaced && state.attempts == 1
             }),
             Property::sometimes("claimed from an owner with selected witnesses", |_, state: &State| {
-                let has_selected = |o: &Other| {
-                    o.copies.iter().any(|(group, copy)| {
+                let has_selected = |other: &Other| {
+                    other.copies.iter().any(|(group, copy)| {
                         let claim = copy.claim.as_ref();
                         group.epoch.chosen().is_some()
                             && claim.is_some_and(|c| c.consents.contains(&usize::MAX))
--- a/crates/copies/src/owned.rs
+++ b/crates/copies/src/owned.rs
@@ -15,7 +15,7 @@
 pub(crate) enum ReplicaStatus {
     /// It has not answered since this time.
     Pending(Micros),
-    /// It took longer than usual, and another replica was asked as well.
+    /// It took longer than usual or rejected the copy, so that another replica was asked as well.
     Late,
     /// It has stored the copy.
     Stored,
@@ -34,18 +34,18 @@
     /// Whether the message is committed. Until then its client is waiting, the message may be withdrawn, and
     /// it is not attempted.
     pub committed: bool,
-    /// Whether too few replicas were reported.
+    /// Whether it was reported that there are too few replicas.
     pub shortage_reported: bool,
     /// Whether there may be unknown copies: at replicas of an earlier process, or in an earlier group.
     pub recovered: bool,
     /// Whether any witness was asked for consent.
     pub consent_requested: bool,
-    /// The current owners of this message, as witnesses reported them.
+    /// The owners of this message in later terms, by the witness that reported each.
     pub claimants: BTreeMap<Peer, (Instance, Term)>,
     /// The group to which it is being moved, when the witnesses were last asked, and those that have recorded
     /// the move.
     pub pending_move: Option<(WitnessGroup, Micros, BTreeSet<Peer>)>,
-    /// Copies in its earlier groups.
+    /// Its copies in earlier groups: its key and term there, and the senders that may have one.
     pub previous_groups: Vec<(Key, Term, BTreeSet<Peer>)>,
     /// When replicas were last requested.
     pub replicas_requested_at: Micros,
@@ -74,7 +74,7 @@
     }
 
     pub fn pending_replicas(&self) -> usize {
-        self.replicas.values().filter(|a| matches!(a.1, ReplicaStatus::Pending(_))).count()
+        self.replicas.values().filter(|replica| matches!(replica.1, ReplicaStatus::Pending(_))).count()
     }
 
     /// Returns whether this attempt may only be made once a quorum of witnesses has recorded it. A message
@@ -127,7 +127,7 @@
     pub messages: BTreeMap<Id, OwnedMessage>,
     pub consents: BTreeMap<(Id, u32), PendingConsent>,
     pub pending_ends: BTreeMap<Key, PendingEnd>,
-    /// The order of the pending ends.
+    /// The keys of the pending ends, the oldest first.
     order: std::collections::VecDeque<Key>,
     /// When pending replicas count as late.
     pub replica_timeouts: BTreeSet<(Micros, Id)>,
@@ -137,7 +137,7 @@
     /// Removes a message. Returns its key and the senders to be notified.
     pub fn end(&mut self, id: Id, witnesses: &[Peer]) -> Option<(Key, Vec<Peer>)> {
         let message = self.messages.remove(&id)?;
-        self.consents.retain(|(i, _), _| *i != id);
+        self.consents.retain(|(message_id, _), _| *message_id != id);
         let key = message.key(id);
         let mut unacknowledged_by: BTreeSet<Peer> = message.replicas.keys().copied().collect();
         if message.consent_requested || message.term > FIRST_TERM {
@@ -181,7 +181,7 @@
 
     /// Returns the ends that a sender has not acknowledged.
     pub fn pending_ends_for(&self, peer: Peer) -> Vec<(Key, Term)> {
-        let ends = self.pending_ends.iter().filter(|(_, o)| o.unacknowledged_by.contains(&peer));
-        ends.map(|(&k, o)| (k, o.term)).collect()
+        let ends = self.pending_ends.iter().filter(|(_, end)| end.unacknowledged_by.contains(&peer));
+        ends.map(|(&key, end)| (key, end.term)).collect()
     }
 }
--- a/crates/copies/src/record.rs
+++ b/crates/copies/src/record.rs
@@ -28,7 +28,7 @@
 /// The final status of a message that is not delivered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It may have been processed, or will not be.
+    /// No further attempt is made. An earlier one may have processed the message.
     Dead,
     /// Submitting it again is safe, after this number of milliseconds if it is not 0.
     Bounced(u64),
@@ -67,14 +67,14 @@
     pub(crate) fn with_relative_times(&self, unix: Micros) -> Self {
         let mut record = self.clone();
         record.deadline = self.deadline.saturating_sub(unix);
-        record.attempts.iter_mut().for_each(|t| t.at = unix.saturating_sub(t.at));
+        record.attempts.iter_mut().for_each(|attempt| attempt.at = unix.saturating_sub(attempt.at));
         record
     }
 
     /// Converts a received record to times of the local wall clock.
     pub(crate) fn with_absolute_times(mut self, unix: Micros) -> Self {
         self.deadline = unix.saturating_add(self.deadline);
-        self.attempts.iter_mut().for_each(|t| t.at = unix.saturating_sub(t.at));
+        self.attempts.iter_mut().for_each(|attempt| attempt.at = unix.saturating_sub(attempt.at));
         self
     }
 
@@ -87,7 +87,7 @@
 
     /// Adds an attempt. If the attempt is known already, it counts as never run when either record says so.
     pub(crate) fn add_attempt(&mut self, attempt: AttemptRecord) {
-        match self.attempts.iter_mut().find(|t| t.number == attempt.number) {
+        match self.attempts.iter_mut().find(|known| known.number == attempt.number) {
             Some(known) => known.never_ran |= attempt.never_ran,
             None => self.attempts.push(attempt),
         }
--- a/crates/copies/src/replicator.rs
+++ b/crates/copies/src/replicator.rs
@@ -32,7 +32,7 @@
 const REPLICA_TIMEOUT: std::ops::RangeInclusive<Micros> = 20_000..=100_000;
 /// A link is closed if a heartbeat has been unanswered for this time.
 const LINK_TIMEOUT: Micros = 15 * HEARTBEAT_INTERVAL;
-/// The time for which ends are collected before they are sent.
+/// The time for which reports of ended messages are collected before they are sent together.
 const END_FLUSH_DELAY: Micros = 5_000;
 /// The time after the deadline of a copy at which its owner, if it is alive, is asked about it.
 const OWNER_QUERY_DELAY: Micros = 2_000_000;
@@ -53,8 +53,8 @@
 const MOVE_RETRY_INTERVAL: Micros = 250_000;
 /// A replica does not count any more if its link has been down for this time.
 const REPLICA_AWAY_TIMEOUT: Micros = 300_000;
-/// Copies for which no claim was granted are deleted this long after their deadline. By then operators have
-/// to deal with them.
+/// Copies for which no claim was granted are deleted this long after their deadline. Operators have to deal
+/// with their messages before that.
 const ORPHAN_RETENTION: Micros = 600_000_000;
 
 /// The time of an input by two clocks, one of which is monotonic.
@@ -256,7 +256,7 @@
     }
 }
 
-/// A link that this sender dialed.
+/// A link that this sender dials.
 #[derive(Debug, Default)]
 struct Link {
     /// The incarnation that answered and the number of the link, while it is up.
@@ -268,6 +268,7 @@
     /// The number and time of the oldest unanswered heartbeat.
     unanswered_heartbeat: Option<(u64, Micros)>,
     response_times: Latency,
+    /// The space that the peer has left for copies, as it last reported.
     free_kib: u32,
 }
 
@@ -304,14 +305,14 @@
     owned: OwnedMessages,
     copies: CopyStore,
     witness: Witness,
-    /// Ends that are to be sent, by receiver.
+    /// Ended messages that are to be reported, by receiver.
     unsent_ends: BTreeMap<Peer, Vec<(Key, Term)>>,
     /// The rows of acknowledged copies, which are read in any order, and applied once all rows are read.
     acknowledged_copies: Vec<Key>,
     /// Messages that were taken over, of which the earlier owners are to be notified.
     takeovers: BTreeMap<Instance, BTreeMap<Key, Term>>,
     /// Witnesses that have not yet reported which messages of this sender were claimed before it restarted.
-    unanswered_witnesses: BTreeSet<Peer>,
+    awaited_witnesses: BTreeSet<Peer>,
     /// The groups of messages that do not belong to the current one.
     placements: BTreeMap<Id, Placement>,
     /// The number of the last round of claims.
@@ -365,7 +366,7 @@
             unsent_ends: BTreeMap::new(),
             acknowledged_copies: Vec::new(),
             takeovers: BTreeMap::new(),
-            unanswered_witnesses: BTreeSet::new(),
+            awaited_witnesses: BTreeSet::new(),
             placements: BTreeMap::new(),
             claim_round: 0,
             stall: (0, 0),
@@ -377,19 +378,19 @@
             taken_over: BTreeMap::new(),
             given_up: BTreeMap::new(),
         };
-        let mut is_known = false;
+        let mut has_local_state = false;
         for (key, value) in rows {
-            is_known |= replicator
+            has_local_state |= replicator
                 .restore(&key, &value)
                 .ok_or_else(|| format!("copies: row {key:02x?} cannot be decoded"))?;
         }
         for key in std::mem::take(&mut replicator.acknowledged_copies) {
             replicator.copies.restore_acknowledged(&key);
         }
-        if is_known && replicator.local.instance.peer != replicator.membership.local_peer() {
+        if has_local_state && replicator.local.instance.peer != replicator.membership.local_peer() {
             return Err("copies: the folder belongs to a sender of another name".into());
         }
-        if !is_known && !ledger.write(&[put_row(Row::LocalState, &replicator.local)]) {
+        if !has_local_state && !ledger.write(&[put_row(Row::LocalState, &replicator.local)]) {
             return Err("copies: cannot write to the folder".into());
         }
         Ok(replicator)
@@ -422,15 +423,16 @@
         &self.membership
     }
 
-    /// Returns the number of links that are up, and of all that are wanted.
+    /// Returns the number of links that are up, and of all that this sender dials.
     pub fn links(&self) -> (usize, usize) {
         (self.links.values().filter(|l| l.up.is_some()).count(), self.links.len())
     }
 
     /// Returns the number of committed messages of this sender that have too few copies.
     pub fn missing_copies(&self) -> usize {
-        let has_too_few =
-            |o: &&OwnedMessage| o.committed && self.stored_replicas(o) < self.membership.copy_count();
+        let has_too_few = |message: &&OwnedMessage| {
+            message.committed && self.stored_replicas(message) < self.membership.copy_count()
+        };
         self.owned.messages.values().filter(has_too_few).count()
     }
 
@@ -442,14 +444,19 @@
         let is_up = |w: &&Peer| {
             self.local.confirmed_by.contains(w) && self.links.get(w).is_some_and(|l| l.up.is_some())
         };
-        // Messages that could not be claimed before their deadline, and long after, are left to operators
-        // (`ORPHAN_RETENTION`).
+        // A copy that is still unclaimed this long after its deadline is not counted any more: operators have
+        // to deal with it before it is deleted (`ORPHAN_RETENTION`).
         let is_recent =
-            |h: &&StoredCopy| h.record.deadline > self.time.unix.saturating_sub(OWNER_QUERY_DELAY);
-        let unclaimed = self.copies.copies_owned_by(|h| self.has_failed(h)).filter(is_recent).count();
+            |copy: &&StoredCopy| copy.record.deadline > self.time.unix.saturating_sub(OWNER_QUERY_DELAY);
+        let unclaimed = self.copies.copies_owned_by(|owner| self.has_failed(owner)).filter(is_recent).count();
         Redundancy {
             missing_copies: self.missing_copies(),
-            in_other_groups: self.owned.messages.values().filter(|o| o.committed && o.group != group).count(),
+            in_other_groups: self
+                .owned
+                .messages
+                .values()
+                .filter(|message| message.committed && message.group != group)
+                .count(),
             unclaimed,
             witnesses: (all.iter().filter(is_up).count(), all.len()),
         }
@@ -470,8 +477,8 @@
     pub fn is_recovered(&self) -> bool {
         let claim_quorum = |message: &OwnedMessage| self.membership.claim_quorum(message.group);
         self.owned.messages.is_empty()
-            || self.unanswered_witnesses.is_empty()
-                && self.owned.messages.values().all(|o| o.claimants.len() < claim_quorum(o))
+            || self.awaited_witnesses.is_empty()
+                && self.owned.messages.values().all(|message| message.claimants.len() < claim_quorum(message))
     }
 
     /// Returns whether all witnesses have registered this sender, and enough replicas are reachable.
@@ -483,7 +490,7 @@
 
     /// Returns when the state machine must be called at the latest.
     pub fn next_wake(&self) -> Micros {
-        let due = self.owned.replica_timeouts.first().map(|d| d.0);
+        let due = self.owned.replica_timeouts.first().map(|due| due.0);
         [Some(self.next_heartbeat), self.flush_at, due]
             .into_iter()
             .flatten()
@@ -524,7 +531,7 @@
             out.push(Output::Log(Event::InstanceReachable(from)));
         }
         // The peer may have to be notified of messages that were taken over from it.
-        if self.takeovers.keys().any(|h| h.peer == from.peer) {
+        if self.takeovers.keys().any(|owner| owner.peer == from.peer) {
             self.connect(from.peer, out);
         }
         true
@@ -560,7 +567,7 @@
             Input::LinkDown { peer, link } => self.link_down(peer, link, out),
             Input::Request { from, link, frame } => self.handle_request(from, link, frame, ledger, out),
             Input::Response { from, link, frame } => {
-                let link = self.links.get(&from).and_then(|l| l.up).filter(|u| u.1 == link);
+                let link = self.links.get(&from).and_then(|l| l.up).filter(|up| up.1 == link);
                 if let Some((incarnation, _)) = link {
                     self.handle_response(Instance { peer: from, incarnation }, frame, ledger, out);
                 }
@@ -579,8 +586,8 @@
                     .record
                     .attempts
                     .iter_mut()
-                    .filter(|t| t.number == number)
-                    .for_each(|t| t.never_ran = true);
+                    .filter(|attempt| attempt.number == number)
+                    .for_each(|attempt| attempt.never_ran = true);
                 self.send_progress(id, out);
             }
             Input::VerdictRecorded { id, verdict } => {
--- a/crates/copies/src/replicator/links.rs
+++ b/crates/copies/src/replicator/links.rs
@@ -49,7 +49,10 @@
             return false;
         }
         if instance.peer == self.local.instance.peer
-            || self.incarnations.get(&instance.peer).is_some_and(|l| l.current != instance.incarnation)
+            || self
+                .incarnations
+                .get(&instance.peer)
+                .is_some_and(|known| known.current != instance.incarnation)
         {
             return true;
         }
@@ -80,18 +83,22 @@
         }
         // Copies of the earlier incarnation are lost.
         for message in self.owned.messages.values_mut() {
-            if message.replicas.get(&peer).is_some_and(|a| a.0 != incarnation) {
+            if message.replicas.get(&peer).is_some_and(|replica| replica.0 != incarnation) {
                 message.replicas.remove(&peer);
             }
             // A request on the earlier link, or its response, may have been lost.
-            if let Some(replica) = message.replicas.get_mut(&peer).filter(|a| a.1 != ReplicaStatus::Stored) {
+            if let Some(replica) =
+                message.replicas.get_mut(&peer).filter(|replica| replica.1 != ReplicaStatus::Stored)
+            {
                 replica.1 = ReplicaStatus::Unknown;
             }
         }
         self.register_group(peer, incarnation, ledger, out);
-        if self.unanswered_witnesses.contains(&peer) {
-            let groups: BTreeSet<WitnessGroup> = self.owned.messages.values().map(|o| o.group).collect();
-            for group in groups.into_iter().filter(|h| self.membership.witnesses(*h).contains(&peer)) {
+        if self.awaited_witnesses.contains(&peer) {
+            let groups: BTreeSet<WitnessGroup> =
+                self.owned.messages.values().map(|message| message.group).collect();
+            for group in groups.into_iter().filter(|group| self.membership.witnesses(*group).contains(&peer))
+            {
                 out.push(Output::SendRequest(peer, Frame::QueryClaims { group }));
             }
         }
@@ -99,19 +106,22 @@
             out.push(Output::SendRequest(peer, Frame::Ended { keys: keys.to_vec() }));
         }
         let taken_over = self.takeovers.get(&instance).into_iter().flatten();
-        let taken_over: Vec<(Key, Term)> = taken_over.map(|(&k, &t)| (k, t)).collect();
+        let taken_over: Vec<(Key, Term)> = taken_over.map(|(&key, &term)| (key, term)).collect();
         for claims in taken_over.chunks(MAX_LIST_LEN) {
             out.push(Output::SendRequest(peer, Frame::TakenOver { claims: claims.to_vec() }));
         }
-        let claimed =
-            self.owned.messages.iter().filter(|(_, o)| o.claimants.values().any(|t| t.0 == instance));
-        let claimed: Vec<Key> = claimed.map(|(&id, o)| o.key(id)).collect();
+        let claimed = self
+            .owned
+            .messages
+            .iter()
+            .filter(|(_, message)| message.claimants.values().any(|claimant| claimant.0 == instance));
+        let claimed: Vec<Key> = claimed.map(|(&id, message)| message.key(id)).collect();
         for keys in claimed.chunks(MAX_LIST_LEN) {
             out.push(Output::SendRequest(peer, Frame::QueryOwnership { keys: keys.to_vec() }));
         }
         self.send_heartbeat(peer, out);
         let uncommitted: Vec<Id> =
-            self.owned.messages.iter().filter(|(_, o)| !o.committed).map(|(&id, _)| id).collect();
+            self.owned.messages.iter().filter(|(_, message)| !message.committed).map(|(&id, _)| id).collect();
         uncommitted.into_iter().for_each(|id| self.request_replicas(id, out));
     }
 
@@ -165,21 +175,24 @@
         self.local.confirmed_by.insert(peer);
         // If this cannot be written, the next process registers it again.
         let _ = ledger.write(&[put_row(Row::LocalState, &self.local)]);
-        let uncommitted = self.owned.messages.iter().filter(|(_, o)| !o.committed);
+        let uncommitted = self.owned.messages.iter().filter(|(_, message)| !message.committed);
         let uncommitted: Vec<Id> = uncommitted.map(|(&id, _)| id).collect();
         uncommitted.into_iter().for_each(|id| self.commit_if_replicated(id, out));
     }
 
-    /// Handles the end of a link: replicas that have not answered may or may not have a copy.
+    /// Handles the end of a link. A replica that has not answered on it may or may not have stored a copy.
     pub(super) fn link_down(&mut self, peer: Peer, link: u64, out: &mut Vec<Output>) {
-        let Some(link_state) = self.links.get_mut(&peer).filter(|l| l.up.is_some_and(|u| u.1 == link)) else {
+        let Some(link_state) = self.links.get_mut(&peer).filter(|l| l.up.is_some_and(|up| up.1 == link))
+        else {
             return;
         };
         (link_state.up, link_state.unanswered_heartbeat, link_state.down_since) = (None, None, self.time.now);
         let mut affected = Vec::new();
         for (&id, message) in &mut self.owned.messages {
-            if let Some(replica) =
-                message.replicas.get_mut(&peer).filter(|a| matches!(a.1, ReplicaStatus::Pending(_)))
+            if let Some(replica) = message
+                .replicas
+                .get_mut(&peer)
+                .filter(|replica| matches!(replica.1, ReplicaStatus::Pending(_)))
             {
                 replica.1 = ReplicaStatus::Unknown;
                 affected.push(id);
--- a/crates/copies/src/replicator/moves.rs
+++ b/crates/copies/src/replicator/moves.rs
@@ -36,14 +36,17 @@
         self.placements.extend(new_placements);
         self.local = local;
         // Uncommitted messages belong to a group that witnesses may not know.
-        for (&id, message) in
-            self.owned.messages.iter_mut().filter(|(_, o)| !o.committed && !o.shortage_reported)
+        for (&id, message) in self
+            .owned
+            .messages
+            .iter_mut()
+            .filter(|(_, message)| !message.committed && !message.shortage_reported)
         {
             message.shortage_reported = true;
             out.push(Output::TooFewReplicas(id));
         }
         let up: Vec<(Peer, Incarnation)> =
-            self.links.iter().filter_map(|(&p, l)| l.up.map(|u| (p, u.0))).collect();
+            self.links.iter().filter_map(|(&p, l)| l.up.map(|up| (p, up.0))).collect();
         for (peer, incarnation) in up {
             self.register_group(peer, incarnation, ledger, out);
         }
@@ -72,8 +75,8 @@
     pub(super) fn replace_witnesses(&mut self, ledger: &mut dyn Ledger, out: &mut Vec<Output>) {
         let group = self.current_group();
         let witnesses = self.membership.witnesses(group);
-        let known = witnesses.iter().filter(|w| self.local.confirmed_by.contains(w)).count();
-        if known >= self.membership.claim_quorum(group) {
+        let confirmed = witnesses.iter().filter(|w| self.local.confirmed_by.contains(w)).count();
+        if confirmed >= self.membership.claim_quorum(group) {
             return;
         }
         let away =
@@ -100,8 +103,8 @@
             let is_time = message.pending_move.as_ref().is_none_or(|m| m.1 + MOVE_RETRY_INTERVAL <= now);
             message.committed && message.group != group && is_time
         };
-        let due = self.owned.messages.iter().filter(|(_, o)| due(o));
-        let mut due: Vec<(Micros, Id)> = due.map(|(&id, o)| (o.record.deadline, id)).collect();
+        let due = self.owned.messages.iter().filter(|(_, message)| due(message));
+        let mut due: Vec<(Micros, Id)> = due.map(|(&id, message)| (message.record.deadline, id)).collect();
         due.sort_unstable();
         for (_, id) in due.into_iter().take(MAX_PER_HEARTBEAT) {
             self.request_move(id, group, ledger, out);
@@ -123,9 +126,10 @@
         to.1 = now;
         let to = to.0;
         let (key, term, attempts) = (message.key(id), message.term, message.record.attempts.clone());
-        // Pending consents would come from the old group.
-        let pending = self.owned.consents.iter().filter(|((i, _), c)| *i == id && !c.granted);
-        let pending: Vec<u32> = pending.map(|((_, n), _)| *n).collect();
+        // Consents that are still pending would come from the old group, so these attempts are refused.
+        let pending =
+            self.owned.consents.iter().filter(|((message_id, _), c)| *message_id == id && !c.granted);
+        let pending: Vec<u32> = pending.map(|((_, number), _)| *number).collect();
         for number in pending {
             self.owned.consents.remove(&(id, number));
             out.push(Output::AttemptRefused(id, number));
@@ -149,7 +153,7 @@
     ) -> Option<Peer> {
         let unix = self.time.unix;
         let relative: Vec<AttemptRecord> =
-            attempts.iter().map(|&t| convert_age(t, unix)).take(MAX_LIST_LEN).collect();
+            attempts.iter().map(|&attempt| convert_age(attempt, unix)).take(MAX_LIST_LEN).collect();
         let witnesses = self.membership.witnesses(key.group);
         for &peer in witnesses.iter().filter(|&&p| p != self.membership.local_peer()) {
             self.send_request(peer, Frame::RecordMove { key, term, to, attempts: relative.clone() }, out);
@@ -195,8 +199,11 @@
         ledger: &mut dyn Ledger,
         out: &mut Vec<Output>,
     ) {
-        let Some(message) =
-            self.owned.messages.get_mut(&key.id).filter(|o| (o.group, o.term) == (key.group, term))
+        let Some(message) = self
+            .owned
+            .messages
+            .get_mut(&key.id)
+            .filter(|message| (message.group, message.term) == (key.group, term))
         else {
             return;
         };
--- a/crates/copies/src/replicator/owned.rs
+++ b/crates/copies/src/replicator/owned.rs
@@ -24,7 +24,7 @@
         message.replicas.iter().filter(has_copy).count()
     }
 
-    /// Asks as many further replicas as are missing.
+    /// Asks as many further senders to store a copy as copies are missing.
     pub(super) fn request_replicas(&mut self, id: Id, out: &mut Vec<Output>) {
         let Some(message) = self.owned.messages.get(&id) else { return };
         let missing = self
@@ -42,7 +42,7 @@
             if message
                 .replicas
                 .get(&peer)
-                .is_some_and(|a| a.0 == incarnation && a.1 != ReplicaStatus::Unknown)
+                .is_some_and(|replica| replica.0 == incarnation && replica.1 != ReplicaStatus::Unknown)
             {
                 continue;
             }
@@ -98,7 +98,7 @@
 
     /// Commits a message once enough replicas have stored it.
     pub(super) fn commit_if_replicated(&mut self, id: Id, out: &mut Vec<Output>) {
-        let Some(message) = self.owned.messages.get(&id).filter(|o| !o.committed) else { return };
+        let Some(message) = self.owned.messages.get(&id).filter(|message| !message.committed) else { return };
         if self.stored_replicas(message) < self.membership.copy_count() || !self.can_commit(message.group) {
             return;
         }
@@ -129,9 +129,9 @@
             .record
             .attempts
             .iter()
-            .any(|t| message.needs_consent(t.number, self.settings.max_attempts));
-        self.unanswered_witnesses.extend(self.membership.witnesses(placement.group));
-        self.unanswered_witnesses.remove(&self.membership.local_peer());
+            .any(|attempt| message.needs_consent(attempt.number, self.settings.max_attempts));
+        self.awaited_witnesses.extend(self.membership.witnesses(placement.group));
+        self.awaited_witnesses.remove(&self.membership.local_peer());
         self.owned.messages.insert(id, message);
     }
 
@@ -254,7 +254,7 @@
             return;
         }
         self.owned.messages.remove(&id);
-        self.owned.consents.retain(|(i, _), _| *i != id);
+        self.owned.consents.retain(|(message_id, _), _| *message_id != id);
         *self.given_up.entry(to).or_default() += 1;
         out.push(Output::OwnershipLost(id));
     }
@@ -270,7 +270,7 @@
                 .attempts
                 .iter()
                 .take(MAX_LIST_LEN)
-                .map(|&t| convert_age(t, unix))
+                .map(|&attempt| convert_age(attempt, unix))
                 .collect(),
             verdict: message.record.verdict,
             left: message.record.deadline.saturating_sub(unix),
@@ -314,7 +314,10 @@
 
     /// Returns whether this sender owns a message in this term.
     pub(super) fn owns_in_term(&self, key: Key, term: Term) -> bool {
-        self.owned.messages.get(&key.id).is_some_and(|o| (o.group, o.term) == (key.group, term))
+        self.owned
+            .messages
+            .get(&key.id)
+            .is_some_and(|message| (message.group, message.term) == (key.group, term))
     }
 
     /// Asks the witnesses to delete their entries of messages.
@@ -336,8 +339,8 @@
                 && message.replicas_requested_at + REPLACEMENT_INTERVAL <= now
                 && self.stored_replicas(message) < count
         };
-        let due = self.owned.messages.iter().filter(|(_, o)| due(o));
-        let mut due: Vec<(Micros, Id)> = due.map(|(&id, o)| (o.record.deadline, id)).collect();
+        let due = self.owned.messages.iter().filter(|(_, message)| due(message));
+        let mut due: Vec<(Micros, Id)> = due.map(|(&id, message)| (message.record.deadline, id)).collect();
         due.sort_unstable();
         for (_, id) in due.into_iter().take(MAX_PER_HEARTBEAT) {
             if let Some(message) = self.owned.messages.get_mut(&id) {
@@ -346,7 +349,7 @@
                 for replica in message
                     .replicas
                     .values_mut()
-                    .filter(|a| matches!(a.1, ReplicaStatus::Late | ReplicaStatus::Pending(_)))
+                    .filter(|replica| matches!(replica.1, ReplicaStatus::Late | ReplicaStatus::Pending(_)))
                 {
                     replica.1 = ReplicaStatus::Unknown;
                 }
--- a/crates/copies/src/replicator/requests.rs
+++ b/crates/copies/src/replicator/requests.rs
@@ -15,7 +15,7 @@
         let now = self.time.now;
         // Frames of a link that a later one from the same peer has replaced are ignored: what they request
         // may have been undone since.
-        let Some(inbound) = self.inbound.get_mut(&from.peer).filter(|h| h.link == link) else { return };
+        let Some(inbound) = self.inbound.get_mut(&from.peer).filter(|i| i.link == link) else { return };
         if self.incarnations.get(&from.peer).is_none_or(|l| l.current != from.incarnation) {
             return;
         }
@@ -41,8 +41,11 @@
                 if now.saturating_sub(self.stall.0) < STALL_AFTERMATH {
                     record.deadline = record.deadline.saturating_sub(self.stall.1);
                 }
-                let message =
-                    self.owned.messages.get(&key.id).filter(|o| o.group == key.group && o.term >= term);
+                let message = self
+                    .owned
+                    .messages
+                    .get(&key.id)
+                    .filter(|message| message.group == key.group && message.term >= term);
                 let result = match message {
                     Some(message) => {
                         Err(Rejection::OwnedByOther { owner: self.local.instance, term: message.term })
@@ -57,7 +60,7 @@
             Frame::Progress { key, term, attempts, verdict, left } => {
                 let unix = self.time.unix;
                 let attempts: Vec<AttemptRecord> =
-                    attempts.into_iter().map(|t| convert_age(t, unix)).collect();
+                    attempts.into_iter().map(|attempt| convert_age(attempt, unix)).collect();
                 self.witness.record_never_ran((key, term, from), &attempts, ledger);
                 let deadline = unix.saturating_add(left);
                 self.copies.record_progress((key, term, from), &attempts, verdict, deadline, ledger);
@@ -70,8 +73,11 @@
                 let mut recorded = Vec::new();
                 for (key, term) in keys {
                     // An earlier owner has delivered the message nevertheless, or reported its final status.
-                    let message =
-                        self.owned.messages.get(&key.id).filter(|o| o.group == key.group && o.term > term);
+                    let message = self
+                        .owned
+                        .messages
+                        .get(&key.id)
+                        .filter(|message| message.group == key.group && message.term > term);
                     if message.is_some() {
                         out.push(Output::OwnershipLost(key.id));
                     }
@@ -93,7 +99,7 @@
             Frame::RecordMove { key, term, to, attempts } => {
                 let unix = self.time.unix;
                 let attempts: Vec<AttemptRecord> =
-                    attempts.into_iter().map(|t| convert_age(t, unix)).collect();
+                    attempts.into_iter().map(|attempt| convert_age(attempt, unix)).collect();
                 respond(match self.witness.record_move(key, (term, from), to, &attempts, ledger) {
                     Ok(()) => Frame::MoveRecorded { key, term, to },
                     Err(reason) => Frame::MoveRejected { key, term, reason },
@@ -109,11 +115,12 @@
                 let all: Vec<Key> = claims.iter().map(|c| c.0).collect();
                 for (key, term) in claims {
                     let message = self.owned.messages.get(&key.id);
-                    if message.is_some_and(|o| o.group == key.group && o.term < term) {
+                    if message.is_some_and(|message| message.group == key.group && message.term < term) {
                         self.give_up(key.id, from, term, ledger, out);
                     }
                 }
-                let is_owned = |k: &Key| self.owned.messages.get(&k.id).is_some_and(|o| o.group == k.group);
+                let is_owned =
+                    |k: &Key| self.owned.messages.get(&k.id).is_some_and(|message| message.group == k.group);
                 let keys = all.into_iter().filter(|k| !is_owned(k)).collect();
                 out.push(Output::SendResponse(peer, Frame::NotOwner { keys }));
             }
@@ -138,11 +145,12 @@
                     respond(Frame::Owner { claims });
                 }
                 respond(Frame::NotOwner { keys: not_owned.clone() });
-                // These are grants that an earlier process of this sender requested, or that it could not
-                // release. It owned nothing in a term after that of its copy: otherwise it would have no
-                // copy, or one of the next owner.
+                // Witnesses may have grants for this sender that an earlier process of it requested, or that
+                // could not be released. Those in a later term than that of the copy can be released: if
+                // this sender had owned the message in one of them, it would now have no copy, or a copy
+                // from the next owner.
                 for key in not_owned {
-                    if let Some(term) = self.copies.get(&key).map(|h| h.term) {
+                    if let Some(term) = self.copies.get(&key).map(|copy| copy.term) {
                         self.send_release(key, term, ANY_ROUND, ledger, out);
                     }
                 }
@@ -150,8 +158,8 @@
             Frame::QueryClaims { group } => {
                 let all = self.witness.claimed_messages(group);
                 let parts = all.chunks(MAX_LIST_LEN).count();
-                for (n, claims) in all.chunks(MAX_LIST_LEN).enumerate() {
-                    let more = n + 1 < parts;
+                for (index, claims) in all.chunks(MAX_LIST_LEN).enumerate() {
+                    let more = index + 1 < parts;
                     respond(Frame::ClaimedMessages { group, claims: claims.to_vec(), more });
                 }
                 if parts == 0 {
@@ -180,7 +188,7 @@
                     granted.push((
                         key,
                         term,
-                        attempts.into_iter().map(|t| convert_age(t, unix)).collect(),
+                        attempts.into_iter().map(|attempt| convert_age(attempt, unix)).collect(),
                         moved,
                     ));
                 }
@@ -205,7 +213,8 @@
     ) -> Result<ClaimGrant, Rejection> {
         // The witness is moved out for the call, since `has_failed` needs the rest of `self`.
         let mut witness = std::mem::take(&mut self.witness);
-        let granted = witness.grant_claim((key, term, round), claimant, |h| !self.has_failed(h), ledger);
+        let granted =
+            witness.grant_claim((key, term, round), claimant, |owner| !self.has_failed(owner), ledger);
         self.witness = witness;
         granted
     }
--- a/crates/copies/src/replicator/responses.rs
+++ b/crates/copies/src/replicator/responses.rs
@@ -16,8 +16,8 @@
             Frame::HeartbeatResponse { number, free_kib } => {
                 if let Some(link) = self.links.get_mut(&peer) {
                     link.free_kib = free_kib;
-                    if let Some((_, at)) = link.unanswered_heartbeat.filter(|s| number >= s.0) {
-                        link.response_times.observe(now.saturating_sub(at).max(1));
+                    if let Some((_, sent_at)) = link.unanswered_heartbeat.filter(|sent| number >= sent.0) {
+                        link.response_times.observe(now.saturating_sub(sent_at).max(1));
                         link.unanswered_heartbeat = None;
                     }
                 }
@@ -27,10 +27,14 @@
                 if let Some(link) = self.links.get_mut(&peer) {
                     link.free_kib = free_kib;
                 }
-                let message =
-                    self.owned.messages.get_mut(&key.id).filter(|o| (o.group, o.term) == (key.group, term));
-                if let Some(replica) =
-                    message.and_then(|o| o.replicas.get_mut(&peer)).filter(|a| a.0 == from.incarnation)
+                let message = self
+                    .owned
+                    .messages
+                    .get_mut(&key.id)
+                    .filter(|message| (message.group, message.term) == (key.group, term));
+                if let Some(replica) = message
+                    .and_then(|message| message.replicas.get_mut(&peer))
+                    .filter(|replica| replica.0 == from.incarnation)
                 {
                     if let ReplicaStatus::Pending(since) = replica.1
                         && let Some(link) = self.links.get_mut(&peer)
@@ -45,19 +49,29 @@
                         out.push(Output::SendRequest(peer, self.progress_frame(key.id, message)));
                     }
                     self.commit_if_replicated(key.id, out);
-                    let message = self.owned.messages.get(&key.id).filter(|o| !o.previous_groups.is_empty());
-                    if message.is_some_and(|o| self.stored_replicas(o) >= self.membership.copy_count()) {
+                    let message = self
+                        .owned
+                        .messages
+                        .get(&key.id)
+                        .filter(|message| !message.previous_groups.is_empty());
+                    if message
+                        .is_some_and(|message| self.stored_replicas(message) >= self.membership.copy_count())
+                    {
                         self.end_previous_copies(key.id);
                     }
                 }
             }
             Frame::CopyRejected { key, term, .. } => {
-                let message =
-                    self.owned.messages.get_mut(&key.id).filter(|o| (o.group, o.term) == (key.group, term));
-                if let Some(replica) =
-                    message.and_then(|o| o.replicas.get_mut(&peer)).filter(|a| a.0 == from.incarnation)
+                let message = self
+                    .owned
+                    .messages
+                    .get_mut(&key.id)
+                    .filter(|message| (message.group, message.term) == (key.group, term));
+                if let Some(replica) = message
+                    .and_then(|message| message.replicas.get_mut(&peer))
+                    .filter(|replica| replica.0 == from.incarnation)
                 {
-                    // Asked again at once, it would reject the copy again.
+                    // It is not asked again at once, since it would reject the copy again.
                     replica.1 = ReplicaStatus::Late;
                     self.request_replicas(key.id, out);
                 }
@@ -98,7 +112,8 @@
             Frame::ClaimsGranted { round, claims } => {
                 for (key, term, attempts, moved) in claims {
                     let unix = self.time.unix;
-                    let grant = (attempts.into_iter().map(|t| convert_age(t, unix)).collect(), moved);
+                    let grant =
+                        (attempts.into_iter().map(|attempt| convert_age(attempt, unix)).collect(), moved);
                     let progress =
                         self.copies.record_grant(&self.membership, (key, term, round), peer, grant);
                     self.apply_claim_progress(key, progress, ledger, out);
@@ -113,7 +128,7 @@
             Frame::Owner { claims } => {
                 for (key, term) in claims {
                     let message = self.owned.messages.get(&key.id);
-                    if message.is_some_and(|o| o.group == key.group && o.term < term) {
+                    if message.is_some_and(|message| message.group == key.group && message.term < term) {
                         self.give_up(key.id, from, term, ledger, out);
                     }
                 }
@@ -122,9 +137,9 @@
                 for key in &keys {
                     // The claim that witnesses reported was abandoned.
                     if let Some(message) =
-                        self.owned.messages.get_mut(&key.id).filter(|o| o.group == key.group)
+                        self.owned.messages.get_mut(&key.id).filter(|message| message.group == key.group)
                     {
-                        message.claimants.retain(|_, t| t.0 != from);
+                        message.claimants.retain(|_, claimant| claimant.0 != from);
                     }
                 }
                 if let Some(claims) = self.takeovers.get_mut(&from) {
@@ -135,7 +150,8 @@
                 }
                 for key in keys {
                     self.copies.clear_claimant(&key, from);
-                    let is_expired = |h: &StoredCopy| h.owner == from && h.record.deadline < self.time.unix;
+                    let is_expired =
+                        |copy: &StoredCopy| copy.owner == from && copy.record.deadline < self.time.unix;
                     if self.copies.get(&key).is_some_and(is_expired) {
                         self.copies.delete(key, ledger);
                     }
@@ -143,12 +159,12 @@
             }
             Frame::ClaimedMessages { group, claims, more } => {
                 for (id, owner, term) in claims {
-                    if self.owned.messages.get(&id).is_some_and(|o| o.group == group) {
+                    if self.owned.messages.get(&id).is_some_and(|message| message.group == group) {
                         self.record_claimant(id, peer, Rejection::OwnedByOther { owner, term }, out);
                     }
                 }
                 if !more {
-                    self.unanswered_witnesses.remove(&peer);
+                    self.awaited_witnesses.remove(&peer);
                 }
             }
             // A dialed peer sends no requests.
--- a/crates/copies/src/replicator/takeover.rs
+++ b/crates/copies/src/replicator/takeover.rs
@@ -37,8 +37,10 @@
     ) -> ClaimProgress {
         // The copies are moved out for the call, since `has_failed` needs the rest of `self`.
         let mut copies = std::mem::take(&mut self.copies);
-        let progress = copies
-            .record_denial(&self.membership, self.time.now, claim, witness, reason, |h| self.has_failed(h));
+        let progress =
+            copies.record_denial(&self.membership, self.time.now, claim, witness, reason, |owner| {
+                self.has_failed(owner)
+            });
         self.copies = copies;
         progress
     }
@@ -78,7 +80,7 @@
         }
         let Some(copy) = self.copies.get(&key) else { return };
         let (from, mut record) = (copy.owner, copy.record.clone());
-        attempts.into_iter().for_each(|t| record.add_attempt(t));
+        attempts.into_iter().for_each(|attempt| record.add_attempt(attempt));
         // Its client may not have received 202, and may have submitted the message again. It is ended instead
         // of delivered, which is safe for both submissions.
         if may_be_incomplete || record.at_most_once && !record.acknowledged {
@@ -89,7 +91,7 @@
         let free_attempts = attempts_without_consent(self.settings.max_attempts);
         if !record.at_most_once
             && free_attempts > 0
-            && record.attempts.iter().all(|t| t.number + 1 < free_attempts)
+            && record.attempts.iter().all(|attempt| attempt.number + 1 < free_attempts)
         {
             record.add_attempt(AttemptRecord {
                 number: free_attempts - 1,
@@ -119,7 +121,7 @@
         *self.taken_over.entry(from).or_default() += 1;
         out.push(Output::TakenOver(key.id));
         self.request_replicas(key.id, out);
-        if self.incarnations.get(&from.peer).is_none_or(|l| l.current == from.incarnation)
+        if self.incarnations.get(&from.peer).is_none_or(|known| known.current == from.incarnation)
             && from != self.local.instance
         {
             self.takeovers.entry(from).or_default().insert(key, term);
@@ -134,10 +136,10 @@
         let (round, now) = (self.claim_round, self.time.now);
         // The copies are moved out for the call, since `has_failed` needs the rest of `self`.
         let mut copies = std::mem::take(&mut self.copies);
-        let obsolete = copies.obsolete_claims(|h| self.has_failed(h));
-        let due = copies.due_claims(now, round, |h| self.has_failed(h), MAX_PER_HEARTBEAT);
-        let orphans =
-            copies.expired_orphans(self.time.unix.saturating_sub(ORPHAN_RETENTION), |h| self.has_failed(h));
+        let obsolete = copies.obsolete_claims(|owner| self.has_failed(owner));
+        let due = copies.due_claims(now, round, |owner| self.has_failed(owner), MAX_PER_HEARTBEAT);
+        let orphans = copies
+            .expired_orphans(self.time.unix.saturating_sub(ORPHAN_RETENTION), |owner| self.has_failed(owner));
         self.copies = copies;
         for key in orphans {
             self.copies.delete(key, ledger);
--- a/crates/copies/src/replicator/ticks.rs
+++ b/crates/copies/src/replicator/ticks.rs
@@ -8,7 +8,7 @@
         let now = self.time.now;
         // This process was stopped or starved, and may have missed heartbeats.
         if now.saturating_sub(self.last_tick) > self.settings.min_silence / 2 {
-            self.inbound.values_mut().for_each(|h| h.failure_detector.restart(now));
+            self.inbound.values_mut().for_each(|inbound| inbound.failure_detector.restart(now));
             self.started_at = self.started_at.max(now);
         }
         self.last_tick = now;
@@ -20,7 +20,7 @@
                 }
             }
         }
-        while let Some(&(at, id)) = self.owned.replica_timeouts.first().filter(|d| d.0 <= now) {
+        while let Some(&(at, id)) = self.owned.replica_timeouts.first().filter(|due| due.0 <= now) {
             self.owned.replica_timeouts.remove(&(at, id));
             let mut late = false;
             if let Some(message) = self.owned.messages.get_mut(&id) {
@@ -46,14 +46,17 @@
     pub(super) fn on_heartbeat(&mut self, ledger: &mut dyn Ledger, out: &mut Vec<Output>) {
         let local_peer = self.membership.local_peer();
         let mut wanted: BTreeSet<Peer> = self.membership.candidates(local_peer).into_iter().collect();
-        wanted.extend(self.copies.owners().iter().map(|o| o.peer));
-        for group in self.copies.groups().into_iter().chain(self.owned.messages.values().map(|o| o.group)) {
+        wanted.extend(self.copies.owners().iter().map(|owner| owner.peer));
+        for group in
+            self.copies.groups().into_iter().chain(self.owned.messages.values().map(|message| message.group))
+        {
             wanted.extend(self.membership.witnesses(group));
         }
         wanted.into_iter().for_each(|peer| self.connect(peer, out));
         let is_unresponsive = |l: &Link| {
             l.up.is_some()
-                && l.unanswered_heartbeat.is_some_and(|s| self.time.now.saturating_sub(s.1) > LINK_TIMEOUT)
+                && l.unanswered_heartbeat
+                    .is_some_and(|sent| self.time.now.saturating_sub(sent.1) > LINK_TIMEOUT)
         };
         out.extend(
             self.links.iter().filter(|(_, l)| is_unresponsive(l)).map(|(&p, _)| Output::Disconnect(p)),
--- a/crates/copies/src/witness.rs
+++ b/crates/copies/src/witness.rs
@@ -146,8 +146,9 @@
             }
         }
         if !known {
-            // Keys of forgotten entries are removed only when the order is twice as long as the limit of
-            // entries, so that the cost of a pass is spread over many new keys.
+            // The order stays bounded: keys of forgotten entries that are not at its front are removed once
+            // it is twice as long as the limit of entries, so that the cost of a pass is spread over many new
+            // keys.
             if self.order.len() >= 2 * self.max_entries {
                 self.order.retain(|k| self.entries.contains_key(k));
             }
@@ -171,7 +172,7 @@
             return Err(Rejection::Moved(to));
         }
         let is_full = entry.attempts.len() >= MAX_ATTEMPTS;
-        match entry.attempts.iter_mut().find(|t| t.number == attempt.number) {
+        match entry.attempts.iter_mut().find(|known| known.number == attempt.number) {
             Some(known) if !known.never_ran => return Ok(()),
             // The attempt was abandoned before its first byte, and is made after all.
             Some(known) => known.never_ran = false,
@@ -249,7 +250,8 @@
         ledger: &mut dyn Ledger,
     ) -> Result<ClaimGrant, Rejection> {
         let closed = self.is_closed(&key.group)?;
-        let mut previous_claims = self.entries.get(&key).map_or_else(Vec::new, |s| s.previous_claims.clone());
+        let mut previous_claims =
+            self.entries.get(&key).map_or_else(Vec::new, |entry| entry.previous_claims.clone());
         if previous_claims.len() >= MAX_UNRELEASED_CLAIMS {
             return Err(Rejection::NoSpace);
         }
@@ -270,7 +272,7 @@
         if owner != claimant && is_alive(owner) {
             return Err(Rejection::OwnerAlive);
         }
-        previous_claims.push((current_term, owner, self.entries.get(&key).map_or(0, |s| s.round)));
+        previous_claims.push((current_term, owner, self.entries.get(&key).map_or(0, |entry| entry.round)));
         let entry = WitnessEntry {
             term,
             owner: claimant,
@@ -291,19 +293,19 @@
         claimant: Instance,
         ledger: &mut dyn Ledger,
     ) {
-        let is_released = |(t, owner, r): (Term, Instance, u64)| {
+        let is_released = |(claim_term, owner, claim_round): (Term, Instance, u64)| {
             let is_in_scope = match round {
-                ANY_ROUND => t > term,
-                _ => (t, r) == (term, round),
+                ANY_ROUND => claim_term > term,
+                _ => (claim_term, claim_round) == (term, round),
             };
             owner == claimant && is_in_scope
         };
-        let Some(entry) = self.entries.get(&key).filter(|s| !s.ended) else { return };
+        let Some(entry) = self.entries.get(&key).filter(|entry| !entry.ended) else { return };
         let mut entry = entry.clone();
         // The first one is the original owner, which made no claim here.
         let keep = entry.previous_claims.len().min(1);
         let mut later = entry.previous_claims.split_off(keep);
-        later.retain(|&p| !is_released(p));
+        later.retain(|&claim| !is_released(claim));
         entry.previous_claims.append(&mut later);
         if is_released((entry.term, entry.owner, entry.round)) {
             let Some((term, owner, round)) = entry.previous_claims.pop() else { return };
@@ -319,7 +321,10 @@
     /// Records that a message has ended, as its owner reports. Returns whether that is recorded; there may be
     /// nothing to record.
     pub fn record_end(&mut self, key: Key, term: Term, caller: Instance, ledger: &mut dyn Ledger) -> bool {
-        let Some(entry) = self.entries.get(&key).filter(|s| (s.term, s.owner) == (term, caller) && !s.ended)
+        let Some(entry) = self
+            .entries
+            .get(&key)
+            .filter(|entry| (entry.term, entry.owner) == (term, caller) && !entry.ended)
         else {
             return true;
         };
@@ -335,12 +340,13 @@
         attempts: &[AttemptRecord],
         ledger: &mut dyn Ledger,
     ) {
-        let Some(entry) = self.entries.get(&key).filter(|s| (s.term, s.owner) == (term, caller)) else {
+        let Some(entry) = self.entries.get(&key).filter(|entry| (entry.term, entry.owner) == (term, caller))
+        else {
             return;
         };
         let mut entry = entry.clone();
         let mut changed = false;
-        for attempt in attempts.iter().filter(|t| t.never_ran) {
+        for attempt in attempts.iter().filter(|attempt| attempt.never_ran) {
             for known in
                 entry.attempts.iter_mut().filter(|known| known.number == attempt.number && !known.never_ran)
             {
@@ -356,8 +362,8 @@
     /// reports. An entry with claims is kept: other senders may have copies of which the first owner does not
     /// know.
     pub fn forget(&mut self, key: Key, caller: Instance, ledger: &mut dyn Ledger) {
-        let can_forget = |s: &&WitnessEntry| {
-            s.ended && s.term == FIRST_TERM && s.owner == caller && caller == key.group.owner
+        let can_forget = |entry: &&WitnessEntry| {
+            entry.ended && entry.term == FIRST_TERM && entry.owner == caller && caller == key.group.owner
         };
         if self.entries.get(&key).filter(can_forget).is_some()
             && ledger.write(&[delete_row(Row::WitnessEntry(key))])
@@ -369,8 +375,8 @@
     /// Returns the messages of a group that were claimed.
     pub fn claimed_messages(&self, group: WitnessGroup) -> Vec<(Id, Instance, Term)> {
         let (from, to) = (Key { group, id: Id(0) }, Key { group, id: Id(u64::MAX) });
-        let claimed = self.entries.range(from..=to).filter(|(_, s)| s.term > FIRST_TERM);
-        claimed.map(|(k, s)| (k.id, s.owner, s.term)).collect()
+        let claimed = self.entries.range(from..=to).filter(|(_, entry)| entry.term > FIRST_TERM);
+        claimed.map(|(key, entry)| (key.id, entry.owner, entry.term)).collect()
     }
 }
 
@@ -415,162 +421,182 @@
 
     #[test]
     fn the_previous_owner_is_rejected_and_the_claimant_receives_the_recorded_attempts() {
-        let (mut w, mut ledger) = witness(10);
-        w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
+        let (mut witness, mut ledger) = witness(10);
+        witness
+            .record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
             .expect("recorded for the owner");
-        let known = w
+        let known = witness
             .grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger)
             .expect("the owner is not alive");
         assert_eq!(known, (vec![test_attempt(0)], None));
         let rejection = Rejection::OwnedByOther { owner: instance(2), term: 2 };
         assert_eq!(
-            w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(1), &mut ledger),
+            witness.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(1), &mut ledger),
             Err(rejection)
         );
-        assert_eq!(w.grant_claim((key(1), 2, 1), instance(3), |_| false, &mut ledger), Err(rejection));
-        w.record_attempt(key(1), 2, instance(2), test_attempt(1), &mut ledger)
+        assert_eq!(witness.grant_claim((key(1), 2, 1), instance(3), |_| false, &mut ledger), Err(rejection));
+        witness
+            .record_attempt(key(1), 2, instance(2), test_attempt(1), &mut ledger)
             .expect("recorded for the new owner");
-        let known = w.grant_claim((key(1), 3, 1), instance(3), |_| false, &mut ledger).expect("a later term");
+        let known =
+            witness.grant_claim((key(1), 3, 1), instance(3), |_| false, &mut ledger).expect("a later term");
         assert_eq!(known.0.len(), 2);
-        assert_eq!(w.claimed_messages(key(0).group), [(Id(1), instance(3), 3)]);
+        assert_eq!(witness.claimed_messages(key(0).group), [(Id(1), instance(3), 3)]);
     }
 
     #[test]
     fn a_claim_is_rejected_while_this_witness_receives_heartbeats_of_the_owner() {
-        let (mut w, mut ledger) = witness(10);
+        let (mut witness, mut ledger) = witness(10);
         assert_eq!(
-            w.grant_claim((key(1), 2, 1), instance(2), |h| h == instance(1), &mut ledger),
+            witness.grant_claim((key(1), 2, 1), instance(2), |owner| owner == instance(1), &mut ledger),
             Err(Rejection::OwnerAlive)
         );
-        w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
+        witness
+            .record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
             .expect("it is still the owner");
     }
 
     #[test]
     fn a_released_claim_restores_the_previous_owner() {
-        let (mut w, mut ledger) = witness(10);
-        w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
-        w.release_claim((key(1), 2, 1), instance(3), &mut ledger);
-        w.release_claim((key(1), 2, 0), instance(2), &mut ledger);
+        let (mut witness, mut ledger) = witness(10);
+        witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
+        witness.release_claim((key(1), 2, 1), instance(3), &mut ledger);
+        witness.release_claim((key(1), 2, 0), instance(2), &mut ledger);
         assert!(
-            w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger).is_err(),
+            witness.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger).is_err(),
             "another claimant, another round"
         );
-        w.release_claim((key(1), 2, 1), instance(2), &mut ledger);
-        w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
+        witness.release_claim((key(1), 2, 1), instance(2), &mut ledger);
+        witness
+            .record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
             .expect("it is the owner again");
     }
 
     #[test]
     fn only_the_owner_can_report_that_an_attempt_never_ran() {
-        let (mut w, mut ledger) = witness(10);
-        w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
-        w.record_attempt(key(1), 2, instance(2), test_attempt(0), &mut ledger)
+        let (mut witness, mut ledger) = witness(10);
+        witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
+        witness
+            .record_attempt(key(1), 2, instance(2), test_attempt(0), &mut ledger)
             .expect("recorded for the new owner");
         let never = [AttemptRecord { never_ran: true, ..test_attempt(0) }];
-        w.record_never_ran((key(1), FIRST_TERM, instance(1)), &never, &mut ledger);
-        let known = w.grant_claim((key(1), 3, 1), instance(3), |_| false, &mut ledger).expect("granted");
+        witness.record_never_ran((key(1), FIRST_TERM, instance(1)), &never, &mut ledger);
+        let known =
+            witness.grant_claim((key(1), 3, 1), instance(3), |_| false, &mut ledger).expect("granted");
         assert_eq!(known.0, [test_attempt(0)], "the number of the old owner is another attempt");
-        w.record_never_ran((key(1), 3, instance(3)), &never, &mut ledger);
-        let known = w.grant_claim((key(1), 4, 1), instance(4), |_| false, &mut ledger).expect("granted");
+        witness.record_never_ran((key(1), 3, instance(3)), &never, &mut ledger);
+        let known =
+            witness.grant_claim((key(1), 4, 1), instance(4), |_| false, &mut ledger).expect("granted");
         assert_eq!(known.0, never);
     }
 
     #[test]
     fn a_moved_message_is_not_attempted_in_its_old_group_and_a_claimant_receives_the_new_group() {
-        let (mut w, mut ledger) = witness(10);
+        let (mut witness, mut ledger) = witness(10);
         let (to, other) = (
             WitnessGroup { owner: instance(1), epoch: Epoch(1) },
             WitnessGroup { owner: instance(1), epoch: Epoch(2) },
         );
         let own = (FIRST_TERM, instance(1));
-        w.record_move(key(1), own, to, &[test_attempt(0)], &mut ledger).expect("recorded for the owner");
+        witness
+            .record_move(key(1), own, to, &[test_attempt(0)], &mut ledger)
+            .expect("recorded for the owner");
         assert_eq!(
-            w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(1), &mut ledger),
+            witness.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(1), &mut ledger),
             Err(Rejection::Moved(to))
         );
         assert_eq!(
-            w.record_move(key(1), own, other, &[], &mut ledger),
+            witness.record_move(key(1), own, other, &[], &mut ledger),
             Err(Rejection::Moved(to)),
             "a move has begun"
         );
-        let grant = w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
+        let grant =
+            witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
         assert_eq!(grant, (vec![test_attempt(0)], Some((FIRST_TERM, to))));
-        assert!(w.record_move(key(1), own, to, &[], &mut ledger).is_err(), "another instance owns it");
-        w.record_move(key(1), (2, instance(2)), to, &[], &mut ledger)
+        assert!(witness.record_move(key(1), own, to, &[], &mut ledger).is_err(), "another instance owns it");
+        witness
+            .record_move(key(1), (2, instance(2)), to, &[], &mut ledger)
             .expect("the new owner completes the move");
     }
 
     #[test]
     fn a_witness_without_its_state_rejects_claims_and_attempts() {
-        let (mut w, mut ledger) = (Witness::new(10), TestLedger::default());
+        let (mut witness, mut ledger) = (Witness::new(10), TestLedger::default());
         assert_eq!(
-            w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
+            witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
             Err(Rejection::UnknownGroup)
         );
         assert_eq!(
-            w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
+            witness.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
             Err(Rejection::UnknownGroup)
         );
     }
 
     #[test]
     fn an_evicted_entry_closes_its_group_and_nothing_unknown_is_granted_there() {
-        let (mut w, mut ledger) = witness(3);
+        let (mut witness, mut ledger) = witness(3);
         for id in 0..4 {
-            w.record_attempt(key(id), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
+            witness
+                .record_attempt(key(id), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
                 .expect("an entry is evicted");
         }
-        assert_eq!(w.entry_count(), 3);
+        assert_eq!(witness.entry_count(), 3);
         assert_eq!(
-            w.grant_claim((key(0), 2, 1), instance(2), |_| false, &mut ledger),
+            witness.grant_claim((key(0), 2, 1), instance(2), |_| false, &mut ledger),
             Err(Rejection::GroupClosed)
         );
         assert_eq!(
-            w.record_attempt(key(9), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
+            witness.record_attempt(key(9), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
             Err(Rejection::GroupClosed)
         );
         assert!(
-            w.grant_claim((key(3), 2, 1), instance(2), |_| false, &mut ledger).is_ok(),
+            witness.grant_claim((key(3), 2, 1), instance(2), |_| false, &mut ledger).is_ok(),
             "its entry is known"
         );
     }
 
     #[test]
     fn an_ended_entry_is_forgotten_on_request_of_its_owner_unless_it_was_claimed() {
-        let (mut w, mut ledger) = witness(10);
+        let (mut witness, mut ledger) = witness(10);
         for id in 1..=2 {
-            w.record_attempt(key(id), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
+            witness
+                .record_attempt(key(id), FIRST_TERM, instance(1), test_attempt(0), &mut ledger)
                 .expect("recorded for the owner");
         }
-        w.grant_claim((key(2), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
-        w.forget(key(1), instance(1), &mut ledger);
-        assert_eq!(w.entry_count(), 2, "not ended");
+        witness.grant_claim((key(2), 2, 1), instance(2), |_| false, &mut ledger).expect("granted");
+        witness.forget(key(1), instance(1), &mut ledger);
+        assert_eq!(witness.entry_count(), 2, "not ended");
         assert!(
-            w.record_end(key(1), FIRST_TERM, instance(1), &mut ledger)
-                && w.record_end(key(2), 2, instance(2), &mut ledger)
+            witness.record_end(key(1), FIRST_TERM, instance(1), &mut ledger)
+                && witness.record_end(key(2), 2, instance(2), &mut ledger)
+        );
+        assert_eq!(
+            witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
+            Err(Rejection::Ended)
+        );
+        (1..=2).for_each(|id| witness.forget(key(id), instance(1), &mut ledger));
+        assert_eq!(witness.entry_count(), 1);
+        assert_eq!(
+            witness.grant_claim((key(2), 3, 1), instance(3), |_| false, &mut ledger),
+            Err(Rejection::Ended)
         );
-        assert_eq!(w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger), Err(Rejection::Ended));
-        (1..=2).for_each(|id| w.forget(key(id), instance(1), &mut ledger));
-        assert_eq!(w.entry_count(), 1);
-        assert_eq!(w.grant_claim((key(2), 3, 1), instance(3), |_| false, &mut ledger), Err(Rejection::Ended));
     }
 
     #[test]
     fn what_could_not_be_written_is_not_granted() {
-        let (mut w, mut ledger) = witness(10);
+        let (mut witness, mut ledger) = witness(10);
         ledger.full = true;
         assert_eq!(
-            w.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
+            witness.record_attempt(key(1), FIRST_TERM, instance(1), test_attempt(0), &mut ledger),
             Err(Rejection::NoSpace)
         );
         assert_eq!(
-            w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
+            witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
             Err(Rejection::NoSpace)
         );
         ledger.full = false;
         assert_eq!(
-            w.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
+            witness.grant_claim((key(1), 2, 1), instance(2), |_| false, &mut ledger),
             Ok((vec![], None)),
             "nothing was recorded"
         );
