--- a/crates/daemon/src/copies/link.rs
+++ b/crates/daemon/src/copies/link.rs
@@ -137,11 +137,11 @@
                 Err(e) => return e,
             };
             bytes.extend_from_slice(&block[..n]);
-            let mut at = 0;
+            let mut consumed = 0;
             loop {
-                match read_frame(&bytes[at..]) {
+                match read_frame(&bytes[consumed..]) {
                     Ok(Some((frame, len))) => {
-                        at += len;
+                        consumed += len;
                         if !on_frame(frame) {
                             return invalid_data(FrameError(
                                 "a frame that is not allowed in this direction".into(),
@@ -152,7 +152,7 @@
                     Err(reason) => return invalid_data(reason),
                 }
             }
-            bytes.drain(..at);
+            bytes.drain(..consumed);
             // A frame within the limit is complete by now.
             debug_assert!(bytes.len() <= MAX_FRAME_LEN + 4);
         }
--- a/crates/daemon/src/copies/rows.rs
+++ b/crates/daemon/src/copies/rows.rs
@@ -28,12 +28,12 @@
 }
 
 /// Converts the record of a copy to a message of the journal.
-pub fn to_open(record: &Record) -> OpenMessage {
-    let attempt = |t: &AttemptRecord| Attempt {
-        number: t.number,
-        endpoint: EndpointId(t.endpoint),
-        started_at: t.at,
-        never_ran: t.never_ran,
+pub fn to_open_message(record: &Record) -> OpenMessage {
+    let attempt = |a: &AttemptRecord| Attempt {
+        number: a.number,
+        endpoint: EndpointId(a.endpoint),
+        started_at: a.at,
+        never_ran: a.never_ran,
     };
     let mut attempts: Vec<Attempt> = record.attempts.iter().map(attempt).collect();
     attempts.sort_by_key(|a| a.number);
@@ -69,12 +69,13 @@
 
 impl Ledger for JournalLedger<'_> {
     fn write(&mut self, changes: &[Change]) -> bool {
-        // Whatever is refused because of this reports the reason.
+        // The error is dropped: the replicator logs that a write failed, or rejects the request that depends
+        // on it.
         self.0.write_copies(rows(changes)).is_ok()
     }
 
     fn adopt(&mut self, id: Id, record: &Record, changes: &[Change]) -> bool {
-        self.0.adopt(MessageId(id.0), to_open(record), rows(changes)).is_ok()
+        self.0.adopt(MessageId(id.0), to_open_message(record), rows(changes)).is_ok()
     }
 }
 
@@ -91,7 +92,7 @@
         }
         for verdict in [None, Some(Verdict::Dead), Some(Verdict::Bounced(250))] {
             message.verdict = verdict;
-            assert_eq!(to_open(&to_record(&message, true)), message);
+            assert_eq!(to_open_message(&to_record(&message, true)), message);
         }
     }
 }
--- a/crates/daemon/src/copies/service.rs
+++ b/crates/daemon/src/copies/service.rs
@@ -5,7 +5,7 @@
 use crate::copies::rows::{JournalLedger, to_copies_verdict, to_record};
 use crate::input::Input;
 use crate::settings::config::Config;
-use crate::settings::operator::{CopiesSettings as Settings, WhenShort};
+use crate::settings::operator::{CopiesSettings, WhenShort};
 use crate::state::durability::DurabilityTracker;
 use crate::state::journal::{Journal, MessageUpdate, OpenMessage};
 use notchpoint_copies::{
@@ -44,8 +44,8 @@
 const CHECKS_BEFORE_WARNING: usize = 2;
 /// The interval of checks, and of logging messages with too few replicas.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Copies may take this fraction of the folder: the rest is for this sender's own messages and for
-/// compaction.
+/// Copies may take the size limit of the folder divided by this number: the rest is for this sender's own
+/// messages and for compaction.
 const DISK_SHARE_DIVISOR: u64 = 4;
 
 /// Replicates this sender's messages, and stores copies for other senders.
@@ -60,38 +60,45 @@
     installation: u64,
     instance: Instance,
     addresses: BTreeMap<Peer, SocketAddr>,
-    /// Frames to be written on the links that this sender dialed, and on those that it accepted.
+    /// Frames to be written on the links that this sender dialed.
     request_queues: RefCell<BTreeMap<Peer, Rc<SendQueue>>>,
+    /// Frames to be written on the links that this sender accepted.
     response_queues: RefCell<BTreeMap<Peer, Rc<SendQueue>>>,
     next_link: Cell<u64>,
     pending_commits: RefCell<HashMap<Id, oneshot::Sender<bool>>>,
     pending_consents: RefCell<HashMap<(Id, u32), oneshot::Sender<bool>>>,
-    /// When the state machine is called next, and the notification that this may be earlier.
+    /// When [`Self::run`] calls the state machine next, in microseconds since `started`.
     next_wake: Cell<u64>,
+    /// Notified if the state machine has to be called earlier than that.
     wake_earlier: Notify,
     handshakes: Cell<usize>,
+    /// Warnings that were logged.
     warned: RefCell<BTreeSet<String>>,
+    /// The number of messages with too few replicas since that was last logged.
     shortages: Cell<usize>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
 
 /// The result of a request for consent to an attempt.
 pub enum AttemptConsent {
+    /// The attempt may be made.
     Granted,
+    /// The attempt must not be made now.
     Refused,
+    /// The witnesses have not answered yet. Receives whether the attempt may be made.
     Pending(oneshot::Receiver<bool>),
 }
 
 /// Builds the membership from the settings.
-fn membership(set: &Settings, config: &Config) -> Result<Membership, String> {
-    let mistakes = set.find_errors(Some(&config.name));
-    if !mistakes.is_empty() {
-        return Err(mistakes.join("\n"));
+fn membership(settings: &CopiesSettings, config: &Config) -> Result<Membership, String> {
+    let errors = settings.find_errors(Some(&config.name));
+    if !errors.is_empty() {
+        return Err(errors.join("\n"));
     }
     let zone = config.names.zones.get(config.settings.zone as usize).cloned();
-    let me = Sender { name: config.name.clone(), zone: set.zone.clone().or(zone) };
-    let others = set.senders.iter().map(|s| Sender { name: s.name.clone(), zone: s.zone.clone() });
-    Membership::new(me, others.collect(), set.count).map_err(|error| match error {
+    let me = Sender { name: config.name.clone(), zone: settings.zone.clone().or(zone) };
+    let others = settings.senders.iter().map(|s| Sender { name: s.name.clone(), zone: s.zone.clone() });
+    Membership::new(me, others.collect(), settings.count).map_err(|error| match error {
         MembershipError::DuplicateName(name) => format!("copies.senders: {name} is listed twice"),
         MembershipError::TooFewSenders { count, senders, needed } => {
             format!("copies.count: {count} copies need {needed} senders; there are {senders}")
@@ -106,7 +113,7 @@
     /// # Errors
     /// The settings are invalid, or the rows of the folder cannot be decoded.
     pub fn open(
-        set: &Settings,
+        settings: &CopiesSettings,
         config: &Config,
         net: Rc<dyn Network>,
         journal: Rc<RefCell<Journal>>,
@@ -114,14 +121,14 @@
         inputs: UnboundedSender<Input>,
         at_most_once: impl Fn(&OpenMessage) -> bool,
     ) -> Result<Rc<Self>, String> {
-        let membership = membership(set, config)?;
+        let membership = membership(settings, config)?;
         if membership.is_single_zone() {
             tracing::warn!("copies: no sender is known to be in another zone");
         }
         let rows = journal.borrow_mut().take_copies();
-        let max_copy_bytes = ((set.keep_mb * 1e6) as u64).min(config.disk_bytes / DISK_SHARE_DIVISOR);
-        let settings = notchpoint_copies::Settings {
-            min_silence: set.silence_ms * 1_000,
+        let max_copy_bytes = ((settings.keep_mb * 1e6) as u64).min(config.disk_bytes / DISK_SHARE_DIVISOR);
+        let replicator_settings = notchpoint_copies::Settings {
+            min_silence: settings.silence_ms * 1_000,
             max_copy_bytes: usize::try_from(max_copy_bytes).unwrap_or(usize::MAX),
             max_attempts: config.settings.max_attempts,
             ..notchpoint_copies::Settings::default()
@@ -135,15 +142,15 @@
             let mut journal = journal.borrow_mut();
             Replicator::new(
                 membership,
-                settings,
+                replicator_settings,
                 incarnation,
                 rows.into_iter(),
                 time,
                 &mut JournalLedger(&mut journal),
             )?
         };
-        let addresses = set.senders.iter().map(|s| (Peer::from_name(&s.name), s.address)).collect();
-        let (watch, watched) = unbounded_channel();
+        let addresses = settings.senders.iter().map(|s| (Peer::from_name(&s.name), s.address)).collect();
+        let (update_sender, updates) = unbounded_channel();
         let service = Rc::new(Self {
             instance: replicator.instance(),
             replicator: RefCell::new(replicator),
@@ -152,8 +159,8 @@
             net,
             inputs,
             started: Instant::now(),
-            when_short: set.when_short,
-            installation: Hello::installation(&set.installation),
+            when_short: settings.when_short,
+            installation: Hello::installation(&settings.installation),
             addresses,
             request_queues: RefCell::default(),
             response_queues: RefCell::default(),
@@ -169,17 +176,18 @@
         });
         let messages: Vec<(Id, notchpoint_copies::Record)> = {
             let mut journal = service.journal.borrow_mut();
-            journal.subscribe(watch);
+            journal.subscribe(update_sender);
             journal.iter().map(|(id, open)| (Id(id.0), to_record(open, at_most_once(open)))).collect()
         };
         messages
             .into_iter()
             .for_each(|(id, record)| service.handle_input(ProtocolInput::Resume { id, record }));
-        service.spawn(service.clone().run(watched));
+        service.spawn(service.clone().run(updates));
         Ok(service)
     }
 
-    /// Accepts links from other senders. If an earlier process still has the address, waits until it is free.
+    /// Accepts links from other senders. If an earlier process still has the address, tries again in the
+    /// background until it is free.
     pub fn listen(self: &Rc<Self>, at: SocketAddr) -> Result<(), String> {
         let listener = self.net.listen(at);
         let (service, net) = (self.clone(), self.net.clone());
@@ -264,10 +272,10 @@
                 }
                 Output::SendRequest(peer, frame) => self.push(&self.request_queues, peer, &frame),
                 Output::SendResponse(peer, frame) => self.push(&self.response_queues, peer, &frame),
-                Output::Committed(id) => self.committed(id, true),
+                Output::Committed(id) => self.commit_decided(id, true),
                 Output::TooFewReplicas(id) => {
                     self.shortages.set(self.shortages.get() + 1);
-                    self.committed(id, false);
+                    self.commit_decided(id, false);
                 }
                 Output::AttemptGranted(id, number) => self.consent_decided(id, number, true),
                 Output::AttemptRefused(id, number) => self.consent_decided(id, number, false),
@@ -290,7 +298,7 @@
         }
     }
 
-    fn committed(&self, id: Id, is_committed: bool) {
+    fn commit_decided(&self, id: Id, is_committed: bool) {
         if let Some(pending) = self.pending_commits.borrow_mut().remove(&id) {
             let _ = pending.send(is_committed);
         }
@@ -307,7 +315,7 @@
     }
 
     fn log_event(&self, event: &Event) {
-        let name = |h: &Instance| self.name(h.peer);
+        let name = |instance: &Instance| self.name(instance.peer);
         match event {
             Event::MessagesTakenOver { from, count } => {
                 tracing::warn!("copies: took over {count} messages of {}", name(from));
@@ -343,7 +351,7 @@
         }
     }
 
-    // The interface to the rest of the sender.
+    // Methods that the rest of the sender calls.
 
     /// Returns the status for operators, including whether another sender may be taken down.
     pub fn status(&self) -> serde_json::Value {
@@ -554,7 +562,7 @@
 
     // Timers and logging.
 
-    async fn run(self: Rc<Self>, mut watched: UnboundedReceiver<MessageUpdate>) {
+    async fn run(self: Rc<Self>, mut updates: UnboundedReceiver<MessageUpdate>) {
         self.handle_input(ProtocolInput::Tick);
         let (mut next_check, mut last) = (Instant::now() + CHECK_INTERVAL, (Instant::now(), String::new()));
         let mut redundancy_log = RedundancyLog::default();
@@ -563,7 +571,7 @@
             self.next_wake.set(wake);
             tokio::select! {
                 biased;
-                Some(what) = watched.recv() => self.handle_input(match what {
+                Some(update) = updates.recv() => self.handle_input(match update {
                     MessageUpdate::AttemptNeverRan(id, number) =>
                         ProtocolInput::NeverRan { id: Id(id.0), number },
                     MessageUpdate::Verdict(id, verdict) =>
@@ -582,6 +590,8 @@
         }
     }
 
+    /// Logs how many messages had too few replicas since the last call, and the counts of links and copies if
+    /// they have changed. `last` holds when these counts were last compared, and those that were last logged.
     fn log_counts(&self, last: &mut (Instant, String)) {
         let shortages = self.shortages.take();
         if shortages > 0 {
@@ -619,7 +629,7 @@
 }
 
 impl RedundancyLog {
-    /// A shortage is not logged if it lasts for a single check only.
+    /// Logs a change of redundancy. A loss of redundancy is not logged if it lasts for a single check only.
     fn update(&mut self, redundancy: Redundancy) {
         if redundancy.tolerates_loss() {
             self.checks = 0;
