--- a/crates/zones/examples/fleet.rs
+++ b/crates/zones/examples/fleet.rs
@@ -22,10 +22,15 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Fault {
+    /// Zone 1 fails.
     Fails,
+    /// Zones 0 and 1 are cut off from each other.
     Cut,
+    /// Zone 1 fails for 7 s and serves for 3 s, four times.
     Flaps,
+    /// Zone 1 fails, and two seconds later zone 2 as well.
     Two,
+    /// Most destinations fail in zone 1.
     Most,
 }
 
@@ -240,9 +245,12 @@
     Ok(())
 }
 
-/// Plots an evacuation and a return: for each half second the calls to the zone, and those that failed.
+/// Plots an evacuation and a return: for each half second the calls to the zone, those that failed, and the
+/// share of the zone.
 fn plot_return(folder: &std::path::Path, senders: usize) -> Result<(), BoxError> {
     let mut fleet = fleet(3, senders, true);
+    // The time in seconds, the calls to the zone and the failed calls per second, and the mean share that the
+    // senders give the zone.
     let mut rows: Vec<(f64, f64, f64, f64)> = Vec::new();
     let started_at = fleet.now;
     for step in 0..90 {
--- a/crates/zones/src/evacuation.rs
+++ b/crates/zones/src/evacuation.rs
@@ -76,7 +76,7 @@
 /// faulty or lying sender is followed, nor the senders of a single zone.
 pub fn quorum_len(states: &[(EvacuationState, ZoneId)], senders: usize, zones: usize) -> Option<usize> {
     (senders.max(MIN_QUORUM)..=states.len())
-        .find(|&n| states[..n].iter().map(|s| s.1).collect::<BTreeSet<_>>().len() >= zones)
+        .find(|&n| states[..n].iter().map(|state| state.1).collect::<BTreeSet<_>>().len() >= zones)
 }
 
 impl EvacuationState {
--- a/crates/zones/src/evidence.rs
+++ b/crates/zones/src/evidence.rs
@@ -30,9 +30,11 @@
 struct Counts {
     /// The bucket that was last counted into, numbered from the origin of the clock.
     last_bucket: u64,
+    /// The number of answers in each bucket.
     answered: [u32; BUCKETS],
-    /// The number of failures since the last answer, and the time of the last one.
+    /// The number of failures since the last answer.
     failed: u32,
+    /// When the last failure was recorded.
     failed_at: Micros,
 }
 
@@ -59,7 +61,7 @@
 impl Evidence {
     /// Discards the evidence for a zone. Only calls that begin from now on count for its new step.
     pub fn forget(&mut self, now: Micros, zone: ZoneId) {
-        self.pairs.retain(|(z, _), _| *z != zone);
+        self.pairs.retain(|(pair_zone, _), _| *pair_zone != zone);
         self.step_started_at.insert(zone, now);
     }
 
@@ -124,22 +126,22 @@
 mod tests {
     use super::*;
 
-    const Z: ZoneId = ZoneId(1);
+    const ZONE: ZoneId = ZoneId(1);
 
     #[test]
     fn a_failure_counts_until_an_answer_or_for_the_failure_memory_and_an_answer_for_the_window() {
         let mut evidence = Evidence::default();
         let first = |e: &mut Evidence, now| e.observations(now).first().map(|o| (o.answered, o.failed));
-        evidence.record_call(0, 0, Z, DestinationHash(1), CallResult::Answered);
-        evidence.record_call(0, 0, Z, DestinationHash(1), CallResult::Failed);
+        evidence.record_call(0, 0, ZONE, DestinationHash(1), CallResult::Answered);
+        evidence.record_call(0, 0, ZONE, DestinationHash(1), CallResult::Failed);
         assert_eq!(first(&mut evidence, 1), Some((0, 1)), "a failure resets the count of answers");
         assert_eq!(first(&mut evidence, FAILURE_MEMORY), Some((0, 1)));
-        evidence.record_call(FAILURE_MEMORY, 0, Z, DestinationHash(1), CallResult::Failed);
+        evidence.record_call(FAILURE_MEMORY, 0, ZONE, DestinationHash(1), CallResult::Failed);
         assert_eq!(first(&mut evidence, FAILURE_MEMORY + 1), Some((0, 2)));
-        evidence.record_call(FAILURE_MEMORY + 2, 0, Z, DestinationHash(1), CallResult::Answered);
+        evidence.record_call(FAILURE_MEMORY + 2, 0, ZONE, DestinationHash(1), CallResult::Answered);
         assert_eq!(first(&mut evidence, FAILURE_MEMORY + 3), Some((1, 0)));
         assert_eq!(first(&mut evidence, FAILURE_MEMORY + 2 * EVIDENCE_WINDOW), None);
-        evidence.record_call(2 * FAILURE_MEMORY, 0, Z, DestinationHash(1), CallResult::Failed);
+        evidence.record_call(2 * FAILURE_MEMORY, 0, ZONE, DestinationHash(1), CallResult::Failed);
         assert_eq!(first(&mut evidence, 3 * FAILURE_MEMORY + 1), None);
     }
 
@@ -147,23 +149,23 @@
     fn pairs_are_bounded_and_a_clock_that_is_stepped_back_is_tolerated() {
         let mut evidence = Evidence::default();
         for n in 0..2 * MAX_PAIRS as u32 {
-            evidence.record_call(u64::from(n) * 10, 0, Z, DestinationHash(n), CallResult::Failed);
+            evidence.record_call(u64::from(n) * 10, 0, ZONE, DestinationHash(n), CallResult::Failed);
         }
         assert_eq!(evidence.pairs.len(), MAX_PAIRS);
-        evidence.record_call(10 * EVIDENCE_WINDOW, 0, Z, DestinationHash(7), CallResult::Answered);
-        evidence.record_call(EVIDENCE_WINDOW, 0, Z, DestinationHash(7), CallResult::Answered);
+        evidence.record_call(10 * EVIDENCE_WINDOW, 0, ZONE, DestinationHash(7), CallResult::Answered);
+        evidence.record_call(EVIDENCE_WINDOW, 0, ZONE, DestinationHash(7), CallResult::Answered);
         assert_eq!(evidence.observations(10 * EVIDENCE_WINDOW)[0].answered, 2);
     }
 
     #[test]
     fn calls_that_began_before_a_step_are_no_evidence_for_it() {
         let mut evidence = Evidence::default();
-        evidence.record_call(10, 5, Z, DestinationHash(1), CallResult::Failed);
+        evidence.record_call(10, 5, ZONE, DestinationHash(1), CallResult::Failed);
         evidence.record_call(10, 5, ZoneId(2), DestinationHash(1), CallResult::Failed);
-        evidence.forget(20, Z);
-        evidence.record_call(30, 19, Z, DestinationHash(1), CallResult::Failed);
+        evidence.forget(20, ZONE);
+        evidence.record_call(30, 19, ZONE, DestinationHash(1), CallResult::Failed);
         assert_eq!(evidence.observations(30).iter().map(|o| o.zone).collect::<Vec<_>>(), [ZoneId(2)]);
-        evidence.record_call(30, 20, Z, DestinationHash(1), CallResult::Answered);
+        evidence.record_call(30, 20, ZONE, DestinationHash(1), CallResult::Answered);
         assert_eq!(evidence.observations(30).len(), 2);
     }
 
@@ -174,7 +176,7 @@
             evidence.record_call(
                 0,
                 0,
-                Z,
+                ZONE,
                 DestinationHash(n),
                 if n < 15 { CallResult::Failed } else { CallResult::Answered },
             );
--- a/crates/zones/src/model.rs
+++ b/crates/zones/src/model.rs
@@ -5,6 +5,8 @@
 //! A late note is modelled as one that is received at once and acted on later, so any number of steps may lie
 //! between what a sender has received and the present state. A lost note is one that is never received. The
 //! order in which evidence arrives is left open, within what a zone that is up or down can produce.
+//!
+//! `i` and `j` are indices of senders, and `z` is that of a zone.
 
 use crate::assess::{FailureThresholds, probe_result};
 use crate::evacuation::{DecisionInput, EvacuationState, ProbeResult, TransitionReason, quorum_len};
@@ -41,12 +43,13 @@
 enum Action {
     /// The first sender receives the report of the second.
     Receive(usize, usize),
+    /// A sender restarts.
     Restart(usize),
     /// A zone goes down or recovers.
     ChangeOutage(usize),
     /// A sender decides about a zone: whether it is found failing, and the result of its probes.
     Decide(usize, usize, bool, ProbeResult),
-    /// The lying sender sends this report to another.
+    /// A sender receives this report of the lying one.
     Lie(usize, Evacuations),
 }
 
@@ -101,10 +104,10 @@
         let others = (0..SENDERS)
             .filter(|&j| j != i)
             .filter_map(|j| Some((received[j]?[z], sender_zone(j, self.has_liar))));
-        let mut ahead: Vec<(EvacuationState, ZoneId)> = others.filter(|s| s.0 > own).collect();
-        ahead.sort_by_key(|s| std::cmp::Reverse(s.0));
+        let mut ahead: Vec<(EvacuationState, ZoneId)> = others.filter(|other| other.0 > own).collect();
+        ahead.sort_by_key(|other| std::cmp::Reverse(other.0));
         match self.without {
-            Without::Quorum => ahead.first().map(|s| s.0),
+            Without::Quorum => ahead.first().map(|other| other.0),
             _ => quorum_len(&ahead, 2, 2).map(|n| ahead[n - 1].0),
         }
     }
@@ -233,7 +236,7 @@
                 let level = [0, 1, EvacuationState::FULL_SHARE];
                 let lies =
                     (0..=self.max_term).flat_map(|term| level.map(|level| EvacuationState { term, level }));
-                all.extend(lies.map(|s| Action::Lie(i, [s, EvacuationState::default()])));
+                all.extend(lies.map(|lie| Action::Lie(i, [lie, EvacuationState::default()])));
             }
         }
         // One zone is down at a time, since at least one zone always serves.
--- a/crates/zones/src/return_schedule.rs
+++ b/crates/zones/src/return_schedule.rs
@@ -3,13 +3,13 @@
 
 use crate::ids::{Micros, SenderId};
 
-/// The part of the load that overloads a cold endpoint which a step may send to it.
+/// Of the load that would overload a cold endpoint, the part that a step may send to it.
 const HEADROOM: f64 = 0.4;
 /// The share of each step is the previous one times this factor.
 const STEP_FACTOR: f64 = 2.0;
 /// The maximum number of steps, so that a return from a very small initial share ends.
 const MAX_STEPS: usize = 12;
-/// The minimum duration of a step: reports of other senders about it have to arrive.
+/// The minimum duration of a step. Within it, reports of other senders about the step have to arrive.
 const MIN_STEP: Micros = 1_500_000;
 /// The minimum duration of an evacuation. It doubles each time the zone fails again.
 const MIN_EVACUATION: Micros = 5_000_000;
@@ -53,8 +53,8 @@
         while share < 1.0 && steps.len() < MAX_STEPS {
             let next = share * STEP_FACTOR;
             let until = if next < headroom { warm_at(next) } else { cold_start.warm_up };
-            let duration = until.saturating_sub(warm_at(share)).max(MIN_STEP);
-            steps.push((share, duration));
+            let min_duration = until.saturating_sub(warm_at(share)).max(MIN_STEP);
+            steps.push((share, min_duration));
             if next >= headroom {
                 break;
             }
@@ -77,7 +77,7 @@
     pub fn share(&self, level: u8) -> f64 {
         match level {
             0 => 0.0,
-            n => self.steps.get(usize::from(n) - 1).map_or(1.0, |s| s.0),
+            n => self.steps.get(usize::from(n) - 1).map_or(1.0, |step| step.0),
         }
     }
 
@@ -85,7 +85,7 @@
     pub fn min_duration(&self, level: u8, consecutive_failures: u8) -> Micros {
         match level {
             0 => MIN_EVACUATION << u32::from(consecutive_failures.saturating_sub(1)).min(MAX_DOUBLINGS),
-            n => self.steps.get(usize::from(n) - 1).map_or(0, |s| s.1),
+            n => self.steps.get(usize::from(n) - 1).map_or(0, |step| step.1),
         }
     }
 }
--- a/crates/zones/src/state_machine.rs
+++ b/crates/zones/src/state_machine.rs
@@ -131,13 +131,14 @@
     pub evacuation: EvacuationState,
     /// The number of times in a row that it has failed.
     pub consecutive_failures: u8,
-    /// The number of senders whose evacuation state is at least as new, and of all whose reports were
-    /// received within the evidence window.
+    /// The number of other senders whose evacuation state is at least as new, and of all other senders whose
+    /// reports were received within the evidence window.
     pub in_sync: (usize, usize),
     /// The health that may be adopted next, and the number of ticks in a row at which it was found.
     pending: Option<(Health, u32)>,
-    /// When the evacuation state last changed, and by which share this sender extends the wait for the next.
+    /// When the evacuation state last changed.
     since: Micros,
+    /// The share by which this sender extends the wait before the next change.
     jitter: f64,
     /// When probing began.
     probing_since: Option<Micros>,
@@ -187,9 +188,11 @@
 /// What the reports show of a zone that this sender or others have evacuated.
 struct ZoneView {
     input: DecisionInput,
-    /// The senders whose state is the quorum's, and the number of failures in a row that they report.
+    /// The senders that form the quorum.
     quorum_senders: Vec<SenderId>,
+    /// The smallest number of failures in a row that they report.
     consecutive_failures: u8,
+    /// As in [`ZoneStatus`].
     in_sync: (usize, usize),
     /// Destinations that serve in the zone, and those that fail there.
     split: (BTreeSet<DestinationHash>, BTreeSet<DestinationHash>),
@@ -465,7 +468,8 @@
             // Of the findings in a row that were all worse (or all better) than the current health, the one
             // nearest to it counts.
             let is_worse = health > status.health;
-            let (next, ticks) = match status.pending.filter(|p| (p.0 > status.health) == is_worse) {
+            let (next, ticks) = match status.pending.filter(|pending| (pending.0 > status.health) == is_worse)
+            {
                 Some((before, ticks)) if is_worse => (before.min(health), ticks),
                 Some((before, ticks)) => (before.max(health), ticks),
                 None => (health, 0),
@@ -485,7 +489,7 @@
         // evacuated is kept: its term must not start anew while others remember it. One whose last reported
         // share is below 1, since operators had pinned it, is kept until the caller receives the new share.
         self.statuses.retain(|_, s| {
-            let has_reduced_share = s.last_output.as_ref().is_some_and(|o| o.0 < 1.0);
+            let has_reduced_share = s.last_output.as_ref().is_some_and(|output| output.0 < 1.0);
             s.health != Health::Serving
                 || s.finding.calls > 0.0
                 || s.evacuation != EvacuationState::default()
@@ -691,11 +695,11 @@
             let is_pinned = self.config.pinned.contains_key(&zone);
             let exempt =
                 self.statuses.get(&zone).filter(|_| share < 1.0 && !is_pinned).map(|s| s.exempt.clone());
-            let now = (share, exempt.unwrap_or_default());
+            let output = (share, exempt.unwrap_or_default());
             let last = self.statuses.get(&zone).and_then(|s| s.last_output.as_ref());
-            if has_room && last.map_or(now.0 != 1.0, |last| *last != now) {
-                self.statuses.entry(zone).or_default().last_output = Some(now.clone());
-                out.push(Output::SetShare { zone, share, probe: false, exempt: now.1 });
+            if has_room && last.map_or(output.0 != 1.0, |last| *last != output) {
+                self.statuses.entry(zone).or_default().last_output = Some(output.clone());
+                out.push(Output::SetShare { zone, share, probe: false, exempt: output.1 });
             }
         }
     }
--- a/crates/zones/tests/sim/mod.rs
+++ b/crates/zones/tests/sim/mod.rs
@@ -1,5 +1,8 @@
 //! Simulates a fleet in virtual time: senders, the notes between them, and endpoints that are down, cold, or
 //! overloaded.
+//!
+//! `i` is the index of a sender, and `z` that of a zone.
+
 #![allow(dead_code)]
 
 use notchpoint_zones::*;
@@ -37,7 +40,10 @@
 /// How a sender routes calls to one zone.
 #[derive(Clone, Copy)]
 struct Routing {
+    /// The share of its traffic that the zone receives.
     share: f64,
+    /// A call may go to the zone once this is 1, and takes 1 from it. Each message of the sender adds the
+    /// share times the part of the messages that falls to one zone.
     credit: f64,
     /// Destinations that are still to be probed regardless of the share, as a bit set.
     probes: u64,
@@ -57,13 +63,17 @@
     rng: Pcg64,
     /// Notes in transit: arrival time, receiver, sender, body.
     in_transit: Vec<(Micros, usize, usize, Vec<u8>)>,
-    /// The share of notes that is lost, and the maximum latency of the others.
+    /// The share of notes that is lost.
     pub loss: f64,
+    /// The maximum latency of the other notes.
     pub max_latency: Micros,
-    /// The numbers of notes and probes sent so far, of calls that failed, and of all calls.
+    /// The number of notes sent so far.
     pub notes: usize,
+    /// The number of probes sent so far.
     pub probes: usize,
+    /// The number of calls that failed.
     pub failed: usize,
+    /// The number of all calls.
     pub calls: usize,
     /// The number of calls by zone.
     pub calls_by_zone: Vec<usize>,
@@ -77,9 +87,11 @@
     /// Returns whether the network is cut from the first sender to the second.
     pub is_cut: Box<dyn Fn(usize, usize) -> bool>,
     pub events: Vec<(Micros, usize, Event)>,
-    /// When a zone recovered, and the calls to each of its endpoints within the load span.
+    /// By zone: when it recovered.
     recovered_at: BTreeMap<usize, Micros>,
+    /// By zone and destination: when calls were made within the load span.
     recent_calls: BTreeMap<(usize, u32), Vec<Micros>>,
+    /// The number of calls that overloaded an endpoint.
     pub overloads: usize,
     restarts: u64,
     /// Whether each sender redirects its clients to other zones.
@@ -167,7 +179,7 @@
         while self.now < until {
             self.now += 10 * MS;
             let now = self.now;
-            let due: Vec<_> = self.in_transit.extract_if(.., |n| n.0 <= now).collect();
+            let due: Vec<_> = self.in_transit.extract_if(.., |note| note.0 <= now).collect();
             for (_, to, from, body) in due {
                 self.receive_note(to, from, &body);
             }
@@ -227,7 +239,7 @@
         let mut open: Vec<usize> = listed.into_iter().filter(is_full).collect();
         // Backoff is a preference: if all endpoints are in backoff, one of them is called.
         let is_available =
-            |z: &usize| self.backoff.get(&(i, *z, destination)).is_none_or(|b| b.1 <= self.now);
+            |z: &usize| self.backoff.get(&(i, *z, destination)).is_none_or(|backoff| backoff.1 <= self.now);
         if open.iter().any(is_available) {
             open.retain(is_available);
         }
@@ -243,7 +255,7 @@
         let Some(&recovered_at) = self.recovered_at.get(&z) else { return false };
         let calls = self.recent_calls.entry((z, destination)).or_default();
         calls.push(self.now);
-        calls.retain(|&t| t + LOAD_SPAN > self.now);
+        calls.retain(|&called_at| called_at + LOAD_SPAN > self.now);
         // The capacity of a warm endpoint is taken to be its even share of all calls.
         let capacity =
             self.rate * self.senders.len() as f64 / (self.destinations as usize * self.zones) as f64;
@@ -270,8 +282,8 @@
                     self.notes += 1;
                     let to = to as usize;
                     if !self.rng.random_bool(self.loss) && !(self.is_cut)(i, to) {
-                        let at = self.now + self.rng.random_range(MS..self.max_latency.max(2 * MS));
-                        self.in_transit.push((at, to, i, body));
+                        let arrives_at = self.now + self.rng.random_range(MS..self.max_latency.max(2 * MS));
+                        self.in_transit.push((arrives_at, to, i, body));
                     }
                 }
                 Output::SetShare { zone: id, share, probe, exempt } => {
