--- a/crates/copies/examples/size.rs
+++ b/crates/copies/examples/size.rs
@@ -13,24 +13,29 @@
 use std::path::PathBuf;
 
 type Failure = Box<dyn std::error::Error>;
-/// A line of the plot: its name, colour and value.
+/// A line of the plot: its name, colour, and value for a fleet size.
 type Line = (&'static str, RGBColor, fn(&Row) -> f64);
 
 const SIZES: [usize; 6] = [5, 10, 30, 100, 300, 1_000];
 /// The number of messages that are submitted to each sender while bytes are counted.
 const MESSAGES: usize = 20;
 
+/// The results for one fleet size. Means and maxima are over the senders.
 struct Row {
     senders: usize,
+    /// The mean and the maximum number of links.
     links: (f64, usize),
+    /// The mean and the maximum of frames per second while idle.
     idle_frames: (f64, f64),
+    /// The mean of bytes per second while idle.
     idle_bytes: f64,
-    bytes_a_message: f64,
+    bytes_per_message: f64,
+    /// The time after a loss until another one is tolerated.
     recovery_ms: u64,
 }
 
 fn mean(all: impl Iterator<Item = f64>) -> f64 {
-    let (sum, n) = all.fold((0.0, 0), |(s, n), x| (s + x, n + 1));
+    let (sum, n) = all.fold((0.0, 0), |(sum, n), x| (sum + x, n + 1));
     sum / f64::from(n.max(1))
 }
 
@@ -46,7 +51,7 @@
         fleet.sent.iter().zip(&before).map(|(now, was)| (now.0 - was.0, now.1 - was.1)).collect();
     let idle_bytes = mean(idle.iter().map(|i| i.1 as f64));
     let before: u64 = fleet.sent.iter().map(|s| s.1).sum();
-    let begun = fleet.now;
+    let started_at = fleet.now;
     for n in 0..MESSAGES {
         for i in 0..senders {
             fleet.submit(i, n % 2 == 0, 5 * S);
@@ -54,16 +59,16 @@
         fleet.run(50 * MS);
     }
     fleet.run(S);
-    let seconds = (fleet.now - begun) as f64 / S as f64;
-    let all = fleet.sent.iter().map(|s| s.1).sum::<u64>() - before;
-    let over = all as f64 - idle_bytes * senders as f64 * seconds;
+    let seconds = (fleet.now - started_at) as f64 / S as f64;
+    let all_bytes = fleet.sent.iter().map(|s| s.1).sum::<u64>() - before;
+    let message_bytes = all_bytes as f64 - idle_bytes * senders as f64 * seconds;
     // A sender is lost while it holds many messages.
     fleet.full_percent = 100;
     for n in 0..40 {
         fleet.submit(0, n % 2 == 0, 30 * S);
     }
     fleet.run(200 * MS);
-    let lost = fleet.now;
+    let lost_at = fleet.now;
     fleet.lose(0, 100 * MS);
     fleet.run(200 * MS);
     assert!(fleet.run_until_redundant(), "{:?}", fleet.redundancies());
@@ -75,8 +80,8 @@
             idle.iter().map(|i| i.0).max().unwrap_or(0) as f64,
         ),
         idle_bytes,
-        bytes_a_message: over / (MESSAGES * senders) as f64,
-        recovery_ms: (fleet.now - lost) / MS,
+        bytes_per_message: message_bytes / (MESSAGES * senders) as f64,
+        recovery_ms: (fleet.now - lost_at) / MS,
     }
 }
 
@@ -98,7 +103,7 @@
             r.idle_frames.0,
             r.idle_frames.1,
             r.idle_bytes,
-            r.bytes_a_message,
+            r.bytes_per_message,
             r.recovery_ms
         )?;
     }
@@ -124,8 +129,8 @@
         ("bytes per second when idle, mean", BLACK, |r| r.idle_bytes),
         ("ms until another loss is tolerated", GREEN, |r| r.recovery_ms as f64),
     ];
-    for (name, color, of) in lines {
-        let points = rows.iter().map(|r| (r.senders as f64, of(r).max(1.0)));
+    for (name, color, value) in lines {
+        let points = rows.iter().map(|r| (r.senders as f64, value(r).max(1.0)));
         let line = LineSeries::new(points, color.stroke_width(2)).point_size(3);
         chart
             .draw_series(line)?
--- a/crates/copies/tests/fleet.rs
+++ b/crates/copies/tests/fleet.rs
@@ -84,12 +84,12 @@
         }
         taken_over += fleet.taken_over;
         lost += fleet.lost;
-        committed += fleet.histories.values().filter(|f| f.committed.is_some()).count();
-        delivered += fleet.histories.values().filter(|f| f.committed.is_some() && f.delivered > 0).count();
+        committed += fleet.histories.values().filter(|h| h.committed.is_some()).count();
+        delivered += fleet.histories.values().filter(|h| h.committed.is_some() && h.delivered > 0).count();
         at_most_once_dead += fleet
             .histories
             .values()
-            .filter(|f| f.committed.is_some() && f.at_most_once && f.dead > 0)
+            .filter(|h| h.committed.is_some() && h.at_most_once && h.dead > 0)
             .count();
     }
     println!(
@@ -101,7 +101,7 @@
 }
 
 /// Asserts that one of the random runs finds a fault in the protocol.
-fn is_found(mutant: Mutant, text: &str) {
+fn assert_found(mutant: Mutant, text: &str) {
     for seed in 1..=60 {
         if let (Err(reason), _) = random_run(seed, mutant) {
             assert!(reason.contains(text), "{mutant:?}, seed {seed}: {reason}");
@@ -113,12 +113,12 @@
 
 #[test]
 fn attempts_without_consent_requests_are_found() {
-    is_found(Mutant::NoConsent, "took effect");
+    assert_found(Mutant::NoConsent, "took effect");
 }
 
 #[test]
 fn attempts_that_do_not_wait_for_consent_are_found() {
-    is_found(Mutant::ConsentNotAwaited, "took effect");
+    assert_found(Mutant::ConsentNotAwaited, "took effect");
 }
 
 #[test]
@@ -126,7 +126,7 @@
     // The owner is stopped, and continues after its messages were taken over. The new owner is cut off from
     // it and cannot notify it, but the other witness can reject its attempts.
     let stopped = |mutant| {
-        let fleet = three(mutant, |fleet| {
+        let fleet = run_three_senders(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..20 {
                 fleet.submit(0, true, 9 * S);
@@ -150,7 +150,7 @@
 #[test]
 fn a_commit_before_any_replica_has_a_copy_is_found() {
     let lost = |mutant| {
-        let fleet = three(mutant, |fleet| {
+        let fleet = run_three_senders(mutant, |fleet| {
             fleet.submit(0, true, 4 * S);
             fleet.lose(0, S);
         });
@@ -164,7 +164,7 @@
 fn a_safe_to_submit_again_report_without_consent_is_found() {
     // The owner is cut off until the deadline, while other senders deliver its messages.
     let cut_off = |mutant| {
-        let fleet = three(mutant, |fleet| {
+        let fleet = run_three_senders(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..20 {
                 fleet.submit(0, true, 5 * S);
@@ -184,12 +184,12 @@
     assert!(cut_off(Mutant::BounceWithoutConsent).is_err_and(|e| e.contains("safe to submit again")));
 }
 
-/// Runs three senders with the actions of `fails`, and then for 10 s.
-fn three(mutant: Mutant, fails: impl FnOnce(&mut Fleet)) -> Fleet {
+/// Runs three senders for 1 s, applies `actions` to them, and runs them for another 10 s.
+fn run_three_senders(mutant: Mutant, actions: impl FnOnce(&mut Fleet)) -> Fleet {
     let mut fleet = Fleet::new(7, 3, 1, mutant);
     fleet.run(S);
     (fleet.full_percent, fleet.silent_percent, fleet.attempt_time) = (0, 0, 20 * MS);
-    fails(&mut fleet);
+    actions(&mut fleet);
     fleet.run(10 * S);
     fleet
 }
@@ -197,7 +197,7 @@
 #[test]
 fn nothing_is_taken_over_if_one_link_fails_and_a_witness_receives_heartbeats_of_the_owner() {
     let one_link_cut = |mutant| {
-        three(mutant, |fleet| {
+        run_three_senders(mutant, |fleet| {
             // All attempts are refused, so that the messages are still held and could be taken over.
             fleet.full_percent = 100;
             for n in 0..20 {
@@ -220,7 +220,7 @@
     // The messages are taken over and delivered while the sender is down. Those that may be repeated would be
     // sent again.
     let effects = |mutant| {
-        let fleet = three(mutant, |fleet| {
+        let fleet = run_three_senders(mutant, |fleet| {
             fleet.full_percent = 100;
             for _ in 0..10 {
                 fleet.submit(0, false, 20 * S);
@@ -231,7 +231,7 @@
         });
         assert_eq!(fleet.check(), Ok(()));
         assert!(fleet.taken_over >= 10, "{}", fleet.taken_over);
-        fleet.histories.values().map(|f| f.effects).max()
+        fleet.histories.values().map(|h| h.effects).max()
     };
     assert_eq!(effects(Mutant::None), Some(1));
     assert_eq!(effects(Mutant::NoQueryAfterRestart), Some(2), "found");
@@ -255,14 +255,14 @@
         fleet.run(10 * S);
         assert_eq!(fleet.check(), Ok(()), "seed {seed}");
         assert!(fleet.taken_over >= 10, "seed {seed}: {}", fleet.taken_over);
-        let most = fleet.histories.values().map(|f| f.effects).max();
+        let most = fleet.histories.values().map(|h| h.effects).max();
         assert_eq!(most, Some(1), "seed {seed}: sent again by the restarted sender");
     }
 }
 
 #[test]
 fn a_restart_within_the_silence_threshold_causes_no_takeover() {
-    let fleet = three(Mutant::None, |fleet| {
+    let fleet = run_three_senders(Mutant::None, |fleet| {
         fleet.full_percent = 100;
         for n in 0..20 {
             fleet.submit(0, n % 2 == 0, 8 * S);
@@ -275,8 +275,8 @@
 
 #[test]
 fn nothing_is_left_once_all_messages_have_ended() {
-    let left = |mutant| {
-        let fleet = three(mutant, |fleet| {
+    let remaining = |mutant| {
+        let fleet = run_three_senders(mutant, |fleet| {
             (fleet.full_percent, fleet.silent_percent) = (30, 10);
             for n in 0..200 {
                 fleet.submit(n % 3, n % 2 == 0, 3 * S);
@@ -284,16 +284,16 @@
             }
         });
         assert_eq!(fleet.check(), Ok(()));
-        fleet.left()
+        fleet.remaining()
     };
-    assert_eq!(left(Mutant::None), (0, 0, 0), "messages, copies, witness entries");
-    let (_, copies, witness_entries) = left(Mutant::EndNotReported);
+    assert_eq!(remaining(Mutant::None), (0, 0, 0), "messages, copies, witness entries");
+    let (_, copies, witness_entries) = remaining(Mutant::EndNotReported);
     assert!(copies + witness_entries > 100, "unreported ends are found: {copies}, {witness_entries}");
 }
 
 #[test]
 fn a_sender_stopped_between_consent_and_first_byte_makes_the_only_attempt() {
-    let fleet = three(Mutant::None, |fleet| {
+    let fleet = run_three_senders(Mutant::None, |fleet| {
         // Consents are followed at random by a stop of several seconds.
         fleet.faults = true;
         for _ in 0..200 {
@@ -304,13 +304,13 @@
     });
     assert_eq!(fleet.check(), Ok(()));
     assert!(fleet.taken_over > 0);
-    let stopped = fleet.histories.values().filter(|f| f.at_most_once && f.dead > 0 && f.effects == 1).count();
+    let stopped = fleet.histories.values().filter(|h| h.at_most_once && h.dead > 0 && h.effects == 1).count();
     assert!(stopped > 0, "a message was ended by its new owner, and processed by the stopped attempt");
 }
 
 #[test]
 fn during_a_partition_at_most_one_side_sends_a_message_that_must_not_be_repeated() {
-    let fleet = three(Mutant::None, |fleet| {
+    let fleet = run_three_senders(Mutant::None, |fleet| {
         fleet.full_percent = 60;
         for n in 0..60 {
             fleet.submit(n % 3, n % 2 == 0, 8 * S);
@@ -325,7 +325,8 @@
     });
     assert_eq!(fleet.check(), Ok(()));
     assert!(
-        fleet.taken_over > 0 && fleet.events.iter().any(|s| matches!(s.2, Event::MessagesGivenUp { .. }))
+        fleet.taken_over > 0
+            && fleet.events.iter().any(|event| matches!(event.2, Event::MessagesGivenUp { .. }))
     );
 }
 
@@ -371,7 +372,7 @@
 /// Loses eight machines of a fleet of five, one after another, with one copy of each message. Each loss comes
 /// after `gap`, or once all senders report that another loss is tolerated. Returns the number of committed
 /// messages, the number of those that never ended, and the time per loss.
-fn one_after_another(seed: u64, gap: Option<u64>) -> (usize, usize, u64) {
+fn lose_one_after_another(seed: u64, gap: Option<u64>) -> (usize, usize, u64) {
     let mut fleet = Fleet::new(seed, 5, 1, Mutant::None);
     fleet.run(S);
     let begun = fleet.now;
@@ -393,25 +394,25 @@
     }
     let duration = fleet.now - begun;
     fleet.run(40 * S);
-    let committed = || fleet.histories.values().filter(|f| f.committed.is_some());
-    (committed().count(), committed().filter(|f| !f.ended()).count(), duration / 8)
+    let committed = || fleet.histories.values().filter(|h| h.committed.is_some());
+    (committed().count(), committed().filter(|h| !h.ended()).count(), duration / 8)
 }
 
 #[test]
 fn losses_cost_messages_only_if_they_come_before_redundancy_is_restored() {
     let seeds: u64 = std::env::var("SEEDS").ok().and_then(|n| n.parse().ok()).unwrap_or(20);
     println!("a loss every | committed | never ended");
-    let mut hasty = 0;
+    let mut lost_early = 0;
     for gap in [Some(250 * MS), Some(400 * MS), Some(700 * MS), Some(S), None] {
-        let all: Vec<_> = (1..=seeds).map(|seed| one_after_another(seed, gap)).collect();
-        let sum = |of: fn(&(usize, usize, u64)) -> usize| all.iter().map(of).sum::<usize>();
+        let all: Vec<_> = (1..=seeds).map(|seed| lose_one_after_another(seed, gap)).collect();
+        let sum = |value: fn(&(usize, usize, u64)) -> usize| all.iter().map(value).sum::<usize>();
         let (committed, lost) = (sum(|a| a.0), sum(|a| a.1));
         let each = sum(|a| a.2 as usize) as u64 / seeds / MS;
         println!("{each} ms{} | {committed} | {lost}", if gap.is_none() { ", when redundant" } else { "" });
         match gap {
             None => assert_eq!(lost, 0, "all senders reported that another loss is tolerated"),
-            Some(_) => hasty += lost,
+            Some(_) => lost_early += lost,
         }
     }
-    assert!(hasty > 0, "no run lost any message");
+    assert!(lost_early > 0, "no run lost any message");
 }
--- a/crates/copies/tests/sim/mod.rs
+++ b/crates/copies/tests/sim/mod.rs
@@ -86,8 +86,11 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum AttemptOutcome {
+    /// The endpoint processed the message and answered.
     Served,
+    /// The endpoint refused the message since it has no free capacity: the attempt never ran.
     Full,
+    /// The endpoint processed the message, and its answer was lost.
     NoAnswer,
 }
 
@@ -96,14 +99,16 @@
     replicator: Option<Replicator>,
     folder: Folder,
     activity: BTreeMap<Id, Activity>,
-    numbers: BTreeMap<Id, u32>,
+    /// The number of the next attempt of each message.
+    next_numbers: BTreeMap<Id, u32>,
     /// The process is stopped until this time.
-    stopped: Micros,
+    stopped_until: Micros,
     /// The process is dead until this time.
-    dead: Micros,
+    dead_until: Micros,
     /// Received frames, in order of arrival.
     inbox: VecDeque<(Micros, Inbound)>,
     dials: BTreeMap<Peer, Dial>,
+    /// After this time the sender continues although some witnesses have not reported claims.
     recover_by: Micros,
     starts: u64,
 }
@@ -115,6 +120,7 @@
     dial_at: Micros,
 }
 
+/// What a sender receives on a link: from or about whom, and the number of the link.
 enum Inbound {
     Hello(Instance, u64),
     Request(Instance, u64, Frame),
@@ -142,18 +148,21 @@
     }
 }
 
+/// The simulated senders, which are identified by their index.
 pub struct Fleet {
     nodes: Vec<Node>,
     peers: BTreeMap<Peer, usize>,
-    /// One-way cuts with their ends, and delays.
+    /// By sender and receiver: when the cut of that direction ends.
     cuts: BTreeMap<(usize, usize), Micros>,
-    slow: BTreeMap<(usize, usize), (Micros, Micros)>,
-    /// The arrival of the last frame by link and direction: a link delivers in order.
-    last: BTreeMap<(u64, bool), Micros>,
-    /// Links that are up, with the dialing sender first, and the latest link of each pair.
+    /// By sender and receiver: the delay of frames, and when it ends.
+    delays: BTreeMap<(usize, usize), (Micros, Micros)>,
+    /// The arrival of the last frame by link and direction (`true` for responses): a link delivers in order.
+    last_arrival: BTreeMap<(u64, bool), Micros>,
+    /// Links that are up, with the dialing sender first.
     links: BTreeMap<u64, (usize, usize)>,
-    latest: BTreeMap<(usize, usize), u64>,
-    /// Frames and bytes that each sender has sent.
+    /// The latest link from one sender to another.
+    latest_link: BTreeMap<(usize, usize), u64>,
+    /// The numbers of frames and of bytes that each sender has sent.
     pub sent: Vec<(u64, u64)>,
     next_link: u64,
     next_id: u64,
@@ -167,8 +176,9 @@
     count: usize,
     zones: usize,
     mutant: Mutant,
-    /// The chance of each outcome of an attempt, in percent.
+    /// The share of attempts that end as [`AttemptOutcome::Full`], in percent.
     pub full_percent: u32,
+    /// The share of attempts that end as [`AttemptOutcome::NoAnswer`], in percent.
     pub silent_percent: u32,
     /// The limit of an attempt's duration.
     pub attempt_time: Micros,
@@ -183,10 +193,10 @@
             nodes: Vec::new(),
             peers: BTreeMap::new(),
             cuts: BTreeMap::new(),
-            slow: BTreeMap::new(),
-            last: BTreeMap::new(),
+            delays: BTreeMap::new(),
+            last_arrival: BTreeMap::new(),
             links: BTreeMap::new(),
-            latest: BTreeMap::new(),
+            latest_link: BTreeMap::new(),
             sent: vec![(0, 0); n],
             next_link: 1,
             next_id: 1,
@@ -214,9 +224,9 @@
                 replicator: None,
                 folder: Folder::default(),
                 activity: BTreeMap::new(),
-                numbers: BTreeMap::new(),
-                stopped: 0,
-                dead: 0,
+                next_numbers: BTreeMap::new(),
+                stopped_until: 0,
+                dead_until: 0,
                 inbox: VecDeque::new(),
                 dials: BTreeMap::new(),
                 recover_by: 0,
@@ -255,10 +265,10 @@
             Replicator::new(membership, settings, incarnation, rows.into_iter(), time, &mut node.folder);
         node.replicator = Some(replicator.expect("sound"));
         node.activity.clear();
-        node.numbers.clear();
+        node.next_numbers.clear();
         node.dials.clear();
         node.recover_by = self.now + 300 * MS;
-        let all: Vec<(Id, Record)> = node.folder.messages.iter().map(|(&i, r)| (i, r.clone())).collect();
+        let all: Vec<(Id, Record)> = node.folder.messages.iter().map(|(&id, r)| (id, r.clone())).collect();
         for (id, record) in all {
             self.handle_input(i, Input::Resume { id, record: record.clone() });
             self.resume_message(i, id, &record, self.now);
@@ -269,10 +279,11 @@
     /// Continues an owned message. A message that may have been processed is not attempted again unless it
     /// may be repeated.
     fn resume_message(&mut self, i: usize, id: Id, record: &Record, from: Micros) {
-        let made = record.attempts.iter().filter(|t| t.number < 1 << 16).map(|t| t.number + 1).max();
+        // Closing attempts have a number far above those of real ones.
+        let made = record.attempts.iter().filter(|a| a.number < 1 << 16).map(|a| a.number + 1).max();
         let node = &mut self.nodes[i];
-        node.numbers.insert(id, made.unwrap_or(0));
-        let ran = record.attempts.iter().any(|t| !t.never_ran);
+        node.next_numbers.insert(id, made.unwrap_or(0));
+        let ran = record.attempts.iter().any(|attempt| !attempt.never_ran);
         node.activity.insert(id, Activity::Idle(from));
         if record.verdict.is_some() || record.at_most_once && (ran || !record.acknowledged) {
             self.end(i, id, Verdict::Dead);
@@ -283,7 +294,7 @@
     pub fn kill(&mut self, i: usize, back_in: Micros) {
         self.trace(i, &("fault: killed", back_in));
         let node = &mut self.nodes[i];
-        (node.replicator, node.dead, node.stopped) = (None, self.now + back_in, 0);
+        (node.replicator, node.dead_until, node.stopped_until) = (None, self.now + back_in, 0);
         node.inbox.clear();
         let ended: Vec<u64> =
             self.links.iter().filter(|(_, l)| l.0 == i || l.1 == i).map(|(&l, _)| l).collect();
@@ -300,11 +311,11 @@
 
     pub fn stop(&mut self, i: usize, duration: Micros) {
         self.trace(i, &("fault: stopped", duration));
-        self.nodes[i].stopped = self.now + duration;
+        self.nodes[i].stopped_until = self.now + duration;
     }
 
     pub fn is_running(&self, i: usize) -> bool {
-        self.nodes[i].replicator.is_some() && self.nodes[i].stopped <= self.now
+        self.nodes[i].replicator.is_some() && self.nodes[i].stopped_until <= self.now
     }
 
     pub fn fill_disk(&mut self, i: usize, full: bool) {
@@ -321,24 +332,24 @@
     }
 
     pub fn delay(&mut self, from: usize, to: usize, by: Micros, duration: Micros) {
-        self.slow.insert((from, to), (by, self.now + duration));
+        self.delays.insert((from, to), (by, self.now + duration));
     }
 
     pub fn heal(&mut self) {
         self.cuts.clear();
-        self.slow.clear();
+        self.delays.clear();
         for node in &mut self.nodes {
-            (node.stopped, node.dead) = (0, node.dead.min(self.now));
+            (node.stopped_until, node.dead_until) = (0, node.dead_until.min(self.now));
         }
         // Frames that wait for the end of a cut are resent on a new connection.
         let soon = self.now + 100 * MS;
-        let waits = self.last.iter().filter(|(_, at)| **at > soon).map(|((l, _), _)| *l);
-        let waits: BTreeSet<u64> = waits.collect();
-        waits.into_iter().for_each(|l| self.break_link(l));
+        let waiting = self.last_arrival.iter().filter(|(_, at)| **at > soon).map(|((link, _), _)| *link);
+        let waiting: BTreeSet<u64> = waiting.collect();
+        waiting.into_iter().for_each(|l| self.break_link(l));
     }
 
     pub fn is_whole(&self) -> bool {
-        self.cuts.values().all(|&t| t <= self.now) && self.nodes.iter().all(|n| n.stopped <= self.now)
+        self.cuts.values().all(|&t| t <= self.now) && self.nodes.iter().all(|n| n.stopped_until <= self.now)
     }
 
     fn is_cut(&self, from: usize, to: usize) -> bool {
@@ -349,7 +360,7 @@
     fn break_link(&mut self, link: u64) {
         let Some((a, b)) = self.links.remove(&link) else { return };
         let (at, to) = (self.now, Peer::from_name(&self.nodes[b].name));
-        let of = |m: &Inbound| match m {
+        let link_of = |inbound: &Inbound| match inbound {
             Inbound::Hello(_, l)
             | Inbound::Request(_, l, _)
             | Inbound::LinkUp(_, l)
@@ -358,27 +369,28 @@
         };
         // Frames that have arrived in a socket can still be read, others are lost.
         for node in [a, b] {
-            self.nodes[node].inbox.retain(|(t, m)| of(m) != link || *t <= at);
+            self.nodes[node].inbox.retain(|(arrival, inbound)| link_of(inbound) != link || *arrival <= at);
         }
         if self.nodes[a].replicator.is_some() {
             self.nodes[a].inbox.push_back((at, Inbound::LinkDown(to, link)));
         }
     }
 
-    fn arrive(&mut self, link: u64, is_response: bool, what: Inbound) {
+    /// Puts a frame into the inbox of its receiver, at the time at which it arrives there.
+    fn schedule_arrival(&mut self, link: u64, is_response: bool, inbound: Inbound) {
         let Some(&(a, b)) = self.links.get(&link) else { return };
         let (from, to) = if is_response { (b, a) } else { (a, b) };
         // A connection over a cut delivers when the cut ends, or never if one side gives up before.
         let cut = self.cuts.get(&(from, to)).copied().filter(|&t| t > self.now);
-        let slow = self.slow.get(&(from, to)).filter(|s| s.1 > self.now).map_or(0, |s| s.0);
+        let delay = self.delays.get(&(from, to)).filter(|d| d.1 > self.now).map_or(0, |d| d.0);
         let usual = self.rng.random_range(MS / 2..3 * MS);
-        let at = cut.unwrap_or(self.now) + usual + slow;
-        let last = self.last.entry((link, is_response)).or_default();
+        let at = cut.unwrap_or(self.now) + usual + delay;
+        let last = self.last_arrival.entry((link, is_response)).or_default();
         *last = at.max(*last);
         let at = *last;
         let inbox = &mut self.nodes[to].inbox;
-        let place = inbox.iter().rposition(|(t, _)| *t <= at).map_or(0, |p| p + 1);
-        inbox.insert(place, (at, what));
+        let index = inbox.iter().rposition(|(t, _)| *t <= at).map_or(0, |p| p + 1);
+        inbox.insert(index, (at, inbound));
     }
 
     fn connect(&mut self, i: usize, peer: Peer) {
@@ -392,11 +404,11 @@
         let (link, me) = (self.next_link, self.nodes[i].replicator.as_ref().expect("alive").instance());
         self.next_link += 1;
         self.links.insert(link, (i, to));
-        self.latest.insert((i, to), link);
+        self.latest_link.insert((i, to), link);
         let theirs = self.nodes[to].replicator.as_ref().expect("alive").instance();
         self.nodes[i].dials.entry(peer).or_default().up = Some(link);
-        self.arrive(link, false, Inbound::Hello(me, link));
-        self.arrive(link, true, Inbound::LinkUp(theirs, link));
+        self.schedule_arrival(link, false, Inbound::Hello(me, link));
+        self.schedule_arrival(link, true, Inbound::LinkUp(theirs, link));
     }
 
     fn handle_input(&mut self, i: usize, input: Input) {
@@ -428,20 +440,21 @@
                     let me = self.nodes[i].replicator.as_ref().expect("alive").instance();
                     // The frame is encoded and decoded as on the wire.
                     let bytes = write_frame(&frame);
-                    self.count(i, bytes.len());
+                    self.count_sent(i, bytes.len());
                     let frame = read_frame(&bytes).expect("sound").expect("whole").0;
                     if let Some(link) = up {
-                        self.arrive(link, false, Inbound::Request(me, link, frame));
+                        self.schedule_arrival(link, false, Inbound::Request(me, link, frame));
                     }
                 }
                 Output::SendResponse(peer, frame) => {
-                    let frame = self.mutated(frame);
+                    let frame = self.apply_mutant(frame);
                     let from = self.peers[&peer];
-                    self.count(i, write_frame(&frame).len());
-                    let link = self.latest.get(&(from, i)).copied().filter(|l| self.links.contains_key(l));
+                    self.count_sent(i, write_frame(&frame).len());
+                    let link =
+                        self.latest_link.get(&(from, i)).copied().filter(|l| self.links.contains_key(l));
                     let me = Peer::from_name(&self.nodes[i].name);
                     if let Some(link) = link {
-                        self.arrive(link, true, Inbound::Response(me, link, frame));
+                        self.schedule_arrival(link, true, Inbound::Response(me, link, frame));
                     }
                 }
                 Output::Committed(id) => self.committed(i, id),
@@ -463,7 +476,7 @@
         }
     }
 
-    fn count(&mut self, i: usize, bytes: usize) {
+    fn count_sent(&mut self, i: usize, bytes: usize) {
         let (frames, all) = &mut self.sent[i];
         (*frames, *all) = (*frames + 1, *all + bytes as u64);
     }
@@ -478,7 +491,8 @@
         held
     }
 
-    fn mutated(&self, frame: Frame) -> Frame {
+    /// Returns what a witness with the deliberate fault sends instead of this response.
+    fn apply_mutant(&self, frame: Frame) -> Frame {
         match (self.mutant, frame) {
             (Mutant::TermNotChecked, Frame::AttemptRefused { key, term, number, .. }) => {
                 Frame::AttemptGranted { key, term, number }
@@ -517,7 +531,7 @@
         let until = self.now + CLIENT_TIMEOUT;
         self.nodes[i].folder.messages.insert(id, record.clone());
         self.nodes[i].activity.insert(id, Activity::AwaitsCommit(until));
-        self.nodes[i].numbers.insert(id, 0);
+        self.nodes[i].next_numbers.insert(id, 0);
         self.handle_input(i, Input::Submit { id, record });
         if self.mutant == Mutant::CommitBeforeReplica {
             self.committed(i, id);
@@ -573,19 +587,20 @@
             let duration = self.rng.random_range(S..6 * S);
             self.stop(i, duration);
         }
-        let x = self.rng.random_range(0..100);
-        let outcome = if x < self.full_percent {
+        let percent = self.rng.random_range(0..100);
+        let outcome = if percent < self.full_percent {
             AttemptOutcome::Full
-        } else if x < self.full_percent + self.silent_percent {
+        } else if percent < self.full_percent + self.silent_percent {
             AttemptOutcome::NoAnswer
         } else {
             AttemptOutcome::Served
         };
-        let at = self.now.max(self.nodes[i].stopped) + self.rng.random_range(MS..self.attempt_time);
+        let ends_at =
+            self.now.max(self.nodes[i].stopped_until) + self.rng.random_range(MS..self.attempt_time);
         let history = self.histories.entry(id).or_default();
         history.effects += usize::from(outcome != AttemptOutcome::Full);
         history.attempts.insert((number, i));
-        self.nodes[i].activity.insert(id, Activity::Attempting(number, at, outcome));
+        self.nodes[i].activity.insert(id, Activity::Attempting(number, ends_at, outcome));
     }
 
     fn refused(&mut self, i: usize, id: Id, number: u32) {
@@ -602,7 +617,7 @@
     fn attempt(&mut self, i: usize, id: Id) {
         let now = self.now;
         let node = &mut self.nodes[i];
-        let number = *node.numbers.entry(id).and_modify(|n| *n += 1).or_insert(1) - 1;
+        let number = *node.next_numbers.entry(id).and_modify(|n| *n += 1).or_insert(1) - 1;
         if number >= MAX_ATTEMPTS {
             return self.end(i, id, Verdict::Dead);
         }
@@ -621,7 +636,7 @@
 
     fn never_ran(&mut self, i: usize, id: Id, number: u32) {
         if let Some(record) = self.nodes[i].folder.messages.get_mut(&id) {
-            record.attempts.iter_mut().filter(|t| t.number == number).for_each(|t| t.never_ran = true);
+            record.attempts.iter_mut().filter(|a| a.number == number).for_each(|a| a.never_ran = true);
         }
         self.handle_input(i, Input::NeverRan { id, number });
     }
@@ -634,7 +649,7 @@
         if must_query && !is_recovered && now < self.nodes[i].recover_by {
             return;
         }
-        let all: Vec<(Id, Activity)> = self.nodes[i].activity.iter().map(|(&i, &d)| (i, d)).collect();
+        let all: Vec<(Id, Activity)> = self.nodes[i].activity.iter().map(|(&id, &a)| (id, a)).collect();
         for (id, activity) in all {
             if !self.nodes[i].activity.contains_key(&id) {
                 continue;
@@ -666,7 +681,7 @@
                 Activity::AwaitsConsent(..) => {}
                 Activity::Closing(until) if until <= now => self.end(i, id, Verdict::Dead),
                 Activity::Closing(_) => {}
-                Activity::Attempting(number, at, outcome) if at <= now => match outcome {
+                Activity::Attempting(number, ends_at, outcome) if ends_at <= now => match outcome {
                     AttemptOutcome::Served => {
                         self.histories.entry(id).or_default().delivered += 1;
                         self.forget(i, id);
@@ -696,25 +711,25 @@
             self.now += MS;
             for i in 0..self.nodes.len() {
                 if self.nodes[i].replicator.is_none() {
-                    if self.nodes[i].dead <= self.now {
+                    if self.nodes[i].dead_until <= self.now {
                         self.start(i);
                     }
                     continue;
                 }
-                if self.nodes[i].stopped > self.now {
+                if self.nodes[i].stopped_until > self.now {
                     continue;
                 }
                 while self.nodes[i].inbox.front().is_some_and(|(t, _)| *t <= self.now) {
-                    let Some((_, what)) = self.nodes[i].inbox.pop_front() else { break };
-                    self.receive(i, what);
-                    if self.nodes[i].stopped > self.now {
+                    let Some((_, inbound)) = self.nodes[i].inbox.pop_front() else { break };
+                    self.receive(i, inbound);
+                    if self.nodes[i].stopped_until > self.now {
                         break;
                     }
                 }
-                if self.nodes[i].stopped > self.now {
+                if self.nodes[i].stopped_until > self.now {
                     continue;
                 }
-                let due = self.nodes[i].replicator.as_ref().is_some_and(|m| m.next_wake() <= self.now);
+                let due = self.nodes[i].replicator.as_ref().is_some_and(|r| r.next_wake() <= self.now);
                 if due {
                     self.handle_input(i, Input::Tick);
                 }
@@ -747,10 +762,10 @@
         cut.into_iter().for_each(|l| self.break_link(l));
     }
 
-    /// Prints what happens to the message whose number is in the variable TRACE.
-    fn trace(&self, i: usize, what: &dyn std::fmt::Debug) {
+    /// Prints what happens to the message whose number is in the environment variable TRACE, and all faults.
+    fn trace(&self, i: usize, event: &dyn std::fmt::Debug) {
         let Some(id) = std::env::var("TRACE").ok().and_then(|t| t.parse::<u64>().ok()) else { return };
-        let text = format!("{what:?}");
+        let text = format!("{event:?}");
         if text.contains(&format!("Id({id})"))
             || text.contains("fault")
             || text.contains("WitnessStateLost")
@@ -763,13 +778,15 @@
         }
     }
 
-    fn receive(&mut self, i: usize, what: Inbound) {
-        match &what {
-            Inbound::Request(f, _, x) => self.trace(i, &("request from", self.peers[&f.peer], x)),
-            Inbound::Response(f, _, x) => self.trace(i, &("response from", self.peers[f], x)),
+    fn receive(&mut self, i: usize, inbound: Inbound) {
+        match &inbound {
+            Inbound::Request(from, _, frame) => {
+                self.trace(i, &("request from", self.peers[&from.peer], frame))
+            }
+            Inbound::Response(from, _, frame) => self.trace(i, &("response from", self.peers[from], frame)),
             _ => {}
         }
-        match what {
+        match inbound {
             Inbound::Hello(from, link) => {
                 let time = self.timestamps();
                 let node = &mut self.nodes[i];
@@ -799,17 +816,17 @@
     }
 
     /// Returns the number of messages, copies and witness entries that are left.
-    pub fn left(&self) -> (usize, usize, usize) {
-        let all = self.nodes.iter().filter_map(|n| n.replicator.as_ref().map(|m| (n, m)));
-        all.fold((0, 0, 0), |(a, b, c), (n, m)| {
-            (a + n.folder.messages.len(), b + m.stored_copies(), c + m.witness_entries())
+    pub fn remaining(&self) -> (usize, usize, usize) {
+        let all = self.nodes.iter().filter_map(|n| n.replicator.as_ref().map(|r| (n, r)));
+        all.fold((0, 0, 0), |(messages, copies, entries), (n, r)| {
+            (messages + n.folder.messages.len(), copies + r.stored_copies(), entries + r.witness_entries())
         })
     }
 
-    /// Returns whether all senders run and report that as many of them may fail as there are copies.
+    /// Returns whether no sender is stopped and all report that as many may fail as there are copies.
     pub fn tolerates_losses(&self) -> bool {
-        let tolerates = |n: &Node| n.replicator.as_ref().is_some_and(|m| m.redundancy().tolerates_loss());
-        self.nodes.iter().all(|n| n.stopped <= self.now && tolerates(n))
+        let tolerates = |n: &Node| n.replicator.as_ref().is_some_and(|r| r.redundancy().tolerates_loss());
+        self.nodes.iter().all(|n| n.stopped_until <= self.now && tolerates(n))
     }
 
     /// Returns the redundancy that each running sender reports.
