--- a/crates/copies/src/membership.rs
+++ b/crates/copies/src/membership.rs
@@ -63,9 +63,9 @@
     pub fn new(me: Sender, others: Vec<Sender>, count: usize) -> Result<Self, MembershipError> {
         let local_peer = Peer::from_name(&me.name);
         let mut senders = BTreeMap::new();
-        for s in std::iter::once(me).chain(others) {
-            let name = s.name.clone();
-            if senders.insert(Peer::from_name(&name), s).is_some() {
+        for sender in std::iter::once(me).chain(others) {
+            let name = sender.name.clone();
+            if senders.insert(Peer::from_name(&name), sender).is_some() {
                 return Err(MembershipError::DuplicateName(name));
             }
         }
@@ -138,8 +138,8 @@
     }
 
     fn rank_candidates(&self, of: Peer) -> Vec<Peer> {
-        let position = |p: Peer| (self.same_zone(of, p), rendezvous_hash(of.0, p.0), p);
-        let mut all: Vec<_> = self.senders.keys().filter(|&&p| p != of).map(|&p| position(p)).collect();
+        let rank = |p: Peer| (self.same_zone(of, p), rendezvous_hash(of.0, p.0), p);
+        let mut all: Vec<_> = self.senders.keys().filter(|&&p| p != of).map(|&p| rank(p)).collect();
         // The candidates include all witnesses.
         let limit = REPLICA_CANDIDATES.max(2 * self.count);
         if all.len() > limit {
@@ -198,9 +198,9 @@
 
     /// Returns the rank of a sender as a replica for a message; the lowest rank is preferred. This is
     /// weighted rendezvous hashing: the logarithm weights the hash by free space.
-    pub fn rank(&self, id: Id, peer: Peer, room: f64) -> f64 {
+    pub fn rank(&self, id: Id, peer: Peer, free_space: f64) -> f64 {
         let unit = (rendezvous_hash(id.0, peer.0) >> 11) as f64 / (1u64 << 53) as f64;
-        -unit.max(f64::MIN_POSITIVE).ln() / room.max(1e-6)
+        -unit.max(f64::MIN_POSITIVE).ln() / free_space.max(1e-6)
     }
 
     /// Returns whether `a` takes precedence over `b` if both claim a message.
@@ -268,12 +268,12 @@
                     let group = WitnessGroup { epoch, ..first_group(me) };
                     assert_quorums_intersect(&membership, group, count);
                     let witnesses = membership.witnesses(group);
-                    let standing = witnesses.iter().filter(|w| is_reachable(**w)).count();
-                    let all = candidates.iter().filter(|w| is_reachable(**w)).count();
+                    let reachable = witnesses.iter().filter(|w| is_reachable(**w)).count();
+                    let all_reachable = candidates.iter().filter(|w| is_reachable(**w)).count();
                     assert!(!witnesses.contains(&me), "{group:?}");
                     assert!(
-                        all < count || standing >= membership.claim_quorum(group),
-                        "{group:?} {all} reachable"
+                        all_reachable < count || reachable >= membership.claim_quorum(group),
+                        "{group:?} {all_reachable} reachable"
                     );
                     if away == 0 {
                         assert_eq!(
@@ -301,13 +301,13 @@
 
     #[test]
     fn candidates_are_in_other_zones_first_equal_for_all_senders_and_evenly_spread() {
-        let (one, many) = (membership(300, 3, 1), membership(300, 3, 1));
+        let (first, second) = (membership(300, 3, 1), membership(300, 3, 1));
         let mut served: BTreeMap<Peer, usize> = BTreeMap::new();
-        for (peer, _) in one.senders() {
-            let candidates = one.candidates(peer);
-            assert_eq!(candidates, many.candidates(peer));
+        for (peer, _) in first.senders() {
+            let candidates = first.candidates(peer);
+            assert_eq!(candidates, second.candidates(peer));
             assert_eq!(candidates.len(), REPLICA_CANDIDATES);
-            assert!(candidates.iter().all(|&p| p != peer && !one.same_zone(p, peer)));
+            assert!(candidates.iter().all(|&p| p != peer && !first.same_zone(p, peer)));
             candidates.into_iter().for_each(|p| *served.entry(p).or_default() += 1);
         }
         // The number of senders that one serves stays near the mean: no sender stores copies for a third of
@@ -331,20 +331,23 @@
     fn replicas_spread_evenly_and_in_proportion_to_free_space() {
         let membership = membership(13, 3, 1);
         let candidates = membership.candidates(membership.local_peer());
-        let chosen = |room: &dyn Fn(Peer) -> f64| {
+        let chosen = |free_space: &dyn Fn(Peer) -> f64| {
             let mut counts: BTreeMap<Peer, usize> = BTreeMap::new();
             for id in (0..12_000).map(Id) {
                 let first = candidates.iter().copied().min_by(|&a, &b| {
-                    membership.rank(id, a, room(a)).total_cmp(&membership.rank(id, b, room(b)))
+                    membership.rank(id, a, free_space(a)).total_cmp(&membership.rank(id, b, free_space(b)))
                 });
                 *counts.entry(first.expect("some")).or_default() += 1;
             }
             counts
         };
         assert!(chosen(&|_| 1.0).values().all(|n| (850..1_150).contains(n)));
-        let poor = candidates[0];
-        let counts = chosen(&|p| if p == poor { 0.5 } else { 1.0 });
-        assert!((400..650).contains(&counts[&poor]), "half of the space, half of the copies: {counts:?}");
+        let half_free = candidates[0];
+        let counts = chosen(&|p| if p == half_free { 0.5 } else { 1.0 });
+        assert!(
+            (400..650).contains(&counts[&half_free]),
+            "half of the space, half of the copies: {counts:?}"
+        );
     }
 
     #[test]
