--- a/crates/daemon/tests/sockets/clock.rs
+++ b/crates/daemon/tests/sockets/clock.rs
@@ -7,6 +7,7 @@
 
 /// In microseconds.
 const HOUR: i64 = 3_600_000_000;
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
 /// The deduplication window of the class `keyed`.
 const WINDOW: Duration = Duration::from_secs(2);
@@ -18,14 +19,14 @@
             thread::sleep(Duration::from_millis(400));
             response("200 OK", "", "")
         });
-        let known = [member("s-1", endpoint.address, "shop", 3, "up")];
-        let (node, faults) = Node::with_faults(&known, |text| text);
+        let members = [member("s-1", endpoint.address, "shop", 3, "up")];
+        let (node, faults) = Node::with_faults(&members, |text| text);
         // The first message is in flight when the clock is stepped, the second still waits.
         for id in [1, 2] {
             assert_eq!(node.submit("payment", id, 3, LONG, b"x").status(), 202);
         }
         wait_until("a call", || endpoint.calls() > 0);
-        faults.set_wall_clock_offset(step).expect("stepped");
+        faults.set_wall_clock_offset(step).expect("the clock offset is set");
         wait_until("a call of each, or an end", || endpoint.calls() > 1 || node.platform.has_notice(2));
         // A message that is submitted after the step has its full time too.
         assert_eq!(node.submit("payment", 3, 3, LONG, b"x").status(), 202);
@@ -40,24 +41,24 @@
 fn wall_clock_step_between_two_processes_changes_no_deadline_and_no_window() {
     // Forward: an untried message is sent.
     let endpoint = Endpoint::new(|_| response("200 OK", "", ""));
-    let known = [member("s-1", endpoint.address, "shop", 3, "draining")];
-    let (mut node, faults) = Node::with_faults(&known, |text| text);
+    let members = [member("s-1", endpoint.address, "shop", 3, "draining")];
+    let (mut node, faults) = Node::with_faults(&members, |text| text);
     assert_eq!(node.submit("payment", 1, 3, LONG, b"x").status(), 202);
     node.kill();
-    faults.set_wall_clock_offset(HOUR).expect("stepped");
+    faults.set_wall_clock_offset(HOUR).expect("the clock offset is set");
     let config = node.config().replace("\"draining\"", "\"up\"");
-    std::fs::write(node.folder.path().join("config.json"), config).expect("a file");
+    std::fs::write(node.folder.path().join("config.json"), config).expect("the file is written");
     node.start_again();
     wait_until("a call or an end", || endpoint.calls() > 0 || node.platform.has_notice(1));
     assert!(!node.platform.has_notice(1), "an hour forward ended a message before its deadline");
 
     // Back: a message that cannot be delivered is ended at its deadline.
-    let known = [member("s-1", endpoint.address, "shop", 3, "draining")];
-    let (mut node, faults) = Node::with_faults(&known, |text| text);
+    let members = [member("s-1", endpoint.address, "shop", 3, "draining")];
+    let (mut node, faults) = Node::with_faults(&members, |text| text);
     let begun = Instant::now();
     assert_eq!(node.submit("payment", 2, 3, 2_000, b"x").status(), 202);
     node.kill();
-    faults.set_wall_clock_offset(-HOUR).expect("stepped");
+    faults.set_wall_clock_offset(-HOUR).expect("the clock offset is set");
     node.start_again();
     let ended = || node.platform.has_notice(2);
     wait_until("an end, or far too late", || ended() || begun.elapsed() > Duration::from_secs(6));
@@ -65,13 +66,13 @@
 
     // Back: a message that may have run is not resent after its deduplication window.
     let hangs = Endpoint::new(|_| Reply::Hang);
-    let known = [member("s-1", hangs.address, "shop", 3, "up")];
-    let (mut node, faults) = Node::with_faults(&known, with_deduplicated_class);
+    let members = [member("s-1", hangs.address, "shop", 3, "up")];
+    let (mut node, faults) = Node::with_faults(&members, with_deduplicated_class);
     assert_eq!(node.submit("keyed", 3, 3, LONG, b"x").status(), 202);
     wait_until("a call", || hangs.calls() > 0);
     node.kill();
     thread::sleep(WINDOW);
-    faults.set_wall_clock_offset(-HOUR).expect("stepped");
+    faults.set_wall_clock_offset(-HOUR).expect("the clock offset is set");
     node.start_again();
     wait_until("an end, or a repeat", || hangs.calls() > 1 || node.platform.has_notice(3));
     assert_eq!(hangs.calls(), 1, "a deduplicated message was resent after its window");
@@ -90,7 +91,7 @@
     });
     let node = Node::new(&[member("s-1", endpoint.address, "shop", 3, "up")], |text| text);
     assert_eq!(node.submit("payment", 2, 3, 1_000, b"x").status(), 202);
-    wait_until("its call", || endpoint.calls() == 1);
+    wait_until("a call of the message", || endpoint.calls() == 1);
     let begun = Instant::now();
     assert_eq!(node.submit("payment", 1, 3, 1_000, b"x").status(), 202);
     let limit = TIME + Duration::from_millis(300);
--- a/crates/daemon/tests/sockets/closing.rs
+++ b/crates/daemon/tests/sockets/closing.rs
@@ -10,13 +10,13 @@
 const MORE_THAN_BUFFERS: usize = 16 << 20;
 
 fn connect(node: &Node) -> TcpStream {
-    let stream = TcpStream::connect(node.address).expect("a connection");
-    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("an option");
+    let stream = TcpStream::connect(node.address).expect("the connection is accepted");
+    stream.set_read_timeout(Some(Duration::from_secs(20))).expect("the read timeout is set");
     stream
 }
 
-/// Returns the headers of a request for destination 3.
-fn request(id: u64, length: usize) -> String {
+/// Returns the request line and the headers of an update for destination 3.
+fn request_head(id: u64, length: usize) -> String {
     let id = format!("{id:016x}");
     let headers = headers(&id, "update", "60000", "dest=3").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
     format!("POST /update HTTP/1.1\r\n{headers}Content-Length: {length}\r\n\r\n")
@@ -25,7 +25,7 @@
 /// Reads until the connection is closed, and asserts that it is not reset: a reset discards unread responses.
 fn read_all(stream: &mut TcpStream) -> String {
     let mut received = Vec::new();
-    stream.read_to_end(&mut received).expect("an orderly end");
+    stream.read_to_end(&mut received).expect("the connection is closed and not reset");
     String::from_utf8_lossy(&received).into_owned()
 }
 
@@ -33,8 +33,10 @@
 fn response_before_the_end_of_a_request_is_not_lost_by_a_reset() {
     let (node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = connect(&node);
-    let all = [request(1, MORE_THAN_BUFFERS).as_bytes(), &vec![b'x'; MORE_THAN_BUFFERS]].concat();
-    client.write_all(&all).expect("all is read although the response is known long before");
+    let all = [request_head(1, MORE_THAN_BUFFERS).as_bytes(), &vec![b'x'; MORE_THAN_BUFFERS]].concat();
+    client
+        .write_all(&all)
+        .expect("the sender reads the whole request, although it responds long before its end");
     let received = read_all(&mut client);
     assert!(received.starts_with("HTTP/1.1 413") && received.contains("connection: close"), "{received}");
     assert_eq!(endpoint.calls(), 0);
@@ -49,9 +51,9 @@
     // Without waiting for responses, as clients do.
     let body = vec![b'x'; 60_000];
     let all: Vec<u8> = (1..=(MORE_THAN_BUFFERS / 60_000) as u64)
-        .flat_map(|id| [request(id, 60_000).as_bytes(), &body].concat())
+        .flat_map(|id| [request_head(id, 60_000).as_bytes(), &body].concat())
         .collect();
-    client.write_all(&all).expect("all requests are read");
+    client.write_all(&all).expect("the sender reads all requests");
     let received = read_all(&mut client);
     assert!(received.starts_with("HTTP/1.1 503") && received.contains("connection: close"), "{received}");
     assert_eq!(count_responses(&received, 503), MORE_THAN_BUFFERS / 60_000, "each that was read is answered");
@@ -62,28 +64,33 @@
 #[test]
 fn client_that_keeps_its_side_open_or_sends_endlessly_does_not_delay_the_exit() {
     let (mut node, _endpoint) = start_with_endpoint("shop", |_| ok());
-    let (quiet, mut endless) = (connect(&node), connect(&node));
-    let (mut reads, mut writes) = (quiet.try_clone().expect("a handle"), endless.try_clone().expect("one"));
-    for client in [&quiet, &endless] {
-        (&mut &*client).write_all(request(1, MORE_THAN_BUFFERS).as_bytes()).expect("written");
+    let (open, mut endless) = (connect(&node), connect(&node));
+    let (mut reader, mut writer) = (
+        open.try_clone().expect("the socket is duplicated"),
+        endless.try_clone().expect("the socket is duplicated"),
+    );
+    for client in [&open, &endless] {
+        (&mut &*client)
+            .write_all(request_head(1, MORE_THAN_BUFFERS).as_bytes())
+            .expect("the bytes are written");
     }
     // This client reads the response to the end and never closes its own side.
-    assert!(read_all(&mut reads).starts_with("HTTP/1.1 413"));
+    assert!(read_all(&mut reader).starts_with("HTTP/1.1 413"));
     let flood = std::thread::spawn(move || {
         let begun = Instant::now();
-        while begun.elapsed() < Duration::from_secs(20) && writes.write_all(&[b'x'; 64 << 10]).is_ok() {}
+        while begun.elapsed() < Duration::from_secs(20) && writer.write_all(&[b'x'; 64 << 10]).is_ok() {}
         begun.elapsed()
     });
     let mut received = [0; 12];
-    endless.read_exact(&mut received).expect("a response");
+    endless.read_exact(&mut received).expect("the response is read");
     assert_eq!(&received, b"HTTP/1.1 413");
     assert!(
-        flood.join().expect("it ended") < Duration::from_secs(10),
+        flood.join().expect("the thread has not panicked") < Duration::from_secs(10),
         "the sender reads on for a limited time only"
     );
     node.terminate();
     assert!(node.exited_cleanly());
-    drop(quiet);
+    drop(open);
 }
 
 #[test]
@@ -91,10 +98,10 @@
     let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = Client::new(node.address);
     assert_eq!(client.submit("update", 1, 3, LONG, b"x").status(), 202);
-    wait_until("its call", || endpoint.calls() == 1);
+    wait_until("a call of the message", || endpoint.calls() == 1);
     node.terminate();
     assert!(client.is_closed(), "an idle connection is closed");
-    client.write_raw(&[request(2, 1).as_bytes(), b"x"].concat());
+    client.write_raw(&[request_head(2, 1).as_bytes(), b"x"].concat());
     assert_eq!(client.read_to_close(), "");
     assert!(node.exited_cleanly());
     assert_eq!(endpoint.calls(), 1);
@@ -110,7 +117,7 @@
     assert!(idle.is_closed());
     let mut client = connect(&node);
     std::thread::sleep(Duration::from_millis(50));
-    client.write_all(&[request(1, 1).as_bytes(), b"x"].concat()).expect("written");
+    client.write_all(&[request_head(1, 1).as_bytes(), b"x"].concat()).expect("the bytes are written");
     let received = read_all(&mut client);
     assert!(received.starts_with("HTTP/1.1 503") && received.contains("connection: close"), "{received:?}");
     assert!(node.exited_cleanly());
@@ -128,13 +135,13 @@
     const MORE_REQUESTS: u64 = 40;
     let (mut node, endpoint) = start_with_endpoint("shop", |_| ok());
     let mut client = connect(&node);
-    let first = request(1, 1);
-    client.write_all(first.as_bytes()).expect("written");
+    let first = request_head(1, 1);
+    client.write_all(first.as_bytes()).expect("the bytes are written");
     std::thread::sleep(Duration::from_millis(100));
     node.terminate();
     wait_until("the sender drains", || node.request("GET /up", &[], b"").status() == 503);
-    let rest: String = (2..=MORE_REQUESTS).map(|id| request(id, 1) + "x").collect();
-    client.write_all(format!("x{rest}").as_bytes()).expect("written");
+    let rest: String = (2..=MORE_REQUESTS).map(|id| request_head(id, 1) + "x").collect();
+    client.write_all(format!("x{rest}").as_bytes()).expect("the bytes are written");
     let received = read_all(&mut client);
     assert_eq!(count_responses(&received, 503), MORE_REQUESTS as usize, "{received}");
     assert_eq!(
@@ -149,11 +156,11 @@
 #[test]
 fn client_that_stops_within_its_second_request_is_closed_in_time() {
     let (node, _endpoint) = start_with_endpoint("shop", |_| ok());
-    for stop in [5, 40, request(2, 1).len()] {
+    for stop in [5, 40, request_head(2, 1).len()] {
         let mut client = connect(&node);
-        let all = request(1, 1) + "x" + &request(2, 1)[..stop];
+        let all = request_head(1, 1) + "x" + &request_head(2, 1)[..stop];
         let begun = Instant::now();
-        client.write_all(all.as_bytes()).expect("written");
+        client.write_all(all.as_bytes()).expect("the bytes are written");
         let received = read_all(&mut client);
         assert!(received.starts_with("HTTP/1.1 202"), "{received}");
         assert!(begun.elapsed() < Duration::from_secs(3), "stopped at {stop}: {:?}", begun.elapsed());
--- a/crates/daemon/tests/sockets/delays.rs
+++ b/crates/daemon/tests/sockets/delays.rs
@@ -15,44 +15,47 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
-/// The duration of a slow write: clients still get their response in time.
-const SLOW: Duration = Duration::from_millis(350);
+/// How long a write is delayed: clients still get their response in time.
+const WRITE_DELAY: Duration = Duration::from_millis(350);
 /// The limit by which the notice for an undelivered message may follow its deadline.
 const MAX_OVERDUE: Duration = Duration::from_millis(300);
 /// For this long after a start no notice counts as overdue.
-const AFTER_START: Duration = Duration::from_millis(1_500);
+const GRACE_AFTER_START: Duration = Duration::from_millis(1_500);
 /// The deduplication window of the class `keyed`.
 const WINDOW: Duration = Duration::from_secs(2);
 /// How long a start has to wait for its address.
 const ADDRESS_TAKEN_FOR: Duration = Duration::from_secs(3);
 
 /// Returns an entry for destination 9, which only drains: messages for it wait until their deadline.
-fn drained() -> String {
+fn draining_entry() -> String {
     member("s-8", "127.0.0.1:4".parse().expect("an address"), "shop", 9, "draining")
 }
 
-/// Asserts that a message is ended at most `MAX_OVERDUE` after `due`.
+/// Asserts that the notice for a message arrives at most `MAX_OVERDUE` after `due`.
 fn assert_ended_by(node: &Node, id: u64, due: Instant) {
-    wait_until("its end, or too late", || node.platform.has_notice(id) || Instant::now() > due + MAX_OVERDUE);
-    assert!(node.platform.has_notice(id), "not ended {MAX_OVERDUE:?} after its deadline");
+    wait_until("a notice, or too late", || {
+        node.platform.has_notice(id) || Instant::now() > due + MAX_OVERDUE
+    });
+    assert!(node.platform.has_notice(id), "no notice {MAX_OVERDUE:?} after the deadline");
 }
 
 #[test]
 fn message_with_a_slow_record_is_ended_at_its_deadline() {
     const TIME: Duration = Duration::from_millis(1_500);
-    let (node, faults) = Node::with_faults(&[drained()], |text| text);
-    faults.delay_writes(SLOW).expect("set");
+    let (node, faults) = Node::with_faults(&[draining_entry()], |text| text);
+    faults.delay_writes(WRITE_DELAY).expect("the fault is set");
     let begun = Instant::now();
     assert_eq!(node.submit("payment", 1, 9, TIME.as_millis() as u64, b"x").status(), 202);
-    faults.delay_writes(Duration::ZERO).expect("set");
+    faults.delay_writes(Duration::ZERO).expect("the fault is cleared");
     assert_ended_by(&node, 1, begun + TIME);
 }
 
 #[test]
 fn message_forwarded_during_a_handover_is_ended_at_its_deadline() {
     const TIME: Duration = Duration::from_millis(1_500);
-    let (mut node, faults) = Node::with_inherited_socket_and_faults(&[drained()]);
+    let (mut node, faults) = Node::with_inherited_socket_and_faults(&[draining_entry()]);
     let mut client = Client::new(node.address);
     let (id, ms) = (format!("{:016x}", 1), TIME.as_millis().to_string());
     let lines = headers(&id, "payment", &ms, "dest=9").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
@@ -60,12 +63,12 @@
     client.write_raw(&request.as_bytes()[..40]);
     assert_eq!(node.request("GET /up", &[], b"").status(), 200);
     let _predecessor = node.hand_over();
-    // The predecessor has read its beginning, and the successor records it.
-    faults.delay_writes(SLOW).expect("set");
+    // The predecessor has read the beginning of the request, and the successor records the message.
+    faults.delay_writes(WRITE_DELAY).expect("the fault is set");
     let begun = Instant::now();
     client.write_raw(&request.as_bytes()[40..]);
-    assert!(client.read_to_close().starts_with("HTTP/1.1 202"), "it is accepted");
-    faults.delay_writes(Duration::ZERO).expect("set");
+    assert!(client.read_to_close().starts_with("HTTP/1.1 202"), "the request is not accepted");
+    faults.delay_writes(Duration::ZERO).expect("the fault is cleared");
     assert_ended_by(&node, 1, begun + TIME);
 }
 
@@ -91,22 +94,22 @@
 #[test]
 fn message_of_a_start_that_waits_for_its_address_is_ended_at_its_deadline() {
     const TIME: Duration = Duration::from_secs(4);
-    let (mut node, reserved) = with_fixed_address(&[drained()], |text| text);
+    let (mut node, reserved) = with_fixed_address(&[draining_entry()], |text| text);
     let begun = Instant::now();
     assert_eq!(node.submit("payment", 1, 9, TIME.as_millis() as u64, b"x").status(), 202);
     restart_without_address(&mut node, &reserved);
-    assert_ended_by(&node, 1, (begun + TIME).max(Instant::now() + AFTER_START));
+    assert_ended_by(&node, 1, (begun + TIME).max(Instant::now() + GRACE_AFTER_START));
 }
 
 #[test]
 fn deduplicated_message_of_a_start_that_waits_for_its_address_is_not_resent_after_its_window() {
     let hangs = Endpoint::new(|_| Reply::Hang);
-    let known = [member("s-1", hangs.address, "shop", 3, "up")];
-    let (mut node, reserved) = with_fixed_address(&known, with_deduplicated_class);
+    let members = [member("s-1", hangs.address, "shop", 3, "up")];
+    let (mut node, reserved) = with_fixed_address(&members, with_deduplicated_class);
     assert_eq!(node.submit("keyed", 1, 3, LONG, b"x").status(), 202);
     wait_until("a call", || hangs.calls() > 0);
     restart_without_address(&mut node, &reserved);
-    assert!(ADDRESS_TAKEN_FOR > WINDOW, "the endpoint does not recognize a resend any more");
+    assert!(ADDRESS_TAKEN_FOR > WINDOW, "the endpoint still recognizes a resend");
     wait_until("an end, or a resend", || hangs.calls() > 1 || node.platform.has_notice(1));
     assert_eq!(hangs.calls(), 1, "a deduplicated message was resent after its window");
 }
--- a/crates/daemon/tests/sockets/keys.rs
+++ b/crates/daemon/tests/sockets/keys.rs
@@ -3,18 +3,22 @@
 
 use crate::world::*;
 
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
-const KEYED: &str =
+/// A deduplicated class, as an entry of the configuration's `classes`.
+const LEDGER_CLASS: &str =
     "{\"name\": \"ledger\", \"effect\": \"deduplicated\", \"group\": \"all\", \"memorySpanS\": 1.0,
     \"sloS\": 1.0, \"deadlineS\": 60.0, \"worth\": 1.0},";
 
-fn keyed(text: String) -> String {
-    text.replace("\"classes\": [", &format!("\"classes\": [{KEYED}"))
+/// Adds the class `ledger` to a configuration.
+fn with_ledger_class(text: String) -> String {
+    text.replace("\"classes\": [", &format!("\"classes\": [{LEDGER_CLASS}"))
 }
 
+/// Submits a message with these idempotency keys and returns the status.
 fn submit(node: &Node, id: u64, dest: u64, keys: &[&str]) -> u16 {
-    let (id, ms, dest) = (format!("{id:016x}"), LONG.to_string(), format!("dest={dest}"));
-    let mut all = headers(&id, "ledger", &ms, &dest).to_vec();
+    let (id, timeout, dest) = (format!("{id:016x}"), LONG.to_string(), format!("dest={dest}"));
+    let mut all = headers(&id, "ledger", &timeout, &dest).to_vec();
     all.extend(keys.iter().map(|key| ("Idempotency-Key", *key)));
     node.request("POST /ledger", &all, b"hello").status()
 }
@@ -23,10 +27,10 @@
     response("200 OK", "", "")
 }
 
-/// Starts a sender whose destination 9 drains, and returns the list entry that makes it serve.
-fn waiting(kind: &str) -> (Node, Endpoint, Vec<String>) {
+/// Starts a sender whose only destination, 9, drains. Also returns the list update that makes it serve.
+fn start_with_draining_destination(kind: &str) -> (Node, Endpoint, Vec<String>) {
     let endpoint = Endpoint::new(|_| ok());
-    let node = Node::new(&[member("s-8", endpoint.address, kind, 9, "draining")], keyed);
+    let node = Node::new(&[member("s-8", endpoint.address, kind, 9, "draining")], with_ledger_class);
     let up = vec![member("s-8", endpoint.address, kind, 9, "up")];
     (node, endpoint, up)
 }
@@ -34,7 +38,7 @@
 #[test]
 fn key_is_forwarded_with_its_message_also_after_a_restart() {
     for restarts in [false, true] {
-        let (mut node, endpoint, up) = waiting("shop");
+        let (mut node, endpoint, up) = start_with_draining_destination("shop");
         assert_eq!(submit(&node, 1, 9, &["18681cbbda42/+=~"]), 202);
         assert_eq!(submit(&node, 2, 9, &[]), 202);
         if restarts {
@@ -54,13 +58,13 @@
 
 #[test]
 fn each_message_of_a_batch_has_its_key_in_its_line() {
-    let (node, endpoint, up) = waiting("chain");
+    let (node, endpoint, up) = start_with_draining_destination("chain");
     assert_eq!(submit(&node, 1, 9, &["k-1"]), 202);
     assert_eq!(submit(&node, 2, 9, &[]), 202);
     node.platform.publish(42, &up);
     let call = endpoint.call(0);
     assert_eq!(call.line, "POST /v1/messages:batch");
-    let text = String::from_utf8(call.body).expect("text");
+    let text = String::from_utf8(call.body).expect("the text is UTF-8");
     assert!(text.contains("0000000000000001 k-1 5\r\nhello\r\n"), "{text}");
     assert!(text.contains("0000000000000002 - 5\r\nhello\r\n"), "{text}");
 }
@@ -68,7 +72,7 @@
 #[test]
 fn key_that_cannot_be_forwarded_unchanged_is_refused() {
     // In a batch's line such a key would break the format or mean "no key".
-    let (node, _endpoint, _) = waiting("chain");
+    let (node, _endpoint, _) = start_with_draining_destination("chain");
     let long = "k".repeat(256);
     for keys in [&["-"][..], &["two words"], &["a\tb"], &["a", "a"], &["k\u{e9}y"], &[&long]] {
         assert_eq!(submit(&node, 1, 9, keys), 400, "{keys:?}");
--- a/crates/daemon/tests/sockets/main.rs
+++ b/crates/daemon/tests/sockets/main.rs
@@ -20,6 +20,7 @@
 use std::time::Duration;
 use world::*;
 
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 60_000;
 
 fn ok() -> Reply {
@@ -37,20 +38,23 @@
 ) -> (Node, Endpoint) {
     let endpoint = Endpoint::new(handler);
     (
-        Node::new(&[member("s-1", endpoint.address, kind, 3, "up"), drained(endpoint.address)], unchanged),
+        Node::new(
+            &[member("s-1", endpoint.address, kind, 3, "up"), draining_entry(endpoint.address)],
+            unchanged,
+        ),
         endpoint,
     )
 }
 
 /// Returns an entry for destination 9, which only drains: messages for it are accepted and not sent.
-fn drained(address: std::net::SocketAddr) -> String {
+fn draining_entry(address: std::net::SocketAddr) -> String {
     member("s-8", address, "shop", 9, "draining")
 }
 
 #[test]
 fn message_is_delivered_unchanged() {
     let (node, endpoint) = start_with_endpoint("shop", |_| ok());
-    // A body may contain any bytes, also ones that look like the end of a header block or a batch's line.
+    // A body may contain any bytes, also some that look like the end of a header block or a batch's line.
     let body = b"\0\xff\r\n\r\n9b1f03aa5c7e2d41 - 5\r\n".as_slice();
     assert_eq!(node.submit("update", 0x9b1f, 3, LONG, body).status(), 202);
     let call = endpoint.call(0);
@@ -85,7 +89,7 @@
     for id in 2..5 {
         let before = moved.calls();
         assert_eq!(node.submit("update", id, 3, LONG, b"").status(), 202);
-        wait_until("its call", || moved.calls() > before);
+        wait_until("a call of the message", || moved.calls() > before);
     }
 }
 
@@ -163,7 +167,7 @@
     // The last message lost nothing by the restart: it is sent as soon as an endpoint of its destination is
     // up.
     node.platform.publish(43, &[member("s-3", endpoint.address, "shop", 5, "up")]);
-    wait_until("the unsent one", || {
+    wait_until("the call of the unsent message", || {
         endpoint.requests.lock().expect("not poisoned").iter().any(|h| h.body == b"unsent")
     });
 }
@@ -173,9 +177,9 @@
     let (mut node, _endpoint) = start_with_endpoint("shop", |_| Reply::Hang);
     node.submit("payment", 1, 9, LONG, b"whole");
     node.kill();
-    let mut text = std::fs::read(node.log_path()).expect("a journal");
+    let mut text = std::fs::read(node.log_path()).expect("the log is readable");
     text.extend([200, 0, 0, 0, 1, 2, 3, 4, b'T', 5]);
-    std::fs::write(node.log_path(), text).expect("written");
+    std::fs::write(node.log_path(), text).expect("the file is written");
     node.restart();
     let serving = Endpoint::new(|_| ok());
     node.platform.publish(42, &[member("s-9", serving.address, "shop", 9, "up")]);
@@ -278,13 +282,13 @@
         }
         assert_eq!(client.submit("payment", id, 3, LONG, b"x\r\ny").status(), 202);
     }
-    release.send(()).expect("it waits");
+    release.send(()).expect("the receiver waits");
     let batch = endpoint.call(1);
     let ids = batch.ids();
     assert_eq!((batch.line.as_str(), ids.len()), ("POST /v1/messages:batch", 3));
-    let text = String::from_utf8(batch.body).expect("text");
+    let text = String::from_utf8(batch.body).expect("the text is UTF-8");
     assert!(text.starts_with(&format!("{} - 4\r\nx\r\ny\r\n", ids[0])), "{text:?}");
-    let number = |id: &str| u64::from_str_radix(id, 16).expect("an id");
+    let number = |id: &str| u64::from_str_radix(id, 16).expect("the id is hexadecimal");
     assert!(node.platform.notice(number(&ids[2])).contains("\"dead\""));
     assert_eq!(endpoint.call(2).header("x-request-id"), ids[1]);
     assert!(!node.platform.has_notice(number(&ids[0])) && !node.platform.has_notice(number(&ids[1])));
@@ -316,18 +320,18 @@
     wait_until("the drain", || node.request("GET /up", &[], b"").status() == 503);
     let refused = kept.submit("payment", 2, 3, LONG, b"");
     assert_eq!((refused.status(), refused.header("connection")), (503, "close"));
-    release.send(()).expect("it waits");
+    release.send(()).expect("the receiver waits");
     assert!(idle.is_closed() && node.exited_cleanly());
     assert_eq!(endpoint.calls(), 1);
     node.start_again();
     node.submit("payment", 3, 9, 300, b"");
     node.platform.notice(3);
-    assert!(!node.platform.has_notice(1), "it was delivered");
+    assert!(!node.platform.has_notice(1), "a delivered message got a notice");
 }
 
 #[test]
 fn sender_at_its_message_limit_refuses_with_retry_after() {
-    let nowhere = drained(std::net::SocketAddr::from(([127, 0, 0, 1], 1)));
+    let nowhere = draining_entry(std::net::SocketAddr::from(([127, 0, 0, 1], 1)));
     let node = Node::new(&[nowhere], |text| text.replace("\"mostHeld\": 230", "\"mostHeld\": 1"));
     assert_eq!(node.submit("payment", 1, 9, 500, b"").status(), 202);
     let refused = node.submit("payment", 2, 9, LONG, b"");
@@ -352,13 +356,14 @@
 
 #[test]
 fn sender_at_its_disk_limit_refuses_messages_and_stays_up() {
-    let nowhere = drained(std::net::SocketAddr::from(([127, 0, 0, 1], 1)));
+    let nowhere = draining_entry(std::net::SocketAddr::from(([127, 0, 0, 1], 1)));
     let node = Node::new(&[nowhere], |text| text.replace("\"disk_mb\": 3", "\"disk_mb\": 0.5"));
     let body = vec![7; 60_000];
     let statuses: Vec<u16> = (0..9).map(|id| node.submit("payment", id, 9, LONG, &body).status()).collect();
     assert!(statuses.starts_with(&[202]) && statuses.ends_with(&[503, 503]), "{statuses:?}");
-    let files = std::fs::read_dir(node.log_path().with_file_name("")).expect("a folder").flatten();
-    let size: u64 = files.map(|f| f.metadata().expect("a file").len()).sum();
+    let files =
+        std::fs::read_dir(node.log_path().with_file_name("")).expect("the folder is readable").flatten();
+    let size: u64 = files.map(|f| f.metadata().expect("the metadata is readable").len()).sum();
     assert!(size < 500_000 && node.request("GET /up", &[], b"").status() == 200);
 }
 
@@ -491,7 +496,7 @@
 
 /// Waits until the message with this id has ended: the id is then accepted again.
 fn wait_until_ended(node: &Node, class: &str, id: u64) {
-    wait_until("its end", || node.submit(class, id, 9, LONG, b"").status() == 202);
+    wait_until("the end of the message", || node.submit(class, id, 9, LONG, b"").status() == 202);
 }
 
 #[test]
@@ -552,17 +557,19 @@
     // call.
     let fine = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n";
     let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n";
-    let copy = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
+    let second = "HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n";
     for text in [fine, chunked] {
-        for late in [false, true] {
-            let (node, endpoint) = start_with_endpoint("shop", move |r| match (r.body.is_empty(), late) {
-                (true, true) => Reply::RespondTwice(text.to_owned(), copy.to_owned()),
-                (true, false) => Reply::Respond(format!("{text}{copy}")),
+        for is_late in [false, true] {
+            let (node, endpoint) = start_with_endpoint("shop", move |r| match (r.body.is_empty(), is_late) {
+                (true, true) => Reply::RespondTwice(text.to_owned(), second.to_owned()),
+                (true, false) => Reply::Respond(format!("{text}{second}")),
                 (false, _) => ok(),
             });
             assert_eq!(node.submit("payment", 1, 3, LONG, b"").status(), 202);
             endpoint.call(0);
-            wait_until("the copy", || !late || *endpoint.late_responses.lock().expect("not poisoned") > 0);
+            wait_until("the second response", || {
+                !is_late || *endpoint.late_responses.lock().expect("not poisoned") > 0
+            });
             wait_until_ended(&node, "payment", 1);
             assert_eq!(node.submit("payment", 2, 3, LONG, b"next").status(), 202);
             assert_eq!(endpoint.call(1).connection, 1);
@@ -585,5 +592,9 @@
     wait_until("the list update", || node.submit("update", 1, 4, LONG, b"").status() == 202);
     assert_eq!(node.submit("update", 2, 3, LONG, b"").status(), 202);
     endpoint.call(1);
-    assert_eq!(node.platform.watches.lock().expect("not poisoned").len(), 1, "one watch, the first");
+    assert_eq!(
+        node.platform.watches.lock().expect("not poisoned").len(),
+        1,
+        "the first watch is not the only one"
+    );
 }
--- a/crates/daemon/tests/sockets/operations.rs
+++ b/crates/daemon/tests/sockets/operations.rs
@@ -112,7 +112,11 @@
     let mut node = Node::new(&members, |c| c);
     assert_eq!(node.admin_request("POST /maintenance/enter?name=s-2").status(), 404, "the id is unknown");
     assert_eq!(node.admin_request("POST /maintenance/exit?name=s-2").status(), 404);
-    assert_eq!(node.admin_request("POST /maintenance/exit?name=s-1").status(), 200, "it is in service");
+    assert_eq!(
+        node.admin_request("POST /maintenance/exit?name=s-1").status(),
+        200,
+        "the endpoint is in service already"
+    );
     for _ in 0..2 {
         assert_eq!(node.admin_request("POST /maintenance/enter?name=s-1").status(), 200);
     }
@@ -189,19 +193,23 @@
     let id = format!("{:016x}", 1);
     let lines = headers(&id, "update", "9000", "dest=3").map(|(n, v)| format!("{n}: {v}\r\n")).concat();
     client.write_raw(format!("{lines}\r\nbody").as_bytes());
-    assert!(client.read_to_close().starts_with("HTTP/1.1 503"), "it is refused and may be submitted again");
+    assert!(
+        client.read_to_close().starts_with("HTTP/1.1 503"),
+        "the request is not refused with 503, after which it may be submitted again"
+    );
     assert!(node.exited_cleanly());
 }
 
 #[test]
 fn status_counts_refusals_outcomes_and_reasons_of_closed_connections() {
-    let (endpoint, known) = serving_endpoint();
-    let node = Node::new(&known, |text| text);
+    let (endpoint, members) = serving_endpoint();
+    let node = Node::new(&members, |text| text);
     assert_eq!(node.submit("payment", 1, 3, 50_000, b"x").status(), 202);
-    wait_until("its call", || endpoint.calls() == 1);
+    wait_until("a call of the message", || endpoint.calls() == 1);
     assert_eq!(node.submit("payment", 2, 77, 50_000, b"x").status(), 503);
     assert_eq!(node.request("GET /nowhere", &[], b"").status(), 404);
-    let status_text = || String::from_utf8(node.admin_request("GET /status").body).expect("text");
+    let status_text =
+        || String::from_utf8(node.admin_request("GET /status").body).expect("the text is UTF-8");
     wait_until("the outcome and the closed connection are counted", || {
         status_text().contains("\"Served\":1") && status_text().contains("\"Finished\":")
     });
--- a/crates/daemon/tests/sockets/restart.rs
+++ b/crates/daemon/tests/sockets/restart.rs
@@ -8,15 +8,16 @@
 
 const PROCESSES: usize = 30;
 /// Nine in ten processes must be ready within this time.
-const READY: Duration = Duration::from_secs(10);
+const MAX_START_TIME: Duration = Duration::from_secs(10);
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
-/// Messages submitted to each process.
-const EACH: u64 = 4;
+/// The number of messages submitted to each process.
+const MESSAGES_PER_PROCESS: u64 = 4;
 
 /// Returns a listener that accepts connections and sends nothing, and its address.
-fn silent() -> (TcpListener, String) {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-    let address = listener.local_addr().expect("an address").to_string();
+fn silent_listener() -> (TcpListener, String) {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("the socket has an address").to_string();
     (listener, address)
 }
 
@@ -24,35 +25,37 @@
 /// with destinations that serve. `discovery` is the address of the discovery service.
 fn restart_all(discovery: &str) {
     let endpoint = Endpoint::new(|_| response("200 OK", "", ""));
-    let known = [member("s-8", endpoint.address, "shop", 9, "draining")];
-    let mut nodes: Vec<Node> = (0..PROCESSES).map(|_| Node::new(&known, with_discovery(discovery))).collect();
+    let members = [member("s-8", endpoint.address, "shop", 9, "draining")];
+    let mut nodes: Vec<Node> =
+        (0..PROCESSES).map(|_| Node::new(&members, with_discovery(discovery))).collect();
     for (n, node) in nodes.iter_mut().enumerate() {
-        for i in 0..EACH {
+        for i in 0..MESSAGES_PER_PROCESS {
             let class = if i % 2 == 0 { "update" } else { "payment" };
             assert_eq!(node.submit(class, n as u64 * 100 + i, 9, LONG, b"x").status(), 202);
         }
         node.kill();
         let config = node.folder.path().join("config.json");
-        let text = std::fs::read_to_string(&config).expect("a file").replace("\"draining\"", "\"up\"");
-        std::fs::write(config, text).expect("a file");
+        let text =
+            std::fs::read_to_string(&config).expect("the file is readable").replace("\"draining\"", "\"up\"");
+        std::fs::write(config, text).expect("the file is written");
     }
-    let took: Vec<Duration> = thread::scope(|scope| {
+    let start_times: Vec<Duration> = thread::scope(|scope| {
         let start = |node| {
             scope.spawn(move || {
                 let (node, begun): (&mut Node, _) = (node, Instant::now());
                 node.start_again();
-                wait_until("ready", || node.request("GET /up", &[], b"").status() == 200);
+                wait_until("the process is ready", || node.request("GET /up", &[], b"").status() == 200);
                 begun.elapsed()
             })
         };
         let threads: Vec<_> = nodes.iter_mut().map(start).collect();
-        threads.into_iter().map(|t| t.join().expect("it started")).collect()
+        threads.into_iter().map(|t| t.join().expect("the process starts")).collect()
     });
-    let late = took.iter().filter(|t| **t > READY).count();
-    assert!(late * 10 <= PROCESSES, "{late} of {PROCESSES} took over {READY:?}: {took:?}");
-    // Each accepted message is sent once, and none is ended because no list arrives.
-    let all = PROCESSES * EACH as usize;
-    wait_until("a call of each", || endpoint.calls() >= all);
+    let late = start_times.iter().filter(|t| **t > MAX_START_TIME).count();
+    assert!(late * 10 <= PROCESSES, "{late} of {PROCESSES} took over {MAX_START_TIME:?}: {start_times:?}");
+    // Each accepted message is sent once, and none is ended because the discovery service sends no list.
+    let all = PROCESSES * MESSAGES_PER_PROCESS as usize;
+    wait_until("a call of each message", || endpoint.calls() >= all);
     let mut calls: BTreeMap<String, usize> = BTreeMap::new();
     for n in 0..endpoint.calls() {
         *calls.entry(endpoint.call(n).header("x-request-id").to_owned()).or_default() += 1;
@@ -69,7 +72,7 @@
 
 #[test]
 fn thirty_processes_are_ready_in_time_when_the_discovery_service_sends_nothing() {
-    let (_listener, address) = silent();
+    let (_listener, address) = silent_listener();
     restart_all(&address);
 }
 
@@ -79,15 +82,19 @@
     let mut node = Node::new(&[member("s-8", endpoint.address, "shop", 9, "draining")], |text| text);
     assert_eq!(node.submit("payment", 1, 9, LONG, b"x").status(), 202);
     node.kill();
-    for step in ["operators at", "journal:", "listening on"] {
+    for log_text in ["operators at", "journal:", "listening on"] {
         for signals in [&["-TERM"][..], &["-TERM", "-TERM"], &["-HUP", "-TERM", "-HUP"]] {
-            assert!(node.start_and_signal_at(step, signals), "{step}, {signals:?}: it exits with success");
+            assert!(
+                node.start_and_signal_at(log_text, signals),
+                "{signals:?} at {log_text:?}: it does not exit with success"
+            );
         }
     }
-    assert!(!node.platform.has_notice(1), "no message was ended");
+    assert!(!node.platform.has_notice(1), "a message was ended");
     let config = node.folder.path().join("config.json");
-    let text = std::fs::read_to_string(&config).expect("a file").replace("\"draining\"", "\"up\"");
-    std::fs::write(config, text).expect("a file");
+    let text =
+        std::fs::read_to_string(&config).expect("the file is readable").replace("\"draining\"", "\"up\"");
+    std::fs::write(config, text).expect("the file is written");
     node.start_again();
     assert_eq!(endpoint.call(0).header("x-request-id"), format!("{:016x}", 1));
     assert_eq!(endpoint.calls(), 1);
@@ -127,18 +134,18 @@
         }
         calls
     };
-    let name = |id: u64| format!("{id:016x}");
+    let id_text = |id: u64| format!("{id:016x}");
     wait_until("a call or a notice for each", || {
         let calls = calls_by_id();
-        acknowledged.iter().all(|&(_, id)| calls.contains_key(&name(id)) || node.platform.has_notice(id))
+        acknowledged.iter().all(|&(_, id)| calls.contains_key(&id_text(id)) || node.platform.has_notice(id))
     });
     let calls = calls_by_id();
-    let untried: Vec<_> = acknowledged.iter().filter(|(_, id)| !calls.contains_key(&name(*id))).collect();
+    let untried: Vec<_> = acknowledged.iter().filter(|(_, id)| !calls.contains_key(&id_text(*id))).collect();
     // The first byte of an attempt follows its record without a wait, so few kills can fall in between. An
     // at-most-once message in that state may have run for all that is known, and must not be resent.
     assert!(untried.iter().all(|(class, _)| *class == "payment"), "ended without a call: {untried:?}");
     assert!(untried.len() as u64 <= KILLS / 8, "ended without a call: {untried:?}");
-    let was_resent = |id: u64| calls.get(&name(id)).is_some_and(|&times| times > 1);
+    let was_resent = |id: u64| calls.get(&id_text(id)).is_some_and(|&times| times > 1);
     assert!(
         acknowledged.iter().all(|&(class, id)| class == "update" || !was_resent(id)),
         "resent: {calls:?}"
@@ -156,13 +163,13 @@
     for id in ids.clone() {
         assert_eq!(node.submit("payment", id, 3, LONG, b"x").status(), 202);
     }
-    wait_until("a pending connect", || unreachable.is_dialed());
+    wait_until("a pending connect", || unreachable.has_pending_connect());
     node.kill();
     let config = node.config().replace(&unreachable.address.to_string(), &endpoint.address.to_string());
-    std::fs::write(node.folder.path().join("config.json"), config).expect("a file");
+    std::fs::write(node.folder.path().join("config.json"), config).expect("the file is written");
     node.start_again();
     wait_until("a call of each", || endpoint.calls() >= ids.clone().count());
     let called: BTreeMap<String, ()> =
         (0..endpoint.calls()).map(|n| (endpoint.call(n).header("x-request-id").to_owned(), ())).collect();
-    assert_eq!(called.len(), ids.count(), "each once: {called:?}");
+    assert_eq!(called.len(), ids.count(), "each message is sent once: {called:?}");
 }
--- a/crates/daemon/tests/sockets/store.rs
+++ b/crates/daemon/tests/sockets/store.rs
@@ -2,13 +2,13 @@
 
 use crate::flight::{command, output_text, path_text};
 use crate::world::*;
-use crate::{LONG, drained, ok, start_with_endpoint, unchanged};
+use crate::{LONG, draining_entry, ok, start_with_endpoint, unchanged};
 use std::process::Command;
 
 #[test]
 fn with_durability_power_messages_are_accepted_delivered_and_kept() {
     let endpoint = Endpoint::new(|_| ok());
-    let members = [member("s-1", endpoint.address, "shop", 3, "up"), drained(endpoint.address)];
+    let members = [member("s-1", endpoint.address, "shop", 3, "up"), draining_entry(endpoint.address)];
     let mut node = Node::with_operator(&members, unchanged, Some("[store]\ndurability = \"power\"\n"));
     for id in 1..=20 {
         assert_eq!(node.submit("payment", id, 3, LONG, b"now").status(), 202);
@@ -30,7 +30,7 @@
         .env("BALANCER_CONFIG", node.folder.path().join("config.json"))
         .env("BALANCER_STATE", node.folder.path().join("state"))
         .output()
-        .expect("the program");
+        .expect("the program runs");
     assert_eq!(second.status.code(), Some(2));
     assert!(output_text(&second).contains("another process has this folder"), "{}", output_text(&second));
     assert_eq!(node.submit("update", 1, 3, LONG, b"").status(), 202);
@@ -50,15 +50,18 @@
         "{}",
         output_text(&intact)
     );
-    let mut bytes = std::fs::read(node.log_path()).expect("a segment");
-    let second = bytes.windows(9).position(|w| w == b"\0\0\0\0\0\0\0\x02T").expect("the second's record");
+    let mut bytes = std::fs::read(node.log_path()).expect("the segment is readable");
+    let second = bytes
+        .windows(9)
+        .position(|w| w == b"\0\0\0\0\0\0\0\x02T")
+        .expect("the log has the second message's record");
     bytes[second] ^= 1;
-    std::fs::write(node.log_path(), &bytes).expect("written");
+    std::fs::write(node.log_path(), &bytes).expect("the file is written");
     let refused = Command::new(env!("CARGO_BIN_EXE_notchpoint"))
         .env("BALANCER_CONFIG", node.folder.path().join("config.json"))
         .env("BALANCER_STATE", &state)
         .output()
-        .expect("the program");
+        .expect("the program runs");
     assert!(
         refused.status.code() == Some(2) && output_text(&refused).contains("store salvage"),
         "{}",
@@ -79,7 +82,11 @@
         saved.status.code() == Some(1) && report.contains("6 keys saved") && report.contains("in doubt"),
         "{report}"
     );
-    assert_eq!(std::fs::read(node.log_path()).expect("still there"), bytes, "the damaged one is only read");
+    assert_eq!(
+        std::fs::read(node.log_path()).expect("the segment is still readable"),
+        bytes,
+        "the damaged one is only read"
+    );
     let again = command(&["store", "salvage", path_text(&state), "--to", path_text(&new)]);
     assert!(
         again.status.code() == Some(2) && output_text(&again).contains("must be empty"),
@@ -88,8 +95,8 @@
     );
     // A sender starts on the salvaged folder. The first message may have been attempted in the lost records:
     // it is ended and not sent.
-    std::fs::remove_dir_all(&state).expect("away");
-    std::fs::rename(&new, &state).expect("in its place");
+    std::fs::remove_dir_all(&state).expect("the damaged folder is removed");
+    std::fs::rename(&new, &state).expect("the salvaged folder is renamed");
     node.restart();
     assert!(node.platform.notice(1).contains("\"dead\""));
     assert!(!node.platform.has_notice(4));
--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -32,7 +32,7 @@
 /// A request or a response that was read.
 #[derive(Clone, Debug)]
 pub struct HttpMessage {
-    /// `METHOD path` of a request, the status of a response.
+    /// `METHOD path` of a request, or the status code of a response.
     pub line: String,
     pub headers: BTreeMap<String, String>,
     pub body: Vec<u8>,
@@ -49,7 +49,7 @@
     }
 
     pub fn status(&self) -> u16 {
-        self.line.parse().expect("a status")
+        self.line.parse().expect("the status is a number")
     }
 
     /// Returns the ids of a batch's messages, in their order.
@@ -64,8 +64,9 @@
     let mut first = String::new();
     from.read_line(&mut first).ok().filter(|n| *n > 0)?;
     let mut words = first.split_whitespace();
-    let (a, b) = (words.next()?.to_owned(), words.next()?.to_owned());
-    let line = if a.starts_with("HTTP/") { b } else { format!("{a} {b}") };
+    let (first_word, second_word) = (words.next()?.to_owned(), words.next()?.to_owned());
+    let line =
+        if first_word.starts_with("HTTP/") { second_word } else { format!("{first_word} {second_word}") };
     let mut headers = BTreeMap::new();
     loop {
         let mut text = String::new();
@@ -136,25 +137,27 @@
     pub fn new() -> Self {
         let listener =
             socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None).expect("a socket");
-        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a port");
-        listener.listen(0).expect("it listens");
-        let address = listener.local_addr().expect("one").as_socket().expect("one");
-        let mut queued = vec![TcpStream::connect(address).expect("the queue takes one")];
-        while let Ok(one) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
-            queued.push(one);
+        listener.bind(&SocketAddr::from(([127, 0, 0, 1], 0)).into()).expect("a free port");
+        listener.listen(0).expect("the socket listens");
+        let address =
+            listener.local_addr().expect("the socket has an address").as_socket().expect("an IP address");
+        let mut queued = vec![TcpStream::connect(address).expect("the queue has room for a connection")];
+        while let Ok(stream) = TcpStream::connect_timeout(&address, Duration::from_millis(100)) {
+            queued.push(stream);
         }
         Self { listener, address, queued }
     }
 
-    /// Returns whether a connect to the address is pending: the system's table has one in the state SYN-SENT.
-    pub fn is_dialed(&self) -> bool {
+    /// Returns whether a connect to the address is pending: the system's table of TCP sockets has one in the
+    /// state SYN-SENT.
+    pub fn has_pending_connect(&self) -> bool {
         let (port, table) =
             (format!(":{:04X} 02 ", self.address.port()), std::fs::read_to_string("/proc/net/tcp"));
-        table.expect("the system's table").contains(&port)
+        table.expect("the table of TCP sockets is readable").contains(&port)
     }
 
     /// Empties the accept queue, so that connects succeed, and returns the listener.
-    pub fn listen(self) -> TcpListener {
+    pub fn into_listener(self) -> TcpListener {
         drop(self.queued);
         self.listener.into()
     }
@@ -164,6 +167,7 @@
 pub struct Endpoint {
     pub address: SocketAddr,
     pub requests: RequestLog,
+    /// How many connections have been closed by either side.
     pub closed_connections: Arc<Mutex<usize>>,
     /// How often the second text of `Reply::RespondTwice` was written.
     pub late_responses: Arc<Mutex<usize>>,
@@ -171,11 +175,11 @@
 
 impl Endpoint {
     pub fn new(handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> Self {
-        Self::on(TcpListener::bind("127.0.0.1:0").expect("a port"), handler)
+        Self::on(TcpListener::bind("127.0.0.1:0").expect("a free port"), handler)
     }
 
     pub fn on(listener: TcpListener, handler: impl FnMut(&HttpMessage) -> Reply + Send + 'static) -> Self {
-        let address = listener.local_addr().expect("an address");
+        let address = listener.local_addr().expect("the socket has an address");
         let (requests, closed_connections, late_responses) =
             (RequestLog::default(), Arc::<Mutex<usize>>::default(), Arc::default());
         let (log, closed, handler) =
@@ -233,13 +237,15 @@
     }
 }
 
-/// The platform: the discovery service and the receiver of notices.
+/// The platform: the discovery service, which the watches are opened at, and the receiver of notices.
 #[derive(Clone)]
 pub struct Platform {
     pub address: SocketAddr,
+    /// The lines of all notices received.
     pub notices: Arc<Mutex<Vec<String>>>,
     /// How many of the next requests with notices are rejected with 503.
     pub notices_to_reject: Arc<Mutex<usize>>,
+    /// The open watches; each line that is sent to one is written to its stream.
     pub watches: Arc<Mutex<Vec<Sender<String>>>>,
     /// The published changes by revision; a watch that starts below a revision receives that change first.
     changes: Arc<Mutex<Vec<(u64, String)>>>,
@@ -247,9 +253,9 @@
 
 impl Platform {
     pub fn new() -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let platform = Self {
-            address: listener.local_addr().expect("an address"),
+            address: listener.local_addr().expect("the socket has an address"),
             notices: Arc::default(),
             notices_to_reject: Arc::default(),
             watches: Arc::default(),
@@ -298,7 +304,7 @@
                 is_rejected
             };
             if !is_rejected {
-                let text = String::from_utf8(request.body).expect("text");
+                let text = String::from_utf8(request.body).expect("the text is UTF-8");
                 self.notices.lock().expect("not poisoned").extend(text.lines().map(str::to_owned));
             }
             let status = if is_rejected { "503 No" } else { "204 Fine" };
@@ -337,7 +343,7 @@
             notices.iter().find(|n| n.contains(&format!("{id:016x}"))).cloned()
         };
         wait_until("a notice", || found().is_some());
-        found().expect("it has arrived")
+        found().expect("the notice has arrived")
     }
 
     /// Returns whether the platform has received a notice for a message.
@@ -357,8 +363,9 @@
 /// Returns a change of the configuration that sets the address of the discovery service.
 pub fn with_discovery(address: &str) -> impl Fn(String) -> String {
     move |text| {
-        let (before, rest) = text.split_once("\"discovery\": \"").expect("there");
-        let (_, after) = rest.split_once('"').expect("there");
+        let (before, rest) =
+            text.split_once("\"discovery\": \"").expect("the configuration has a discovery address");
+        let (_, after) = rest.split_once('"').expect("the configuration has a discovery address");
         format!("{before}\"discovery\": \"{address}\"{after}")
     }
 }
@@ -396,15 +403,17 @@
     /// Starts a sender whose system calls can be made to fail, and returns the controller of the faults. They
     /// stay in force over restarts.
     pub fn with_faults(members: &[String], change: impl Fn(String) -> String) -> (Self, FaultController) {
-        let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
+        let folder = tempfile::tempdir().expect("a temporary folder");
+        let faults =
+            FaultController::create(&folder.path().join(FAULT_FILE)).expect("the control file is created");
         (Self::build_in(folder, members, change, None, false), faults)
     }
 
     /// Starts a sender that inherits its clients' socket and whose system calls can be made to fail.
     pub fn with_inherited_socket_and_faults(members: &[String]) -> (Self, FaultController) {
-        let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
+        let folder = tempfile::tempdir().expect("a temporary folder");
+        let faults =
+            FaultController::create(&folder.path().join(FAULT_FILE)).expect("the control file is created");
         (Self::build_in(folder, members, |text| text, None, true), faults)
     }
 
@@ -415,12 +424,13 @@
         per_mille: u32,
         span: Duration,
     ) -> Self {
-        let folder = tempfile::tempdir().expect("a folder");
-        let faults = FaultController::create(&folder.path().join(FAULT_FILE)).expect("a control file");
-        faults.fail(Fault::Socket, libc::ENFILE, per_mille).expect("set");
+        let folder = tempfile::tempdir().expect("a temporary folder");
+        let faults =
+            FaultController::create(&folder.path().join(FAULT_FILE)).expect("the control file is created");
+        faults.fail(Fault::Socket, libc::ENFILE, per_mille).expect("the fault is set");
         thread::spawn(move || {
             thread::sleep(span);
-            faults.clear().expect("set");
+            faults.clear().expect("the faults are cleared");
         });
         Self::build_in(folder, members, |text| text, None, true)
     }
@@ -440,7 +450,13 @@
         operator: Option<&str>,
         inherits_socket: bool,
     ) -> Self {
-        Self::build_in(tempfile::tempdir().expect("a folder"), members, change, operator, inherits_socket)
+        Self::build_in(
+            tempfile::tempdir().expect("a temporary folder"),
+            members,
+            change,
+            operator,
+            inherits_socket,
+        )
     }
 
     fn build_in(
@@ -454,13 +470,13 @@
         let text = include_str!("config.json")
             .replace("DISCOVERY", &platform.address.to_string())
             .replace("MEMBERS", &members.join(","));
-        std::fs::create_dir(folder.path().join("state")).expect("a folder");
-        std::fs::write(folder.path().join("config.json"), change(text)).expect("a file");
+        std::fs::create_dir(folder.path().join("state")).expect("the folder is created");
+        std::fs::write(folder.path().join("config.json"), change(text)).expect("the file is written");
         if let Some(text) = operator {
             let text = text.replace("FOLDER", &folder.path().join("recording").display().to_string());
-            std::fs::write(folder.path().join("operator.toml"), text).expect("a file");
+            std::fs::write(folder.path().join("operator.toml"), text).expect("the file is written");
         }
-        let client_listener = inherits_socket.then(|| TcpListener::bind("127.0.0.1:0").expect("a port"));
+        let client_listener = inherits_socket.then(|| TcpListener::bind("127.0.0.1:0").expect("a free port"));
         let (child, address, admin) = start(&folder, client_listener.as_ref());
         let node = Self { folder, platform, address, admin, client_listener, child };
         assert_eq!(node.request("GET /up", &[], b"").status(), 200);
@@ -480,28 +496,30 @@
         (self.child, self.address, self.admin) = start(&self.folder, self.client_listener.as_ref());
     }
 
-    /// Starts the process and sends it these signals once it logs this step. Returns whether it then exits
-    /// with success.
-    pub fn start_and_signal_at(&mut self, step: &str, signals: &[&str]) -> bool {
-        self.child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
-        self.signal_at_log_line(step, signals)
+    /// Starts the process and sends it these signals once it logs a line that contains this text. Returns
+    /// whether it then exits with success.
+    pub fn start_and_signal_at(&mut self, text: &str, signals: &[&str]) -> bool {
+        self.child =
+            command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program starts");
+        self.signal_at_log_line(text, signals)
     }
 
-    /// Sends these signals once the process logs this step, and waits for its exit.
-    fn signal_at_log_line(&mut self, step: &str, signals: &[&str]) -> bool {
-        let mut lines = BufReader::new(self.child.stdout.take().expect("its output")).lines();
-        while !lines.next().expect("it started").expect("text").contains(step) {}
+    /// Sends these signals once the process logs a line that contains this text, and waits for its exit.
+    /// Returns whether it exits with success.
+    fn signal_at_log_line(&mut self, text: &str, signals: &[&str]) -> bool {
+        let mut lines = BufReader::new(self.child.stdout.take().expect("the output is piped")).lines();
+        while !lines.next().expect("the text is logged").expect("the output is UTF-8").contains(text) {}
         signals.iter().for_each(|signal| self.signal(signal));
         thread::spawn(move || lines.for_each(drop));
         self.exited_cleanly()
     }
 
-    /// Starts a successor beside the running process and sends it these signals once it logs this step.
-    /// Returns whether it then exits with success.
-    pub fn start_successor_and_signal_at(&mut self, step: &str, signals: &[&str]) -> bool {
-        let child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
+    /// Starts a successor beside the running process and sends it these signals once it logs a line that
+    /// contains this text. Returns whether it then exits with success.
+    pub fn start_successor_and_signal_at(&mut self, text: &str, signals: &[&str]) -> bool {
+        let child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program starts");
         let predecessor = std::mem::replace(&mut self.child, child);
-        let is_clean_exit = self.signal_at_log_line(step, signals);
+        let is_clean_exit = self.signal_at_log_line(text, signals);
         self.child = predecessor;
         is_clean_exit
     }
@@ -509,12 +527,15 @@
     /// Starts a successor beside the running process, kills it at the first log line that contains one of
     /// these texts, and returns the line.
     pub fn successor_log_line(&self, texts: &[&str]) -> String {
-        let mut child = command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program");
-        let lines = BufReader::new(child.stdout.take().expect("its output")).lines();
-        let mut log = lines.map(|line| line.expect("text"));
-        let found = log.find(|line| texts.iter().any(|text| line.contains(text))).expect("one is logged");
-        child.kill().expect("it runs");
-        child.wait().expect("it ended");
+        let mut child =
+            command(&self.folder, self.client_listener.as_ref()).spawn().expect("the program starts");
+        let lines = BufReader::new(child.stdout.take().expect("the output is piped")).lines();
+        let mut log = lines.map(|line| line.expect("the output is UTF-8"));
+        let found = log
+            .find(|line| texts.iter().any(|text| line.contains(text)))
+            .expect("the process logs one of these texts");
+        child.kill().expect("the process runs");
+        child.wait().expect("the process has ended");
         found
     }
 
@@ -522,7 +543,7 @@
     /// ready.
     pub fn hand_over(&mut self) -> Predecessor {
         let (child, address, admin) = start(&self.folder, self.client_listener.as_ref());
-        assert_eq!(address, self.address, "one socket for both");
+        assert_eq!(address, self.address, "both processes use the same socket");
         let predecessor =
             Predecessor(std::mem::replace(&mut self.child, child), std::mem::replace(&mut self.admin, admin));
         wait_until("the successor answers operators", || self.admin_request("GET /status").status() == 200);
@@ -536,14 +557,14 @@
     }
 
     pub fn kill(&mut self) {
-        self.child.kill().expect("it runs");
-        self.child.wait().expect("it ended");
+        self.child.kill().expect("the process runs");
+        self.child.wait().expect("the process has ended");
     }
 
-    /// Limits the process to so many descriptors.
+    /// Limits the number of descriptors of the process.
     pub fn limit_descriptors(&self, limit: usize) {
         let args = [format!("--pid={}", self.child.id()), format!("--nofile={limit}:{limit}")];
-        assert!(Command::new("prlimit").args(args).status().expect("prlimit").success());
+        assert!(Command::new("prlimit").args(args).status().expect("prlimit runs").success());
     }
 
     pub fn terminate(&self) {
@@ -552,13 +573,13 @@
 
     /// Replaces the configuration and sends SIGHUP.
     pub fn reload(&self, text: &str) {
-        std::fs::write(self.folder.path().join("config.json"), text).expect("a file");
+        std::fs::write(self.folder.path().join("config.json"), text).expect("the file is written");
         self.signal("-HUP");
     }
 
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
     }
 
     /// Returns the process id.
@@ -567,13 +588,15 @@
     }
 
     pub fn config(&self) -> String {
-        std::fs::read_to_string(self.folder.path().join("config.json")).expect("a file")
+        std::fs::read_to_string(self.folder.path().join("config.json")).expect("the file is readable")
     }
 
     /// Waits for the exit of the process, and returns whether it was successful.
     pub fn exited_cleanly(&mut self) -> bool {
-        wait_until("its exit", || self.child.try_wait().expect("a child").is_some());
-        self.child.wait().expect("a child").success()
+        wait_until("the process exits", || {
+            self.child.try_wait().expect("the exit status is available").is_some()
+        });
+        self.child.wait().expect("the exit status is available").success()
     }
 
     /// Sends an operator's request and returns the response.
@@ -587,8 +610,8 @@
     }
 
     /// Submits a message on a new connection and returns the response.
-    pub fn submit(&self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
-        Client::new(self.address).submit(class, id, dest, ms, body)
+    pub fn submit(&self, class: &str, id: u64, dest: u64, timeout_ms: u64, body: &[u8]) -> HttpMessage {
+        Client::new(self.address).submit(class, id, dest, timeout_ms, body)
     }
 
     /// Submits a message that expires before it can be sent, and waits for its notice. A request whose time is
@@ -614,18 +637,20 @@
 impl Predecessor {
     pub fn signal(&self, name: &str) {
         let pid = self.0.id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
     }
 
     /// Waits for the exit of the process, and returns whether it was successful.
     pub fn exited_cleanly(&mut self) -> bool {
-        wait_until("its exit", || self.0.try_wait().expect("a child").is_some());
-        self.0.wait().expect("a child").success()
+        wait_until("the process exits", || {
+            self.0.try_wait().expect("the exit status is available").is_some()
+        });
+        self.0.wait().expect("the exit status is available").success()
     }
 
     /// Returns whether the process has exited.
     pub fn has_exited(&mut self) -> bool {
-        self.0.try_wait().expect("a child").is_some()
+        self.0.try_wait().expect("the exit status is available").is_some()
     }
 }
 
@@ -651,11 +676,12 @@
     }
     let faults = folder.path().join(FAULT_FILE);
     if faults.exists() {
-        notchpoint_faults::preload(&faults, &mut command).expect("the shim is built");
+        notchpoint_faults::preload(&faults, &mut command).expect("the fault shim is built");
     }
     if let Some(client_listener) = client_listener {
         // The platform passes descriptor 4; a test can pass the standard input without unsafe code.
-        let socket: std::os::fd::OwnedFd = client_listener.try_clone().expect("a descriptor").into();
+        let socket: std::os::fd::OwnedFd =
+            client_listener.try_clone().expect("the descriptor is duplicated").into();
         command.stdin(Stdio::from(socket)).env("BALANCER_ACCEPT_FD", "0");
     }
     command
@@ -672,21 +698,21 @@
     folder: &tempfile::TempDir,
     client_listener: Option<&TcpListener>,
 ) -> (Child, SocketAddr, SocketAddr) {
-    let mut child = command(folder, client_listener).spawn().expect("the program");
-    let mut lines = BufReader::new(child.stdout.take().expect("its output")).lines();
+    let mut child = command(folder, client_listener).spawn().expect("the program starts");
+    let mut lines = BufReader::new(child.stdout.take().expect("the output is piped")).lines();
     let mut admin = None;
     let address = loop {
-        let line = lines.next().expect("it started").expect("text");
+        let line = lines.next().expect("the process logs the expected line").expect("the output is UTF-8");
         if let Some((_, at)) = line.split_once("operators at ") {
             admin = at.parse().ok();
         }
         if let Some((_, address)) = line.split_once("listening on ") {
-            break address.parse().expect("an address");
+            break address.parse().expect("a valid address");
         }
     };
     // The rest of the output is read, so that the process never blocks on a full pipe.
     thread::spawn(move || lines.for_each(drop));
-    (child, address, admin.expect("an address for operators"))
+    (child, address, admin.expect("the operators' address was logged before"))
 }
 
 /// A client with one connection.
@@ -694,8 +720,8 @@
 
 impl Client {
     pub fn new(address: SocketAddr) -> Self {
-        let stream = TcpStream::connect(address).expect("a connection");
-        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("an option");
+        let stream = TcpStream::connect(address).expect("the connection is accepted");
+        stream.set_read_timeout(Some(WAIT_LIMIT)).expect("the read timeout is set");
         Self(BufReader::new(stream))
     }
 
@@ -711,28 +737,35 @@
     /// Sends a request and returns the response.
     pub fn request(&mut self, line: &str, headers: &[(&str, &str)], body: &[u8]) -> HttpMessage {
         self.send(line, headers, body);
-        read_message(&mut self.0, 0).expect("a response")
+        read_message(&mut self.0, 0).expect("the response is complete")
     }
 
     /// Submits a message and returns the response.
-    pub fn submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> HttpMessage {
-        let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
-        let headers = headers(&id, class, &ms, &dest);
+    pub fn submit(&mut self, class: &str, id: u64, dest: u64, timeout_ms: u64, body: &[u8]) -> HttpMessage {
+        let (id, timeout, dest) = (format!("{id:016x}"), timeout_ms.to_string(), format!("dest={dest}"));
+        let headers = headers(&id, class, &timeout, &dest);
         self.request(&format!("POST /{class}"), &headers, body)
     }
 
     /// Submits a message. Returns the status, or `None` if the connection ends without a response or 400 ms
     /// pass.
-    pub fn try_submit(&mut self, class: &str, id: u64, dest: u64, ms: u64, body: &[u8]) -> Option<u16> {
-        self.0.get_ref().set_read_timeout(Some(CLIENT_TIMEOUT)).expect("an option");
-        let (id, ms, dest) = (format!("{id:016x}"), ms.to_string(), format!("dest={dest}"));
-        self.send(&format!("POST /{class}"), &headers(&id, class, &ms, &dest), body);
+    pub fn try_submit(
+        &mut self,
+        class: &str,
+        id: u64,
+        dest: u64,
+        timeout_ms: u64,
+        body: &[u8],
+    ) -> Option<u16> {
+        self.0.get_ref().set_read_timeout(Some(CLIENT_TIMEOUT)).expect("the read timeout is set");
+        let (id, timeout, dest) = (format!("{id:016x}"), timeout_ms.to_string(), format!("dest={dest}"));
+        self.send(&format!("POST /{class}"), &headers(&id, class, &timeout, &dest), body);
         read_message(&mut self.0, 0).map(|response| response.status())
     }
 
     /// Writes these bytes to the connection.
     pub fn write_raw(&mut self, bytes: &[u8]) {
-        self.0.get_mut().write_all(bytes).expect("written");
+        self.0.get_mut().write_all(bytes).expect("the bytes are written");
     }
 
     /// Reads until the other side closes the connection.
@@ -750,8 +783,8 @@
     }
 }
 
-/// Returns the headers of a message.
-pub fn headers<'a>(id: &'a str, class: &'a str, ms: &'a str, dest: &'a str) -> [(&'a str, &'a str); 5] {
+/// Returns the headers of a message with this time in milliseconds.
+pub fn headers<'a>(id: &'a str, class: &'a str, timeout: &'a str, dest: &'a str) -> [(&'a str, &'a str); 5] {
     let (tenant, class) = (("X-Tenant-Id", "acme"), ("X-Priority-Class", class));
-    [("X-Request-ID", id), class, tenant, ("X-Timeout-Ms", ms), ("X-Envelope", dest)]
+    [("X-Request-ID", id), class, tenant, ("X-Timeout-Ms", timeout), ("X-Envelope", dest)]
 }
