--- a/crates/daemon/tests/fleet/cost.rs
+++ b/crates/daemon/tests/fleet/cost.rs
@@ -6,18 +6,20 @@
 use crate::world::Client;
 use std::time::{Duration, Instant};
 
-/// The cost per message; `taken` is the number of accepted messages.
+/// The cost per message.
 struct Cost {
     cpu: Duration,
+    /// Percentiles of the time until a client receives 202.
     p50: Duration,
     p99: Duration,
-    links: u64,
-    disk: u64,
-    taken: u64,
+    link_bytes: u64,
+    disk_bytes: u64,
+    /// The number of accepted messages.
+    accepted: u64,
 }
 
 /// Returns the processor time that a process has used (proc(5): fields 14 and 15, in ticks of 10 ms).
-fn cpu(pid: u32) -> Duration {
+fn cpu_time(pid: u32) -> Duration {
     let text = std::fs::read_to_string(format!("/proc/{pid}/stat")).unwrap_or_default();
     let fields: Vec<&str> = text.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
     let ticks = |n: usize| fields.get(n).and_then(|f| f.parse::<u64>().ok()).unwrap_or(0);
@@ -26,7 +28,7 @@
 
 /// Returns the bytes that a process has written to files; bytes sent to sockets are not counted (proc(5),
 /// io).
-fn written(pid: u32) -> u64 {
+fn written_bytes(pid: u32) -> u64 {
     let text = std::fs::read_to_string(format!("/proc/{pid}/io")).unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("wchar: "));
     line.and_then(|n| n.parse().ok()).unwrap_or(0)
@@ -34,53 +36,55 @@
 
 fn measure(senders: usize, copies: usize, messages: u64, direct_links: bool) -> Cost {
     let fleet = Fleet::with(&FleetOptions { direct_links, ..FleetOptions::of(senders, copies) });
-    let pids: Vec<u32> = fleet.senders.iter().map(|s| s.child.as_ref().expect("it runs").id()).collect();
+    let pids: Vec<u32> =
+        fleet.senders.iter().map(|s| s.child.as_ref().expect("the process runs").id()).collect();
     // Connections, windows and memory pages exist before the measurement starts.
-    for i in 0..senders {
+    for sender in 0..senders {
         fleet.wait_until_all_ended(&fleet.submit_many(
-            i,
-            1_000_000 * (i as u64 + 1)..1_000_000 * (i as u64 + 1) + 30,
+            sender,
+            1_000_000 * (sender as u64 + 1)..1_000_000 * (sender as u64 + 1) + 30,
             50_000,
         ));
     }
-    let sum = |of: &dyn Fn(u32) -> u64| pids.iter().map(|&p| of(p)).sum::<u64>();
-    let micros = |p: u32| cpu(p).as_micros() as u64;
-    let (cpu_before, disk_before, links_before) = (sum(&micros), sum(&written), fleet.bytes_on_links());
+    let sum = |of: &dyn Fn(u32) -> u64| pids.iter().map(|&pid| of(pid)).sum::<u64>();
+    let cpu_micros = |pid: u32| cpu_time(pid).as_micros() as u64;
+    let (cpu_before, disk_before, links_before) =
+        (sum(&cpu_micros), sum(&written_bytes), fleet.bytes_on_links());
     let clients: Vec<_> = (0..senders as u64)
-        .map(|i| {
-            let address = fleet.senders[i as usize].address;
+        .map(|sender| {
+            let address = fleet.senders[sender as usize].address;
             std::thread::spawn(move || {
                 let (mut client, mut waits) = (Client::new(address), Vec::new());
-                let mut taken = Vec::new();
+                let mut accepted = Vec::new();
                 for n in 0..messages {
-                    let (id, class) = (i * messages + n, if n % 5 < 3 { "update" } else { "payment" });
+                    let (id, class) = (sender * messages + n, if n % 5 < 3 { "update" } else { "payment" });
                     let begun = Instant::now();
                     if client.submit(class, id, 3 + n % 2, 50_000, &[7; 200]).status() == 202 {
                         waits.push(begun.elapsed());
-                        taken.push(id);
+                        accepted.push(id);
                     }
                 }
-                (waits, taken)
+                (waits, accepted)
             })
         })
         .collect();
-    let (mut waits, mut taken) = (Vec::new(), Vec::new());
+    let (mut waits, mut accepted) = (Vec::new(), Vec::new());
     for client in clients {
-        let (w, t) = client.join().expect("a client");
-        waits.extend(w);
-        taken.extend(t);
+        let (client_waits, client_accepted) = client.join().expect("the client has not panicked");
+        waits.extend(client_waits);
+        accepted.extend(client_accepted);
     }
-    fleet.wait_until_all_ended(&taken);
+    fleet.wait_until_all_ended(&accepted);
     waits.sort_unstable();
-    let n = taken.len() as u64;
-    assert!(n > messages * senders as u64 / 2, "{n} accepted");
+    let accepted = accepted.len() as u64;
+    assert!(accepted > messages * senders as u64 / 2, "{accepted} accepted");
     Cost {
-        cpu: Duration::from_micros((sum(&micros) - cpu_before) / n),
+        cpu: Duration::from_micros((sum(&cpu_micros) - cpu_before) / accepted),
         p50: waits[waits.len() / 2],
         p99: waits[waits.len() * 99 / 100],
-        links: (fleet.bytes_on_links() - links_before) / n,
-        disk: (sum(&written) - disk_before) / n,
-        taken: n,
+        link_bytes: (fleet.bytes_on_links() - links_before) / accepted,
+        disk_bytes: (sum(&written_bytes) - disk_before) / accepted,
+        accepted,
     }
 }
 
@@ -94,9 +98,9 @@
         for &copies in copy_counts {
             let cost = measure(4, copies, messages, true);
             // Bytes on links are counted in a second run through the test's relays, which cost time.
-            let links = measure(4, copies, messages.min(500), false).links;
-            let Cost { cpu, p50, p99, disk, taken, .. } = cost;
-            println!("{copies} | {taken} | {cpu:?} | {p50:?} | {p99:?} | {links} | {disk}");
+            let link_bytes = measure(4, copies, messages.min(500), false).link_bytes;
+            let Cost { cpu, p50, p99, disk_bytes, accepted, .. } = cost;
+            println!("{copies} | {accepted} | {cpu:?} | {p50:?} | {p99:?} | {link_bytes} | {disk_bytes}");
         }
     }
 }
--- a/crates/daemon/tests/fleet/epochs.rs
+++ b/crates/daemon/tests/fleet/epochs.rs
@@ -7,8 +7,10 @@
 use std::thread;
 use std::time::Duration;
 
+/// The time of a message in milliseconds: longer than a test usually takes.
 const LONG: u64 = 50_000;
-const REPLACED: &str = "a new epoch begins without it";
+/// The log line of a sender that begins a new epoch because a witness has failed.
+const WITNESS_REPLACED: &str = "a new epoch begins without it";
 
 /// Returns a fleet of three in which a new epoch of n1 waits for n0, which has restarted with an empty folder
 /// and responds late.
@@ -22,12 +24,12 @@
 }
 
 /// Waits until a sender acknowledges a message, then submits ten more and returns their ids.
-fn submit_ten(fleet: &Fleet, i: usize, first: u64) -> Vec<u64> {
+fn submit_ten(fleet: &Fleet, sender: usize, first: u64) -> Vec<u64> {
     wait_until("the sender acknowledges a message", || {
-        fleet.submit(i, "update", first + 50, LONG).status() == 202
+        fleet.submit(sender, "update", first + 50, LONG).status() == 202
     });
-    let ids = fleet.submit_many(i, first..first + 10, LONG);
-    assert_eq!(ids.len(), 10, "n{i} acknowledges");
+    let ids = fleet.submit_many(sender, first..first + 10, LONG);
+    assert_eq!(ids.len(), 10, "n{sender} acknowledges");
     ids
 }
 
@@ -35,7 +37,7 @@
 fn witness_stopped_and_replaced_affects_nothing_when_it_continues() {
     let fleet = fleet_with_unregistered_epoch();
     fleet.signal(0, "-STOP");
-    fleet.wait_for_log(1, REPLACED);
+    fleet.wait_for_log(1, WITNESS_REPLACED);
     fleet.set_behavior(Behavior::Refuse);
     let ids = submit_ten(&fleet, 1, 100);
     fleet.signal(0, "-CONT");
@@ -43,7 +45,7 @@
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
     fleet.wait_until_all_ended(&more);
-    fleet.assert_nothing_twice(&[ids, more].concat());
+    fleet.assert_payments_ran_at_most_once(&[ids, more].concat());
 }
 
 #[test]
@@ -54,20 +56,20 @@
     fleet.start(1);
     let ids = submit_ten(&fleet, 1, 100);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
 fn loss_of_an_owner_after_a_witness_was_replaced_loses_no_acknowledged_message() {
     let mut fleet = fleet_with_unregistered_epoch();
     fleet.kill(0);
-    fleet.wait_for_log(1, REPLACED);
+    fleet.wait_for_log(1, WITNESS_REPLACED);
     fleet.set_behavior(Behavior::Refuse);
     let ids = submit_ten(&fleet, 1, 100);
     fleet.lose_machine(1);
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     assert!(fleet.log_count(2, "took over") > 0, "the remaining sender takes them over");
 }
 
@@ -75,15 +77,15 @@
 fn successive_failures_of_two_of_five_block_no_sender_with_two_replicas() {
     let mut fleet = Fleet::new(5, 2);
     fleet.lose_machine(0);
-    (1..5).for_each(|i| fleet.delay(i, 0, Duration::from_millis(150)));
+    (1..5).for_each(|sender| fleet.delay(sender, 0, Duration::from_millis(150)));
     fleet.start(0);
     fleet.wait_for_log_of_any("n0 has lost its folder; a new epoch begins");
     fleet.kill(0);
     fleet.kill(1);
-    for i in 2..5 {
-        let ids = submit_ten(&fleet, i, 100 * i as u64);
+    for sender in 2..5 {
+        let ids = submit_ten(&fleet, sender, 100 * sender as u64);
         fleet.wait_until_all_ended(&ids);
-        fleet.assert_nothing_twice(&ids);
+        fleet.assert_payments_ran_at_most_once(&ids);
     }
 }
 
--- a/crates/daemon/tests/fleet/fleet.rs
+++ b/crates/daemon/tests/fleet/fleet.rs
@@ -44,8 +44,8 @@
 
 impl Link {
     fn new(to: SocketAddr) -> Self {
-        let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
-        let address = listener.local_addr().expect("an address");
+        let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+        let address = listener.local_addr().expect("the socket has an address");
         let (state, streams) = (Arc::new(Mutex::new(OPEN_LINK)), Arc::<Mutex<Vec<TcpStream>>>::default());
         let bytes_passed = Arc::<AtomicU64>::default();
         let (shared, open_streams, count) = (state.clone(), streams.clone(), bytes_passed.clone());
@@ -76,12 +76,14 @@
 ) {
     // The connection itself is made over a cut too; its bytes are held while the cut lasts.
     let Ok(far) = TcpStream::connect(to) else { return };
-    let duplicate = |s: &TcpStream| s.try_clone().expect("a handle");
+    let duplicate = |stream: &TcpStream| stream.try_clone().expect("the socket is duplicated");
     streams.lock().expect("not poisoned").extend([duplicate(&near), duplicate(&far)]);
     let (back_from, back_to, shared, back_count) =
         (duplicate(&far), duplicate(&near), state.clone(), count.clone());
-    let back = thread::spawn(move || relay_bytes(&back_from, &back_to, &shared, &back_count, |w| w.backward));
-    relay_bytes(&near, &far, state, count, |w| w.forward);
+    let back = thread::spawn(move || {
+        relay_bytes(&back_from, &back_to, &shared, &back_count, |state| state.backward)
+    });
+    relay_bytes(&near, &far, state, count, |state| state.forward);
     let _ = back.join();
 }
 
@@ -102,22 +104,24 @@
         let _ = to.shutdown(Shutdown::Both);
     };
     loop {
-        let n = match (&*from).read(&mut block) {
+        let length = match (&*from).read(&mut block) {
             Ok(0) => return close(),
-            Ok(n) => n,
+            Ok(length) => length,
             Err(e) if matches!(e.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut) => continue,
             Err(_) => return close(),
         };
         loop {
             let now = *state.lock().expect("not poisoned");
             if is_open(&now) {
-                let transfer_time =
-                    now.bytes_per_second.map_or(Duration::ZERO, |p| Duration::from_secs(n as u64) / p);
+                let transfer_time = now
+                    .bytes_per_second
+                    .map_or(Duration::ZERO, |rate| Duration::from_secs(length as u64) / rate);
                 thread::sleep(now.delay + transfer_time);
-                let limit = now.reset_after_bytes.map_or(n, |m| m.saturating_sub(passed).min(n));
-                passed += n;
+                let limit =
+                    now.reset_after_bytes.map_or(length, |max| max.saturating_sub(passed).min(length));
+                passed += length;
                 count.fetch_add(limit as u64, Ordering::Relaxed);
-                if (&*to).write_all(&block[..limit]).is_err() || limit < n {
+                if (&*to).write_all(&block[..limit]).is_err() || limit < length {
                     return close();
                 }
                 break;
@@ -133,34 +137,37 @@
 /// Relays of the notes (datagrams) between senders. Each sender sends to, and receives from, an address of
 /// the test's for each other sender. A relay is cut together with the link between the two senders.
 struct NoteRelays {
-    /// For each sender the addresses of all senders, itself included as on the platform's list, and the
-    /// broadcast address.
+    /// For each sender the addresses of all senders, itself included as on the platform's list.
     peers: Vec<Vec<SocketAddr>>,
+    /// For each sender its broadcast address.
     all: Vec<SocketAddr>,
 }
 
 impl NoteRelays {
     fn new(
         links: &BTreeMap<(usize, usize), Link>,
-        n: usize,
+        sender_count: usize,
         peer_address: impl Fn(usize) -> SocketAddr,
     ) -> Self {
-        let socket = || Arc::new(UdpSocket::bind("127.0.0.1:0").expect("a port"));
-        let relays: BTreeMap<(usize, usize), Arc<UdpSocket>> = links.keys().map(|&k| (k, socket())).collect();
-        let others = |i: usize| (0..n).filter(move |&j| j != i);
+        let socket = || Arc::new(UdpSocket::bind("127.0.0.1:0").expect("a free port"));
+        let relays: BTreeMap<(usize, usize), Arc<UdpSocket>> =
+            links.keys().map(|&pair| (pair, socket())).collect();
+        let others = |sender: usize| (0..sender_count).filter(move |&peer| peer != sender);
         let relay_from = |socket: Arc<UdpSocket>, from: usize, to: Vec<usize>| {
-            let address = socket.local_addr().expect("an address");
-            let route = |j| (links[&(from, j)].state.clone(), relays[&(j, from)].clone(), peer_address(j));
+            let address = socket.local_addr().expect("the socket has an address");
+            let route = |peer| {
+                (links[&(from, peer)].state.clone(), relays[&(peer, from)].clone(), peer_address(peer))
+            };
             let routes: Vec<_> = to.into_iter().map(route).collect();
             thread::spawn(move || {
                 let mut note = [0; 512];
-                while let Ok((n, _)) = socket.recv_from(&mut note) {
+                while let Ok((length, _)) = socket.recv_from(&mut note) {
                     for (state, relay, to) in &routes {
                         let state = *state.lock().expect("not poisoned");
                         if state.forward && state.delay.is_zero() {
-                            let _ = relay.send_to(&note[..n], to);
+                            let _ = relay.send_to(&note[..length], to);
                         } else if state.forward {
-                            let (note, relay, to) = (note[..n].to_vec(), relay.clone(), *to);
+                            let (note, relay, to) = (note[..length].to_vec(), relay.clone(), *to);
                             thread::spawn(move || {
                                 thread::sleep(state.delay);
                                 let _ = relay.send_to(&note, to);
@@ -171,14 +178,15 @@
             });
             address
         };
-        let to = |i: usize, j: usize| match i == j {
-            true => peer_address(i),
-            false => relay_from(relays[&(i, j)].clone(), i, vec![j]),
+        let address = |sender: usize, peer: usize| match sender == peer {
+            true => peer_address(sender),
+            false => relay_from(relays[&(sender, peer)].clone(), sender, vec![peer]),
         };
-        let peers = (0..n).map(|i| (0..n).map(|j| to(i, j)).collect());
+        let peers =
+            (0..sender_count).map(|sender| (0..sender_count).map(|peer| address(sender, peer)).collect());
         Self {
             peers: peers.collect(),
-            all: (0..n).map(|i| relay_from(socket(), i, others(i).collect())).collect(),
+            all: (0..sender_count).map(|s| relay_from(socket(), s, others(s).collect())).collect(),
         }
     }
 }
@@ -206,9 +214,11 @@
     pub call_log: Vec<(Instant, char, u64)>,
     /// What all endpoints do; they serve if it is not set.
     pub behavior: Option<Behavior>,
-    /// For each message: how often it ran, whether that was answered, and how often it was called.
+    /// For each message, how often it ran.
     pub runs: BTreeMap<String, usize>,
+    /// The messages whose calls were answered with 200.
     pub answered: BTreeSet<String>,
+    /// For each message, how many calls with it endpoints received, except in zones that are down.
     pub calls: BTreeMap<String, usize>,
 }
 
@@ -301,8 +311,10 @@
 
     /// Starts a fleet and waits until all senders listen.
     pub fn with(options: &FleetOptions<'_>) -> Self {
-        let number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
-        let base = (std::process::id() % 200 + 20) as u8;
+        let fleet_number = FLEET_COUNT.fetch_add(1, Ordering::Relaxed);
+        // The second byte comes from the process id, so that test processes that run at once usually have
+        // addresses of their own.
+        let process_byte = (std::process::id() % 200 + 20) as u8;
         let endpoint_state = Arc::<Mutex<EndpointState>>::default();
         let shared = endpoint_state.clone();
         // One zone with all endpoints; or two zones with destinations of their own, which all senders call,
@@ -312,26 +324,28 @@
             (false, true) => vec![('b', 3), ('b', 4), ('c', 5)],
             (false, false) => vec![('a', 3), ('a', 4)],
         };
-        let of = |&(zone, dest): &(char, u64)| {
+        let new_endpoint = |&(zone, dest): &(char, u64)| {
             let shared = shared.clone();
             Endpoint::new(move |call| handle_call(&shared, zone, dest, call))
         };
-        let endpoints: Vec<Endpoint> = endpoint_keys.iter().map(of).collect();
+        let endpoints: Vec<Endpoint> = endpoint_keys.iter().map(new_endpoint).collect();
         let platform = Platform::new();
-        let n = options.senders;
-        let peer_address = |i: usize| {
-            let ip = [127, base, (number % 250) as u8, i as u8 + 1];
+        let sender_count = options.senders;
+        let peer_address = |sender: usize| {
+            let ip = [127, process_byte, (fleet_number % 250) as u8, sender as u8 + 1];
             SocketAddr::from((ip, PEER_PORT))
         };
         let mut links = BTreeMap::new();
-        for from in 0..n {
-            for to in (0..n).filter(|&to| to != from) {
+        for from in 0..sender_count {
+            for to in (0..sender_count).filter(|&to| to != from) {
                 links.insert((from, to), Link::new(peer_address(to)));
             }
         }
-        let notes = options
-            .notes
-            .then(|| NoteRelays::new(&links, n, |j| SocketAddr::new(peer_address(j).ip(), NOTE_PORT)));
+        let notes = options.notes.then(|| {
+            NoteRelays::new(&links, sender_count, |sender| {
+                SocketAddr::new(peer_address(sender).ip(), NOTE_PORT)
+            })
+        });
         let mut fleet = Self {
             senders: Vec::new(),
             platform,
@@ -343,70 +357,75 @@
         };
         // Each sender has its own link to each endpoint, and finds the link's address in its list.
         if options.evacuation {
-            for i in 0..n {
-                for (at, &(zone, _)) in fleet._endpoints.iter().zip(&endpoint_keys) {
-                    fleet.zone_links.entry((i, zone)).or_default().push(Link::new(at.address));
+            for sender in 0..sender_count {
+                for (endpoint, &(zone, _)) in fleet._endpoints.iter().zip(&endpoint_keys) {
+                    fleet.zone_links.entry((sender, zone)).or_default().push(Link::new(endpoint.address));
                 }
             }
         }
-        let listed = |i: usize, n: usize, (zone, dest): (char, u64)| {
-            let link_address = fleet.zone_links.get(&(i, zone)).map(|w| w[(dest - 3) as usize].address);
-            let at = link_address.unwrap_or(fleet._endpoints[n].address);
-            let line = member(&format!("s-{zone}{dest}"), at, "shop", dest, "up");
-            line.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
+        let list_entry = |sender: usize, endpoint: usize, (zone, dest): (char, u64)| {
+            let link_address =
+                fleet.zone_links.get(&(sender, zone)).map(|links| links[(dest - 3) as usize].address);
+            let address = link_address.unwrap_or(fleet._endpoints[endpoint].address);
+            let entry = member(&format!("s-{zone}{dest}"), address, "shop", dest, "up");
+            entry.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
         };
-        let members: Vec<String> = (0..n)
-            .map(|i| {
-                let all = endpoint_keys.iter().enumerate().map(|(n, &place)| listed(i, n, place));
-                all.collect::<Vec<_>>().join(",")
+        let members: Vec<String> = (0..sender_count)
+            .map(|sender| {
+                let entries = endpoint_keys.iter().enumerate().map(|(n, &key)| list_entry(sender, n, key));
+                entries.collect::<Vec<_>>().join(",")
             })
             .collect();
-        for (i, members) in members.iter().enumerate() {
-            let folder = tempfile::tempdir().expect("a folder");
-            std::fs::create_dir(folder.path().join("state")).expect("a folder");
-            let disk = options.small_disk.filter(|s| s.0 == i).map_or(64.0, |s| s.1);
+        for (sender, members) in members.iter().enumerate() {
+            let folder = tempfile::tempdir().expect("a temporary folder");
+            std::fs::create_dir(folder.path().join("state")).expect("the folder is created");
+            let disk_mb = options.small_disk.filter(|s| s.0 == sender).map_or(64.0, |s| s.1);
             let config = include_str!("../sockets/config.json")
                 .replace("DISCOVERY", &fleet.platform.address.to_string())
                 .replace("MEMBERS", members)
-                .replace("\"name\": \"n0\"", &format!("\"name\": \"n{i}\""))
-                .replace("\"disk_mb\": 3", &format!("\"disk_mb\": {disk}"))
+                .replace("\"name\": \"n0\"", &format!("\"name\": \"n{sender}\""))
+                .replace("\"disk_mb\": 3", &format!("\"disk_mb\": {disk_mb}"))
                 .replace(
                     "\"coldS\": 9.2",
                     &format!("\"coldS\": {}", if options.evacuation { WARM_UP_SECONDS } else { 9.2 }),
                 )
                 .replace("\"slots\": 7", "\"slots\": 40")
                 .replace("\"mostHeld\": 230", "\"mostHeld\": 5000")
-                .replace("\"locality\": \"a\"", &format!("\"locality\": \"{}\"", zone(i)))
+                .replace("\"locality\": \"a\"", &format!("\"locality\": \"{}\"", zone(sender)))
                 .replace("\"zones\": [\"a\"]", "\"zones\": [\"a\", \"b\", \"c\"]");
             let config = match &notes {
                 Some(notes) => {
-                    let listen = SocketAddr::new(peer_address(i).ip(), NOTE_PORT);
-                    let peers: Vec<String> = notes.peers[i].iter().map(|a| format!("\"{a}\"")).collect();
-                    let (peers, all) = (peers.join(","), notes.all[i]);
-                    let ways = format!(
+                    let listen = SocketAddr::new(peer_address(sender).ip(), NOTE_PORT);
+                    let peers: Vec<String> = notes.peers[sender].iter().map(|a| format!("\"{a}\"")).collect();
+                    let (peers, all) = (peers.join(","), notes.all[sender]);
+                    let note_addresses = format!(
                         "\"peer_listen\": \"{listen}\", \"peers\": [{peers}], \"peers_all\": \"{all}\""
                     );
                     config
                         .replace("\"connIdleS\"", "\"peerMessages\": true, \"connIdleS\"")
-                        .replace("\"siblings\": 1", &format!("\"siblings\": {n}"))
-                        .replace("\"me\": 0", &format!("\"me\": {i}"))
-                        .replace("\"peers\": []", &ways)
+                        .replace("\"siblings\": 1", &format!("\"siblings\": {sender_count}"))
+                        .replace("\"me\": 0", &format!("\"me\": {sender}"))
+                        .replace("\"peers\": []", &note_addresses)
                 }
                 None => config,
             };
-            std::fs::write(folder.path().join("config.json"), config).expect("a file");
+            std::fs::write(folder.path().join("config.json"), config).expect("the file is written");
             let mut operator = format!(
                 "[copies]\ncount = {}\nlisten = \"{}\"\ninstallation = \"tests\"\nsilence_ms = {}\n{}\n",
                 options.copies,
-                peer_address(i),
-                if options.impatient_sender == Some(i) { 1_500 } else { options.silence_ms },
+                peer_address(sender),
+                if options.impatient_sender == Some(sender) { 1_500 } else { options.silence_ms },
                 options.operator_lines
             );
-            for j in (0..n).filter(|&j| j != i) {
-                let at = if options.direct_links { peer_address(j) } else { fleet.links[&(i, j)].address };
+            for peer in (0..sender_count).filter(|&peer| peer != sender) {
+                let address = if options.direct_links {
+                    peer_address(peer)
+                } else {
+                    fleet.links[&(sender, peer)].address
+                };
                 operator += &format!(
-                    "[[copies.senders]]\nname = \"n{j}\"\naddress = \"{at}\"\nzone = \"{}\"\n",
-                    zone(j)
+                    "[[copies.senders]]\nname = \"n{peer}\"\naddress = \"{address}\"\nzone = \"{}\"\n",
+                    zone(peer)
                 );
             }
             // Without replicas there is no file: earlier builds do not know these settings.
@@ -417,34 +436,34 @@
                 );
             }
             if options.copies > 0 || options.zones || options.evacuation {
-                std::fs::write(folder.path().join("operator.toml"), operator).expect("a file");
+                std::fs::write(folder.path().join("operator.toml"), operator).expect("the file is written");
             }
             fleet.senders.push(Sender {
-                name: format!("n{i}"),
+                name: format!("n{sender}"),
                 folder,
-                address: "127.0.0.1:0".parse().expect("an address"),
+                address: "127.0.0.1:0".parse().expect("a valid address"),
                 child: None,
                 log: Arc::default(),
-                peer_address: peer_address(i),
+                peer_address: peer_address(sender),
                 client_listener: options
                     .inherited_sockets
-                    .then(|| TcpListener::bind("127.0.0.1:0").expect("a port")),
+                    .then(|| TcpListener::bind("127.0.0.1:0").expect("a free port")),
             });
         }
         // All start at once: each waits for the others before it admits clients.
-        let waits: Vec<_> = (0..n).map(|i| fleet.spawn(i)).collect();
-        for (i, started) in waits.into_iter().enumerate() {
-            fleet.senders[i].address = started.join().expect("it started");
+        let starts: Vec<_> = (0..sender_count).map(|sender| fleet.spawn(sender)).collect();
+        for (sender, started) in starts.into_iter().enumerate() {
+            fleet.senders[sender].address = started.join().expect("the process starts");
         }
         fleet
     }
 
     /// Starts a process; the returned thread ends with its clients' address once it listens.
-    fn spawn(&mut self, i: usize) -> thread::JoinHandle<SocketAddr> {
+    fn spawn(&mut self, index: usize) -> thread::JoinHandle<SocketAddr> {
         self.starts += 1;
-        let s = &mut self.senders[i];
-        let path = s.folder.path();
-        let config = std::fs::read_to_string(path.join("config.json")).expect("a file");
+        let sender = &mut self.senders[index];
+        let path = sender.folder.path();
+        let config = std::fs::read_to_string(path.join("config.json")).expect("the file is readable");
         // The platform sets a new seed at each start.
         let seed = format!("\"seed\": \"{:016x}\"", 0x5eed_0000 + self.starts);
         let config: String = config
@@ -454,19 +473,23 @@
                 None => format!("{l}\n"),
             })
             .collect();
-        std::fs::write(path.join("config.json"), config).expect("a file");
+        std::fs::write(path.join("config.json"), config).expect("the file is written");
         let program = std::env::var_os("PROGRAM");
         let mut command = Command::new(program.unwrap_or_else(|| env!("CARGO_BIN_EXE_notchpoint").into()));
         if path.join("operator.toml").exists() {
             command.arg("--operator").arg(path.join("operator.toml"));
         }
-        // Two processes during a hand-over cannot both bind it.
-        if s.client_listener.is_none() {
-            command.env("BALANCER_ADMIN_ADDR", SocketAddr::new(s.peer_address.ip(), ADMIN_PORT).to_string());
+        // During a hand-over two processes run, which cannot both bind the operators' address.
+        if sender.client_listener.is_none() {
+            command.env(
+                "BALANCER_ADMIN_ADDR",
+                SocketAddr::new(sender.peer_address.ip(), ADMIN_PORT).to_string(),
+            );
         }
-        if let Some(listener) = &s.client_listener {
+        if let Some(listener) = &sender.client_listener {
             // The platform passes descriptor 4; a test can pass the standard input without unsafe code.
-            let socket: std::os::fd::OwnedFd = listener.try_clone().expect("a descriptor").into();
+            let socket: std::os::fd::OwnedFd =
+                listener.try_clone().expect("the descriptor is duplicated").into();
             command.stdin(Stdio::from(socket)).env("BALANCER_ACCEPT_FD", "0");
         }
         let mut child = command
@@ -475,10 +498,10 @@
             .env("BALANCER_STATE", path.join("state"))
             .stdout(Stdio::piped())
             .spawn()
-            .expect("the program");
-        let output = BufReader::new(child.stdout.take().expect("its output"));
-        s.child = Some(child);
-        let (log, name, shown_log) = (s.log.clone(), s.name.clone(), s.log.clone());
+            .expect("the program starts");
+        let output = BufReader::new(child.stdout.take().expect("the output is piped"));
+        sender.child = Some(child);
+        let (log, name, shown_log) = (sender.log.clone(), sender.name.clone(), sender.log.clone());
         let (ready, address) = std::sync::mpsc::channel();
         thread::spawn(move || {
             for line in output.lines().map_while(Result::ok) {
@@ -486,7 +509,7 @@
                     println!("{name}: {line}");
                 }
                 if let Some((_, at)) = line.split_once("listening on ") {
-                    let _ = ready.send(at.parse().expect("an address"));
+                    let _ = ready.send(at.parse().expect("a valid address"));
                 }
                 log.lock().expect("not poisoned").push(line);
             }
@@ -494,57 +517,59 @@
         thread::spawn(move || {
             let listening = address.recv_timeout(Duration::from_secs(30));
             listening.unwrap_or_else(|e| {
-                panic!("it does not listen: {e}; {:?}", shown_log.lock().expect("not poisoned"))
+                panic!("the sender does not listen: {e}; {:?}", shown_log.lock().expect("not poisoned"))
             })
         })
     }
 
     /// Starts a sender's process and waits until it listens.
-    pub fn start(&mut self, i: usize) {
-        let started = self.spawn(i);
-        self.senders[i].address = started.join().expect("it started");
+    pub fn start(&mut self, sender: usize) {
+        let started = self.spawn(sender);
+        self.senders[sender].address = started.join().expect("the process starts");
     }
 
     /// Starts a successor beside the running process, and returns the predecessor.
-    pub fn hand_over(&mut self, i: usize) -> Predecessor {
-        let predecessor = Predecessor(self.senders[i].child.take().expect("it runs"));
-        let before = self.senders[i].address;
-        self.start(i);
-        assert_eq!(self.senders[i].address, before, "both have one socket");
+    pub fn hand_over(&mut self, sender: usize) -> Predecessor {
+        let predecessor = Predecessor(self.senders[sender].child.take().expect("the process runs"));
+        let before = self.senders[sender].address;
+        self.start(sender);
+        assert_eq!(self.senders[sender].address, before, "both have one socket");
         predecessor
     }
 
     /// Sends a signal to a sender's process.
-    pub fn signal(&self, i: usize, name: &str) {
-        let pid = self.senders[i].child.as_ref().expect("it runs").id().to_string();
-        assert!(Command::new("kill").args([name, &pid]).status().expect("kill").success());
+    pub fn signal(&self, sender: usize, name: &str) {
+        let pid = self.senders[sender].child.as_ref().expect("the process runs").id().to_string();
+        assert!(Command::new("kill").args([name, &pid]).status().expect("kill runs").success());
     }
 
     /// Kills the process with SIGKILL; the folder stays.
-    pub fn kill(&mut self, i: usize) {
-        let mut child = self.senders[i].child.take().expect("it runs");
-        child.kill().expect("it runs");
-        child.wait().expect("it ended");
+    pub fn kill(&mut self, sender: usize) {
+        let mut child = self.senders[sender].child.take().expect("the process runs");
+        child.kill().expect("the process runs");
+        child.wait().expect("the process has ended");
     }
 
     /// Kills the process and empties its folder, as the loss of the machine does.
-    pub fn lose_machine(&mut self, i: usize) {
-        self.kill(i);
-        let state = self.senders[i].folder.path().join("state");
-        std::fs::remove_dir_all(&state).expect("a folder");
-        std::fs::create_dir(&state).expect("a folder");
+    pub fn lose_machine(&mut self, sender: usize) {
+        self.kill(sender);
+        let state = self.senders[sender].folder.path().join("state");
+        std::fs::remove_dir_all(&state).expect("the folder is removed");
+        std::fs::create_dir(&state).expect("the folder is created");
     }
 
-    /// Updates the links that carry bytes from `from` to `to`. `how` receives `true` for the link that `from`
-    /// dials, and `false` for the one that `to` dials.
-    fn update_links(&self, from: usize, to: usize, how: impl Fn(&mut LinkState, bool)) {
-        how(&mut self.links[&(from, to)].state.lock().expect("not poisoned"), true);
-        how(&mut self.links[&(to, from)].state.lock().expect("not poisoned"), false);
+    /// Updates the links that carry bytes from `from` to `to`. `update` receives `true` for the link that
+    /// `from` dials, and `false` for the one that `to` dials.
+    fn update_links(&self, from: usize, to: usize, update: impl Fn(&mut LinkState, bool)) {
+        update(&mut self.links[&(from, to)].state.lock().expect("not poisoned"), true);
+        update(&mut self.links[&(to, from)].state.lock().expect("not poisoned"), false);
     }
 
     /// Holds all bytes from one sender to the other, on both links.
     pub fn cut_one_way(&self, from: usize, to: usize) {
-        self.update_links(from, to, |w, dialed| if dialed { w.forward = false } else { w.backward = false });
+        self.update_links(from, to, |state, is_dialed_by_from| {
+            if is_dialed_by_from { state.forward = false } else { state.backward = false }
+        });
     }
 
     /// Holds all bytes between two senders.
@@ -554,13 +579,13 @@
     }
 
     /// Cuts a sender off from all others.
-    pub fn isolate(&self, i: usize) {
-        (0..self.senders.len()).filter(|&j| j != i).for_each(|j| self.cut(i, j));
+    pub fn isolate(&self, sender: usize) {
+        (0..self.senders.len()).filter(|&peer| peer != sender).for_each(|peer| self.cut(sender, peer));
     }
 
     /// Delays the bytes on the links that `from` dials to `to`.
-    pub fn delay(&self, from: usize, to: usize, by: Duration) {
-        self.links[&(from, to)].state.lock().expect("not poisoned").delay = by;
+    pub fn delay(&self, from: usize, to: usize, delay: Duration) {
+        self.links[&(from, to)].state.lock().expect("not poisoned").delay = delay;
     }
 
     /// Limits the throughput of the links between two senders, in each direction.
@@ -571,13 +596,15 @@
     }
 
     /// Returns whether a sender's folder contains these bytes.
-    pub fn has_written(&self, i: usize, what: &[u8]) -> bool {
-        let state = self.senders[i].folder.path().join("state");
-        let files = std::fs::read_dir(state).expect("a folder").flatten();
-        files.filter_map(|f| std::fs::read(f.path()).ok()).any(|b| b.windows(what.len()).any(|w| w == what))
+    pub fn has_written(&self, sender: usize, bytes: &[u8]) -> bool {
+        let state = self.senders[sender].folder.path().join("state");
+        let files = std::fs::read_dir(state).expect("the folder is readable").flatten();
+        files
+            .filter_map(|file| std::fs::read(file.path()).ok())
+            .any(|content| content.windows(bytes.len()).any(|w| w == bytes))
     }
 
-    /// Makes each connection that `from` dials to `to` break after so many bytes.
+    /// Closes each connection that `from` dials to `to` after this number of bytes.
     pub fn reset_after(&self, from: usize, to: usize, bytes: usize) {
         self.links[&(from, to)].state.lock().expect("not poisoned").reset_after_bytes = Some(bytes);
         self.links[&(from, to)].break_all();
@@ -598,10 +625,10 @@
         self.endpoint_state.lock().expect("not poisoned").behavior = Some(behavior);
     }
 
-    /// Makes a zone's endpoints fail, or serve again.
-    pub fn set_zone_down(&self, zone: char, fails: bool) {
+    /// Makes a zone's endpoints close each connection on its first call, or serve again.
+    pub fn set_zone_down(&self, zone: char, is_down: bool) {
         let mut endpoint_state = self.endpoint_state.lock().expect("not poisoned");
-        if fails {
+        if is_down {
             endpoint_state.down_zones.insert(zone)
         } else {
             endpoint_state.down_zones.remove(&zone)
@@ -610,33 +637,33 @@
 
     /// Returns the list entry of a zone's endpoint for a destination, with an id that starts with `name`.
     pub fn list_entry(&self, zone: char, dest: u64, name: &str, phase: &str) -> String {
-        let place = ZONES.iter().position(|z| *z == zone).expect("a zone") * 3 + (dest - 3) as usize;
-        let line =
-            member(&format!("{name}-{zone}{dest}"), self._endpoints[place].address, "shop", dest, phase);
-        line.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
+        let endpoint = ZONES.iter().position(|z| *z == zone).expect("a known zone") * 3 + (dest - 3) as usize;
+        let entry =
+            member(&format!("{name}-{zone}{dest}"), self._endpoints[endpoint].address, "shop", dest, phase);
+        entry.replace("\"locality\":\"a\"", &format!("\"locality\":\"{zone}\""))
     }
 
     /// Cuts a sender off from a zone's endpoints, or restores its links to them.
-    pub fn set_zone_cut(&self, i: usize, zone: char, cut: bool) {
-        for link in &self.zone_links[&(i, zone)] {
+    pub fn set_zone_cut(&self, sender: usize, zone: char, is_cut: bool) {
+        for link in &self.zone_links[&(sender, zone)] {
             let mut state = link.state.lock().expect("not poisoned");
-            (state.forward, state.backward) = (!cut, !cut);
+            (state.forward, state.backward) = (!is_cut, !is_cut);
             link.break_all();
         }
     }
 
     /// Submits a message for destination 3 to a sender and returns the response.
-    pub fn submit(&self, i: usize, class: &str, id: u64, ms: u64) -> HttpMessage {
-        Client::new(self.senders[i].address).submit(class, id, 3, ms, b"hello")
+    pub fn submit(&self, sender: usize, class: &str, id: u64, timeout_ms: u64) -> HttpMessage {
+        Client::new(self.senders[sender].address).submit(class, id, 3, timeout_ms, b"hello")
     }
 
     /// Submits messages of both classes, payments with even ids and updates with odd ones, and returns the
     /// ids that were acknowledged.
-    pub fn submit_many(&self, i: usize, ids: std::ops::Range<u64>, ms: u64) -> Vec<u64> {
-        let mut client = Client::new(self.senders[i].address);
+    pub fn submit_many(&self, sender: usize, ids: std::ops::Range<u64>, timeout_ms: u64) -> Vec<u64> {
+        let mut client = Client::new(self.senders[sender].address);
         let mut is_accepted = |id: &u64| {
             let class = if id.is_multiple_of(2) { "payment" } else { "update" };
-            client.submit(class, *id, 3, ms, b"hello").status() == 202
+            client.submit(class, *id, 3, timeout_ms, b"hello").status() == 202
         };
         ids.filter(|id| is_accepted(id)).collect()
     }
@@ -677,20 +704,20 @@
         let open = || ids.iter().filter(|id| !self.has_ended(**id)).count();
         let begun = Instant::now();
         while open() > 0 {
-            let some: Vec<u64> = ids.iter().copied().filter(|id| !self.has_ended(*id)).take(10).collect();
-            let late = begun.elapsed() > Duration::from_secs(90);
-            assert!(!late, "{} of {} messages have not ended, such as {some:?}", open(), ids.len());
+            let examples: Vec<u64> = ids.iter().copied().filter(|id| !self.has_ended(*id)).take(10).collect();
+            let is_late = begun.elapsed() > Duration::from_secs(90);
+            assert!(!is_late, "{} of {} messages have not ended, such as {examples:?}", open(), ids.len());
             thread::sleep(Duration::from_millis(10));
         }
     }
 
     /// Asserts that each payment ran at most once, and that none which ran was reported as bounced (safe to
     /// submit again).
-    pub fn assert_nothing_twice(&self, ids: &[u64]) {
+    pub fn assert_payments_ran_at_most_once(&self, ids: &[u64]) {
         let is_bounced = |id: u64| {
             let notices = self.platform.notices.lock().expect("not poisoned");
-            let name = format!("{id:016x}");
-            notices.iter().any(|n| n.contains(&name) && n.contains("bounced"))
+            let id = format!("{id:016x}");
+            notices.iter().any(|notice| notice.contains(&id) && notice.contains("bounced"))
         };
         for &id in ids.iter().filter(|id| id.is_multiple_of(2)) {
             assert!(self.runs(id) <= 1, "payment {id} ran {} times", self.runs(id));
@@ -700,18 +727,18 @@
 
     /// Returns the number of bytes that passed on all links.
     pub fn bytes_on_links(&self) -> u64 {
-        self.links.values().map(|l| l.bytes_passed.load(Ordering::Relaxed)).sum()
+        self.links.values().map(|link| link.bytes_passed.load(Ordering::Relaxed)).sum()
     }
 
     /// Returns the part `copies` of a sender's status; `None` if the sender does not respond.
-    pub fn status(&self, i: usize) -> Option<serde_json::Value> {
-        self.status_of(i, "copies")
+    pub fn status(&self, sender: usize) -> Option<serde_json::Value> {
+        self.status_of(sender, "copies")
     }
 
     /// Returns a part of a sender's status; `None` if the sender does not respond.
-    pub fn status_of(&self, i: usize, part: &str) -> Option<serde_json::Value> {
-        let at = SocketAddr::new(self.senders[i].peer_address.ip(), ADMIN_PORT);
-        let mut stream = TcpStream::connect_timeout(&at, Duration::from_secs(1)).ok()?;
+    pub fn status_of(&self, sender: usize, part: &str) -> Option<serde_json::Value> {
+        let address = SocketAddr::new(self.senders[sender].peer_address.ip(), ADMIN_PORT);
+        let mut stream = TcpStream::connect_timeout(&address, Duration::from_secs(1)).ok()?;
         stream.set_read_timeout(Some(Duration::from_secs(2))).ok()?;
         stream.write_all(b"GET /status HTTP/1.1\r\nHost: it\r\nConnection: close\r\n\r\n").ok()?;
         let mut text = String::new();
@@ -723,20 +750,21 @@
     /// Loses machines and replaces them by empty ones. Waits until all others know that the old incarnations
     /// have ended, and all senders report that another loss can be borne.
     pub fn lose_and_replace(&mut self, lost: &[usize]) {
-        let n = self.senders.len();
-        let failure_text = |i: usize| format!("n{i} has failed or is unreachable");
-        let others: Vec<usize> = (0..n).filter(|i| !lost.contains(i)).collect();
+        let sender_count = self.senders.len();
+        let failure_text = |sender: usize| format!("n{sender} has failed or is unreachable");
+        let others: Vec<usize> = (0..sender_count).filter(|sender| !lost.contains(sender)).collect();
         let known_losses = |fleet: &Self| -> usize {
-            let reports =
-                |&at: &usize| lost.iter().map(|&i| fleet.log_count(at, &failure_text(i))).sum::<usize>();
-            others.iter().map(reports).sum()
+            let reports_of = |&other: &usize| {
+                lost.iter().map(|&sender| fleet.log_count(other, &failure_text(sender))).sum::<usize>()
+            };
+            others.iter().map(reports_of).sum()
         };
         let before = known_losses(self);
-        lost.iter().for_each(|&i| self.lose_machine(i));
+        lost.iter().for_each(|&sender| self.lose_machine(sender));
         self.set_behavior(Behavior::Serve);
-        let starts: Vec<_> = lost.iter().map(|&i| (i, self.spawn(i))).collect();
-        for (i, started) in starts {
-            self.senders[i].address = started.join().expect("it started");
+        let starts: Vec<_> = lost.iter().map(|&sender| (sender, self.spawn(sender))).collect();
+        for (sender, started) in starts {
+            self.senders[sender].address = started.join().expect("the process starts");
         }
         wait_until("all others know of the loss", || {
             known_losses(self) >= before + lost.len() * others.len()
@@ -746,23 +774,29 @@
 
     /// Waits until all senders report that another loss can be borne.
     pub fn wait_until_redundant(&self) {
-        let is_redundant = |i| self.status(i).is_some_and(|s| s["bears_another_loss"] == true);
+        let is_redundant = |sender| self.status(sender).is_some_and(|s| s["bears_another_loss"] == true);
         wait_until("another loss can be borne", || (0..self.senders.len()).all(is_redundant));
     }
 
     /// Returns how many lines of a sender's log contain this text.
-    pub fn log_count(&self, i: usize, what: &str) -> usize {
-        self.senders[i].log.lock().expect("not poisoned").iter().filter(|l| l.contains(what)).count()
+    pub fn log_count(&self, sender: usize, text: &str) -> usize {
+        self.senders[sender]
+            .log
+            .lock()
+            .expect("not poisoned")
+            .iter()
+            .filter(|line| line.contains(text))
+            .count()
     }
 
     /// Waits until a sender's log contains this text.
-    pub fn wait_for_log(&self, i: usize, what: &str) {
-        wait_until(&format!("n{i}: {what}"), || self.log_count(i, what) > 0);
+    pub fn wait_for_log(&self, sender: usize, text: &str) {
+        wait_until(&format!("n{sender}: {text}"), || self.log_count(sender, text) > 0);
     }
 
     /// Waits until the log of any sender contains this text.
-    pub fn wait_for_log_of_any(&self, what: &str) {
-        wait_until(what, || (0..self.senders.len()).any(|i| self.log_count(i, what) > 0));
+    pub fn wait_for_log_of_any(&self, text: &str) {
+        wait_until(text, || (0..self.senders.len()).any(|sender| self.log_count(sender, text) > 0));
     }
 }
 
@@ -788,26 +822,27 @@
 const ZONES: [char; 3] = ['a', 'b', 'c'];
 
 /// Returns the zone of a sender.
-fn zone(i: usize) -> char {
-    ZONES[i % 3]
+fn zone(sender: usize) -> char {
+    ZONES[sender % 3]
 }
 
 /// Records a call at an endpoint and returns the reply that the test's settings call for.
 fn handle_call(endpoint_state: &Mutex<EndpointState>, zone: char, dest: u64, call: &HttpMessage) -> Reply {
     let id = call.header("x-request-id").to_owned();
-    let mut all = endpoint_state.lock().expect("not poisoned");
-    all.call_log.push((Instant::now(), zone, dest));
-    if all.down_zones.contains(&zone) && all.down_destinations.as_ref().is_none_or(|d| d.contains(&dest)) {
+    let mut state = endpoint_state.lock().expect("not poisoned");
+    state.call_log.push((Instant::now(), zone, dest));
+    if state.down_zones.contains(&zone) && state.down_destinations.as_ref().is_none_or(|d| d.contains(&dest))
+    {
         return Reply::Close;
     }
-    *all.calls.entry(id.clone()).or_default() += 1;
-    let behavior = all.behavior.unwrap_or(Behavior::Serve);
+    *state.calls.entry(id.clone()).or_default() += 1;
+    let behavior = state.behavior.unwrap_or(Behavior::Serve);
     if !matches!(behavior, Behavior::Refuse | Behavior::RefuseWithRetryAfter) {
-        *all.runs.entry(id.clone()).or_default() += 1;
+        *state.runs.entry(id.clone()).or_default() += 1;
     }
     match behavior {
         Behavior::Serve => {
-            all.answered.insert(id);
+            state.answered.insert(id);
             response("200 OK", "", "")
         }
         Behavior::Refuse => response("503 Busy", "", ""),
--- a/crates/daemon/tests/fleet/main.rs
+++ b/crates/daemon/tests/fleet/main.rs
@@ -28,7 +28,7 @@
     fleet.lose_machine(0);
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     fleet.wait_for_log_of_any("messages of n0");
     let delivered = ids.iter().filter(|id| fleet.was_answered(**id)).count();
     assert!(delivered > 20, "messages that never ran are sent by the new owner, payments too: {delivered}");
@@ -48,30 +48,37 @@
     fleet.start(0);
     assert_eq!(fleet.submit(0, "payment", 4, LONG).status(), 202);
     fleet.wait_until_all_ended(&[4]);
-    assert_eq!((fleet.calls(2), fleet.platform.has_notice(2)), (0, false), "withdrawn everywhere");
+    assert_eq!(
+        (fleet.calls(2), fleet.platform.has_notice(2)),
+        (0, false),
+        "the message is withdrawn everywhere"
+    );
 }
 
 /// Submits a payment whose 202 is not sent, and loses its sender once these replicas have written it. The
 /// payment must be neither acknowledged nor sent in addition to the one that its client submits again under
 /// another id.
-fn lose_before_acknowledgement(mut fleet: Fleet, replicas: &[usize]) {
-    let mut client = TcpStream::connect(fleet.senders[0].address).expect("a connection");
+fn assert_loss_before_acknowledgement_sends_nothing(mut fleet: Fleet, replicas: &[usize]) {
+    let mut client = TcpStream::connect(fleet.senders[0].address).expect("the connection is accepted");
     let id = format!("{:016x}", 2);
     let mut request = "POST /payment HTTP/1.1\r\nHost: it\r\nContent-Length: 16\r\n".to_owned();
     for (name, value) in headers(&id, "payment", "50000", "dest=3") {
         request += &format!("{name}: {value}\r\n");
     }
-    client.write_all(format!("{request}\r\nnot-yet-promised").as_bytes()).expect("written");
+    client.write_all(format!("{request}\r\nnot-yet-promised").as_bytes()).expect("the bytes are written");
     for &i in replicas {
         wait_until("a replica's record", || fleet.has_written(i, b"not-yet-promised"));
     }
     // The sender is stopped first, so that it sends nothing more, whatever its links still hold.
     fleet.signal(0, "-STOP");
-    client.set_read_timeout(Some(Duration::from_millis(50))).expect("an option");
+    client.set_read_timeout(Some(Duration::from_millis(50))).expect("the read timeout is set");
     let mut bytes = [0; 12];
     let received =
         client.read(&mut bytes).is_ok_and(|n| n > 0).then(|| String::from_utf8_lossy(&bytes).into_owned());
-    assert!(received.as_ref().is_none_or(|h| !h.ends_with("202")), "acknowledged too early: {received:?}");
+    assert!(
+        received.as_ref().is_none_or(|head| !head.ends_with("202")),
+        "acknowledged too early: {received:?}"
+    );
     fleet.lose_machine(0);
     fleet.heal();
     assert_eq!(fleet.submit(1, "payment", 4, LONG).status(), 202);
@@ -90,7 +97,7 @@
     let fleet = Fleet::new(4, 2);
     // Only one replica receives the message.
     (2..4).for_each(|i| fleet.cut_one_way(0, i));
-    lose_before_acknowledgement(fleet, &[1]);
+    assert_loss_before_acknowledgement_sends_nothing(fleet, &[1]);
 }
 
 #[test]
@@ -98,7 +105,7 @@
     let fleet = Fleet::new(3, 1);
     // Both replicas are asked, one after the other, and neither response arrives.
     [1, 2].into_iter().for_each(|i| fleet.cut_one_way(i, 0));
-    lose_before_acknowledgement(fleet, &[1, 2]);
+    assert_loss_before_acknowledgement_sends_nothing(fleet, &[1, 2]);
 }
 
 #[test]
@@ -108,7 +115,7 @@
     let ids = fleet.submit_many(0, 0..40, LONG);
     assert_eq!(ids.len(), 40, "the next replica is asked as well");
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -148,7 +155,7 @@
     fleet.lose_machine(0);
     fleet.heal();
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -162,7 +169,7 @@
     fleet.lose_machine(1);
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -176,7 +183,7 @@
     fleet.wait_until_all_ended(&ids);
     fleet.heal();
     fleet.wait_for_log(0, "are taken over by");
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     // The sender serves again.
     let more = fleet.submit_many(0, 100..110, LONG);
     assert!(!more.is_empty());
@@ -201,7 +208,7 @@
     for i in 0..3 {
         assert_eq!(fleet.log_count(i, "took over"), 0, "n{i}");
     }
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -216,7 +223,7 @@
     fleet.signal(0, "-CONT");
     fleet.wait_until_all_ended(&ids);
     fleet.wait_for_log(0, "are taken over by");
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -235,7 +242,7 @@
     let more = fleet.submit_many(0, 100..110, LONG);
     fleet.wait_until_all_ended(&more);
     assert_eq!(ids.iter().map(|&id| fleet.calls(id)).sum::<usize>(), calls);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -250,7 +257,7 @@
     for i in 0..3 {
         assert_eq!(fleet.log_count(i, "took over"), 0, "n{i}");
     }
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -264,7 +271,7 @@
     fleet.wait_for_log_of_any("messages of n0");
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     fleet.wait_for_log_of_any("n0 has lost its folder; a new epoch begins");
     for i in 0..3 {
         let more = fleet.submit_many(i, 100 * (i as u64 + 1)..100 * (i as u64 + 1) + 10, LONG);
@@ -281,21 +288,21 @@
     fleet.kill(0);
     let state = fleet.senders[0].folder.path().join("state");
     let backup = fleet.senders[0].folder.path().join("backup");
-    std::fs::rename(&state, &backup).expect("a folder");
-    std::fs::create_dir(&state).expect("a folder");
+    std::fs::rename(&state, &backup).expect("the folder is renamed");
+    std::fs::create_dir(&state).expect("the folder is created");
     // With an empty folder in its place the previous incarnation has ended, and others end its messages.
     fleet.start(0);
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
     // All senders know the new incarnation, and it knows them, before it ends: see the test below.
     fleet.wait_until_redundant();
-    let payments = |fleet: &Fleet| -> usize {
+    let payment_calls = |fleet: &Fleet| -> usize {
         ids.iter().filter(|id| id.is_multiple_of(2)).map(|&id| fleet.calls(id)).sum()
     };
-    let before = payments(&fleet);
+    let before = payment_calls(&fleet);
     fleet.kill(0);
-    std::fs::remove_dir_all(&state).expect("a folder");
-    std::fs::rename(&backup, &state).expect("a folder");
+    std::fs::remove_dir_all(&state).expect("the folder is removed");
+    std::fs::rename(&backup, &state).expect("the folder is renamed");
     fleet.start(0);
     fleet.wait_for_log_of_any("rejected n0: its incarnation has been replaced");
     // It has no replicas, so it accepts nothing; and it sends none of the payments that it held.
@@ -303,8 +310,8 @@
     let others = fleet.submit_many(1, 300..310, LONG);
     assert_eq!(others.len(), 10, "the others are not affected");
     fleet.wait_until_all_ended(&others);
-    assert_eq!(payments(&fleet), before);
-    fleet.assert_nothing_twice(&ids);
+    assert_eq!(payment_calls(&fleet), before);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
@@ -374,15 +381,15 @@
     assert!(ids.len() > 60, "{}", ids.len());
     fleet.heal();
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
 }
 
 #[test]
 fn foreign_peers_are_rejected_logged_once_and_affect_nothing() {
     let fleet = Fleet::new(3, 1);
-    let at = fleet.senders[0].peer_address;
+    let address = fleet.senders[0].peer_address;
     let send_bytes = |bytes: &[u8]| {
-        let mut stream = TcpStream::connect(at).expect("a connection");
+        let mut stream = TcpStream::connect(address).expect("the connection is accepted");
         let _ = stream.write_all(bytes);
         let mut rest = Vec::new();
         let _ = stream.read_to_end(&mut rest);
@@ -400,19 +407,19 @@
         send_bytes(&hello("another", "n0"));
         send_bytes(&hello("tests", "n2"));
         // Greetings cut after 0, 13, 26 and 39 bytes.
-        (0..40).step_by(13).for_each(|n| send_and_close(at, &hello("tests", "n0")[..n]));
+        (0..40).step_by(13).for_each(|length| send_and_close(address, &hello("tests", "n0")[..length]));
         // A frame longer than the limit after a valid greeting: a foreign peer under a known name.
         let long = [hello("tests", "n0"), u32::MAX.to_le_bytes().to_vec()].concat();
         send_bytes(&long);
     }
-    for (what, times) in [
+    for (text, times) in [
         ("rejected an incoming connection: the peer is not a notchpoint sender", 1),
         ("rejected an incoming connection: the peer belongs to another installation", 1),
         ("rejected an incoming connection: the peer addresses another sender", 1),
         ("link to n1 closed: a frame of 4294967295 bytes", 1),
     ] {
-        fleet.wait_for_log(0, what);
-        assert_eq!(fleet.log_count(0, what), times, "{what}");
+        fleet.wait_for_log(0, text);
+        assert_eq!(fleet.log_count(0, text), times, "{text}");
     }
     for i in 0..3 {
         let ids = fleet.submit_many(i, 100 * (i as u64 + 1)..100 * (i as u64 + 1) + 10, LONG);
@@ -421,8 +428,8 @@
     }
 }
 
-fn send_and_close(at: std::net::SocketAddr, bytes: &[u8]) {
-    let mut stream = TcpStream::connect(at).expect("a connection");
+fn send_and_close(address: std::net::SocketAddr, bytes: &[u8]) {
+    let mut stream = TcpStream::connect(address).expect("the connection is accepted");
     let _ = stream.write_all(bytes);
 }
 
@@ -436,7 +443,7 @@
     let mut client = Client::new(fleet.senders[0].address);
     client.send("POST /payment", &headers(&format!("{:016x}", 2), "payment", "50000", "dest=3"), b"");
     // The others have been asked once its own record is written.
-    wait_until("its record", || fleet.has_written(0, b"acme"));
+    wait_until("the message's record", || fleet.has_written(0, b"acme"));
     drop(client);
     fleet.heal();
     fleet.lose_machine(0);
@@ -487,7 +494,7 @@
     }
     let took = begun.elapsed() / times as u32;
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     println!("{times} rounds, {took:?} each: {} messages acknowledged, all ended", ids.len());
     assert!(ids.len() > times * 80, "{}", ids.len());
 }
@@ -513,7 +520,7 @@
     fleet.lose_machine(0);
     fleet.set_behavior(Behavior::Serve);
     fleet.wait_until_all_ended(&ids);
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     fleet.wait_for_log_of_any("messages of n0");
     let delivered = ids.iter().filter(|id| fleet.was_answered(**id)).count();
     assert!(delivered > ids.len() / 2, "{delivered}");
@@ -540,7 +547,7 @@
     wait_until("the end of a payment that n1 delivered", || {
         payments.iter().any(|&id| fleet.was_answered(id) && fleet.platform.has_notice(id))
     });
-    fleet.assert_nothing_twice(&ids);
+    fleet.assert_payments_ran_at_most_once(&ids);
     assert!(payments.iter().any(|&id| fleet.runs(id) == 1));
 }
 
--- a/crates/daemon/tests/fleet/zones.rs
+++ b/crates/daemon/tests/fleet/zones.rs
@@ -21,23 +21,23 @@
 }
 
 impl Load {
-    fn on(fleet: &Fleet, senders: impl Iterator<Item = usize>) -> Self {
+    fn start(fleet: &Fleet, senders: impl Iterator<Item = usize>) -> Self {
         let is_over = Arc::<AtomicBool>::default();
-        let client = |i: usize| {
-            let (address, is_over) = (fleet.senders[i].address, is_over.clone());
+        let start_client = |sender: usize| {
+            let (address, is_over) = (fleet.senders[sender].address, is_over.clone());
             std::thread::spawn(move || {
                 for n in 0.. {
                     if is_over.load(Ordering::Relaxed) {
                         return;
                     }
-                    let id = 1_000_000 * (i as u64 + 1) + n;
+                    let id = 1_000_000 * (sender as u64 + 1) + n;
                     // A sender may close a connection between two requests, so each request has its own.
                     Client::new(address).submit("update", id, 3 + n % 3, 5_000, b"hello");
                     std::thread::sleep(Duration::from_millis(15));
                 }
             })
         };
-        let clients = senders.map(client).collect();
+        let clients = senders.map(start_client).collect();
         Self { is_over, clients }
     }
 }
@@ -49,30 +49,31 @@
     }
 }
 
+/// Parts of lines that senders log.
 const FAILING: &str = "zones: b is failing";
 const ISOLATED: &str = "zones: this sender is isolated";
 
 /// Waits until the log of each sender contains this text.
-fn wait_for_log_of_all(fleet: &Fleet, what: &str) {
-    (0..SENDERS).for_each(|i| fleet.wait_for_log(i, what));
+fn wait_for_log_of_all(fleet: &Fleet, text: &str) {
+    (0..SENDERS).for_each(|sender| fleet.wait_for_log(sender, text));
 }
 
 /// Asserts that no sender's log contains this text.
-fn assert_not_logged(fleet: &Fleet, what: &str) {
-    (0..SENDERS).for_each(|i| assert_eq!(fleet.log_count(i, what), 0, "n{i}: {what}"));
+fn assert_not_logged(fleet: &Fleet, text: &str) {
+    (0..SENDERS).for_each(|sender| assert_eq!(fleet.log_count(sender, text), 0, "n{sender}: {text}"));
 }
 
 #[test]
 fn failing_zone_is_found_failing_by_all_and_serving_again_after_it_recovers() {
     let fleet = watching_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
-    wait_until("calls", || {
+    let _load = Load::start(&fleet, 0..SENDERS);
+    wait_until("n5 finds zone b serving", || {
         fleet.status_of(5, "zones").is_some_and(|z| z["found"]["b"]["standing"] == "serving")
     });
     fleet.set_zone_down('b', true);
     wait_for_log_of_all(&fleet, FAILING);
     assert_not_logged(&fleet, "zones: c is failing");
-    let status = fleet.status_of(0, "zones").expect("a status");
+    let status = fleet.status_of(0, "zones").expect("the sender reports its status");
     assert_eq!(status["found"]["b"]["standing"], "failing");
     fleet.set_zone_down('b', false);
     wait_for_log_of_all(&fleet, "zones: b is serving");
@@ -83,12 +84,12 @@
     let fleet = watching_fleet();
     fleet.set_zone_down('b', true);
     // Only one sender makes calls; the others receive its notes.
-    let _load = Load::on(&fleet, 0..1);
+    let _load = Load::start(&fleet, 0..1);
     wait_for_log_of_all(&fleet, "zones: b is doubted");
     // They continue to receive its notes.
-    let changes = |i| fleet.status_of(i, "zones").map(|z| z["found"]["b"]["failed"].as_f64());
+    let failed_calls = |sender| fleet.status_of(sender, "zones").map(|z| z["found"]["b"]["failed"].as_f64());
     wait_until("more failed calls reported", || {
-        (0..SENDERS).all(|i| changes(i).flatten().is_some_and(|n| n > 4.0))
+        (0..SENDERS).all(|sender| failed_calls(sender).flatten().is_some_and(|n| n > 4.0))
     });
     assert_not_logged(&fleet, FAILING);
 }
@@ -98,7 +99,7 @@
     let fleet = watching_fleet();
     (0..SENDERS).for_each(|i| fleet.isolate(i));
     fleet.set_zone_down('b', true);
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_log_of_all(&fleet, ISOLATED);
     assert_not_logged(&fleet, FAILING);
     fleet.heal();
@@ -120,43 +121,45 @@
     })
 }
 
-/// Returns the phase, the term and the share of a zone from a sender's status.
-fn zone_status(fleet: &Fleet, i: usize, zone: &str) -> Option<(String, u64, f64)> {
-    let status = fleet.status_of(i, "zones")?;
-    let z = &status["found"][zone];
-    Some((z["state"].as_str()?.to_owned(), z["term"].as_u64()?, z["share"].as_f64()?))
+/// Returns the phase, the term and the share of a zone from a sender's status; `None` if the sender does not
+/// respond or its status has no such zone. The term increases with each evacuation and each failed return;
+/// the share is the part of the zone's usual traffic that the sender gives it.
+fn zone_status(fleet: &Fleet, sender: usize, zone: &str) -> Option<(String, u64, f64)> {
+    let status = fleet.status_of(sender, "zones")?;
+    let found = &status["found"][zone];
+    Some((found["state"].as_str()?.to_owned(), found["term"].as_u64()?, found["share"].as_f64()?))
 }
 
 /// Returns whether a sender gives a zone its full share; also `true` if its status has no such zone.
-fn has_full_share(fleet: &Fleet, i: usize, zone: &str) -> bool {
-    zone_status(fleet, i, zone).is_none_or(|z| z.2 >= 1.0)
+fn has_full_share(fleet: &Fleet, sender: usize, zone: &str) -> bool {
+    zone_status(fleet, sender, zone).is_none_or(|status| status.2 >= 1.0)
 }
 
 /// Waits until each sender gives the zone less than its full share.
 fn wait_until_all_evacuated(fleet: &Fleet, zone: &str) {
     wait_until(&format!("all senders evacuate {zone}"), || {
-        (0..SENDERS).all(|i| !has_full_share(fleet, i, zone))
+        (0..SENDERS).all(|sender| !has_full_share(fleet, sender, zone))
     });
 }
 
 /// Waits until each sender gives the zone its full share.
 fn wait_until_all_returned(fleet: &Fleet, zone: &str) {
     wait_until(&format!("all senders return to {zone}"), || {
-        (0..SENDERS).all(|i| has_full_share(fleet, i, zone))
+        (0..SENDERS).all(|sender| has_full_share(fleet, sender, zone))
     });
 }
 
 /// Returns the number of calls that a zone's endpoints received since then.
 fn zone_calls_since(fleet: &Fleet, zone: char, since: Instant) -> usize {
     let endpoint_state = fleet.endpoint_state.lock().expect("not poisoned");
-    endpoint_state.call_log.iter().filter(|c| c.0 >= since && c.1 == zone).count()
+    endpoint_state.call_log.iter().filter(|call| call.0 >= since && call.1 == zone).count()
 }
 
-/// Waits for `n` further calls at any endpoints: a span that is measured in calls, not in seconds.
-fn wait_for_calls(fleet: &Fleet, n: usize) {
-    let all = || fleet.endpoint_state.lock().expect("not poisoned").call_log.len();
-    let before = all();
-    wait_until("calls", || all() >= before + n);
+/// Waits for this number of further calls at any endpoints: a span that is measured in calls, not in seconds.
+fn wait_for_calls(fleet: &Fleet, further: usize) {
+    let all_calls = || fleet.endpoint_state.lock().expect("not poisoned").call_log.len();
+    let before = all_calls();
+    wait_until("further calls", || all_calls() >= before + further);
 }
 
 const EVACUATED: &str = "zones: b is left";
@@ -164,22 +167,22 @@
 #[test]
 fn failing_zone_is_evacuated_by_all_and_the_return_keeps_within_its_endpoints_capacity() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_500);
-    // The usual call rate at an endpoint of the zone.
+    // The usual rate of calls per second at an endpoint of the zone.
     let begun = Instant::now();
     wait_for_calls(&fleet, 1_500);
-    let usual = zone_calls_since(&fleet, 'b', begun) as f64 / 3.0 / begun.elapsed().as_secs_f64();
+    let usual_rate = zone_calls_since(&fleet, 'b', begun) as f64 / 3.0 / begun.elapsed().as_secs_f64();
     fleet.set_zone_down('b', true);
     wait_until_all_evacuated(&fleet, "b");
     assert_not_logged(&fleet, "zones: a is left");
     assert_not_logged(&fleet, "zones: c is left");
-    println!("{}", fleet.status_of(0, "zones").expect("a status"));
+    println!("{}", fleet.status_of(0, "zones").expect("the sender reports its status"));
     // Only trial calls go to the zone.
     let left = Instant::now();
     wait_for_calls(&fleet, 1_500);
-    let tried = zone_calls_since(&fleet, 'b', left);
-    assert!(tried <= 150, "{tried} of some 1,500 calls go to an evacuated zone");
+    let trial_calls = zone_calls_since(&fleet, 'b', left);
+    assert!(trial_calls <= 150, "{trial_calls} of some 1,500 calls go to an evacuated zone");
     fleet.set_zone_down('b', false);
     let back = Instant::now();
     wait_until_all_returned(&fleet, "b");
@@ -188,18 +191,21 @@
     let (initial_share, overload_factor, overload_period) = (0.17, 2.0, 2.0);
     for dest in 3..6 {
         let times: Vec<f64> = (endpoint_state.call_log.iter())
-            .filter(|c| c.0 >= back && (c.1, c.2) == ('b', dest))
-            .map(|c| (c.0 - back).as_secs_f64())
+            .filter(|call| call.0 >= back && (call.1, call.2) == ('b', dest))
+            .map(|call| (call.0 - back).as_secs_f64())
             .collect();
-        for (n, &t) in times.iter().enumerate() {
-            let within = times[n..].iter().take_while(|&&u| u < t + overload_period).count() as f64;
-            let warmed_share = ((t + overload_period) / WARM_UP_SECONDS).min(1.0);
-            let capacity = usual.max(30.0)
+        for (n, &start) in times.iter().enumerate() {
+            let calls = times[n..].iter().take_while(|&&time| time < start + overload_period).count() as f64;
+            let warmed_share = ((start + overload_period) / WARM_UP_SECONDS).min(1.0);
+            let capacity = usual_rate.max(30.0)
                 * overload_period
                 * overload_factor
                 * (initial_share + (1.0 - initial_share) * warmed_share);
             let limit = capacity + 3.0 * capacity.sqrt() + 3.0;
-            assert!(within <= limit, "{within} calls for {dest} from {t:.1} s on, the limit is {limit:.0}");
+            assert!(
+                calls <= limit,
+                "{calls} calls for destination {dest} from {start:.1} s on, the limit is {limit:.0}"
+            );
         }
     }
 }
@@ -207,7 +213,7 @@
 #[test]
 fn failure_of_one_destination_of_one_senders_network_or_of_notes_evacuates_no_zone() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     // One destination of three fails for all senders.
     fleet.endpoint_state.lock().expect("not poisoned").down_destinations = Some([3].into());
@@ -229,12 +235,12 @@
 #[test]
 fn network_partition_between_two_live_zones_evacuates_neither() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
-    for (i, j, zone) in [(0, 1, 'b'), (3, 4, 'b'), (0, 4, 'b'), (3, 1, 'b')] {
-        fleet.set_zone_cut(i, zone, true);
-        fleet.set_zone_cut(j, 'a', true);
-        fleet.cut(i, j);
+    for (sender_in_a, sender_in_b, zone) in [(0, 1, 'b'), (3, 4, 'b'), (0, 4, 'b'), (3, 1, 'b')] {
+        fleet.set_zone_cut(sender_in_a, zone, true);
+        fleet.set_zone_cut(sender_in_b, 'a', true);
+        fleet.cut(sender_in_a, sender_in_b);
     }
     wait_for_calls(&fleet, 5_000);
     for zone in ["a", "b", "c"] {
@@ -245,18 +251,18 @@
 #[test]
 fn senders_restarted_during_an_evacuation_and_during_the_return_follow_the_others() {
     let mut fleet = evacuating_fleet();
-    let load = Load::on(&fleet, 0..SENDERS);
+    let load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     drop(load);
     fleet.set_zone_down('b', true);
-    let load = Load::on(&fleet, 0..SENDERS);
+    let load = Load::start(&fleet, 0..SENDERS);
     fleet.wait_for_log_of_any(EVACUATED);
     drop(load);
     for i in [0, 4] {
         fleet.kill(i);
         fleet.start(i);
     }
-    let load = Load::on(&fleet, 0..SENDERS);
+    let load = Load::start(&fleet, 0..SENDERS);
     wait_until_all_evacuated(&fleet, "b");
     fleet.set_zone_down('b', false);
     fleet.wait_for_log_of_any("zones: b is returned to");
@@ -265,10 +271,11 @@
         fleet.kill(i);
         fleet.start(i);
     }
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     // The restarted senders have learned the term of the evacuation, and none is in another one.
     wait_until("all have one term", || {
-        let terms: Vec<_> = (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|z| z.1)).collect();
+        let terms: Vec<_> =
+            (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|status| status.1)).collect();
         terms.len() == SENDERS && terms.iter().all(|t| *t == terms[0] && *t > 0)
     });
     wait_until_all_returned(&fleet, "b");
@@ -277,7 +284,7 @@
 #[test]
 fn sender_stopped_during_an_evacuation_and_during_the_return_follows_once_it_continues() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.signal(5, "-STOP");
     fleet.set_zone_down('b', true);
@@ -289,14 +296,15 @@
     wait_until("the others return to b", || [0, 1, 2, 4, 5].iter().all(|&i| has_full_share(&fleet, i, "b")));
     fleet.signal(3, "-CONT");
     wait_until_all_returned(&fleet, "b");
-    let terms: Vec<u64> = (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|z| z.1)).collect();
+    let terms: Vec<u64> =
+        (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|status| status.1)).collect();
     assert!(terms.iter().all(|t| *t == terms[0]), "{terms:?}");
 }
 
 #[test]
 fn sender_isolated_during_an_evacuation_changes_nothing_and_follows_once_notes_arrive() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.isolate(3);
     fleet.wait_for_log(3, ISOLATED);
@@ -311,7 +319,7 @@
 #[test]
 fn two_failing_zones_are_evacuated_and_the_last_zone_never() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.set_zone_down('b', true);
     std::thread::sleep(Duration::from_secs(2));
@@ -331,49 +339,51 @@
 #[test]
 fn zone_that_recovers_only_briefly_is_retried_at_longer_intervals() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.set_zone_down('b', true);
     wait_until_all_evacuated(&fleet, "b");
-    let failed = |n: u64| {
-        let row = |i| fleet.status_of(i, "zones").and_then(|z| z["found"]["b"]["failed_in_a_row"].as_u64());
-        (0..SENDERS).all(|i| row(i).is_some_and(|f| f >= n))
+    let failed_in_a_row = |times: u64| {
+        let reported = |sender| {
+            fleet.status_of(sender, "zones").and_then(|z| z["found"]["b"]["failed_in_a_row"].as_u64())
+        };
+        (0..SENDERS).all(|sender| reported(sender).is_some_and(|n| n >= times))
     };
     for n in 2..4 {
         fleet.set_zone_down('b', false);
         wait_until("a sender returns to b", || {
-            (0..SENDERS).any(|i| zone_status(&fleet, i, "b").is_some_and(|z| z.2 > 0.0))
+            (0..SENDERS).any(|i| zone_status(&fleet, i, "b").is_some_and(|status| status.2 > 0.0))
         });
         fleet.set_zone_down('b', true);
-        wait_until("b is evacuated again", || failed(n));
+        wait_until("b is evacuated again", || failed_in_a_row(n));
     }
     let since = Instant::now();
     wait_for_calls(&fleet, 2_000);
-    let tried = zone_calls_since(&fleet, 'b', since);
-    assert!(tried <= 60, "{tried} of 2,000 calls go to a zone that fails repeatedly");
+    let trial_calls = zone_calls_since(&fleet, 'b', since);
+    assert!(trial_calls <= 60, "{trial_calls} of 2,000 calls go to a zone that fails repeatedly");
 }
 
 #[test]
 fn operators_pin_a_zone_out_and_in_by_sighup_and_an_invalid_file_changes_nothing() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
-    let write = |text: &str| {
-        for i in 0..SENDERS {
-            let file = fleet.senders[i].folder.path().join("operator.toml");
-            std::fs::write(file, text).expect("a file");
-            fleet.signal(i, "-HUP");
+    let write_and_reload = |text: &str| {
+        for sender in 0..SENDERS {
+            let file = fleet.senders[sender].folder.path().join("operator.toml");
+            std::fs::write(file, text).expect("the file is written");
+            fleet.signal(sender, "-HUP");
         }
     };
-    write("[zones]\nleave = true\nout = [\"b\"]\n");
+    write_and_reload("[zones]\nleave = true\nout = [\"b\"]\n");
     wait_until_all_evacuated(&fleet, "b");
     let since = Instant::now();
     wait_for_calls(&fleet, 500);
     assert!(zone_calls_since(&fleet, 'b', since) <= 60, "more than the calls that were in flight");
-    write("[zones]\nleave = true\nout = [\"b\"]\nstay = [\"b\"]\n");
+    write_and_reload("[zones]\nleave = true\nout = [\"b\"]\nstay = [\"b\"]\n");
     wait_for_log_of_all(&fleet, "operator's file not reloaded");
     assert!((0..SENDERS).all(|i| !has_full_share(&fleet, i, "b")));
-    write("[zones]\nleave = true\nstay = [\"b\"]\n");
+    write_and_reload("[zones]\nleave = true\nstay = [\"b\"]\n");
     wait_until_all_returned(&fleet, "b");
     fleet.set_zone_down('b', true);
     wait_until("n1 has failed calls in b", || {
@@ -386,43 +396,48 @@
 #[test]
 fn senders_of_an_evacuated_zone_redirect_clients_and_serve_those_that_still_connect() {
     let fleet = evacuating_fleet_with("give_way = true");
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
-    let up = |i: usize| Client::new(fleet.senders[i].address).request("GET /up", &[], b"").status() == 200;
-    assert!((0..SENDERS).all(up));
+    let admits_clients = |sender: usize| {
+        Client::new(fleet.senders[sender].address).request("GET /up", &[], b"").status() == 200
+    };
+    assert!((0..SENDERS).all(admits_clients));
     fleet.set_zone_down('b', true);
     wait_until_all_evacuated(&fleet, "b");
-    wait_until("the senders of b redirect clients", || !up(1) && !up(4));
-    assert!([0, 2, 3, 5].into_iter().all(up));
+    wait_until("the senders of b redirect clients", || !admits_clients(1) && !admits_clients(4));
+    assert!([0, 2, 3, 5].into_iter().all(admits_clients));
     // A client that connects all the same is served, with an endpoint of another zone.
     assert_eq!(fleet.submit(1, "update", 77, 5_000).status(), 202);
-    wait_until("it is delivered", || fleet.was_answered(77));
+    wait_until("the message is delivered", || fleet.was_answered(77));
     fleet.set_zone_down('b', false);
-    wait_until("they admit clients again", || up(1) && up(4));
+    wait_until("the senders of b admit clients again", || admits_clients(1) && admits_clients(4));
 }
 
 #[test]
 fn late_or_one_way_notes_only_delay_evacuation_and_return_and_senders_stay_in_agreement() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
-    for i in 0..SENDERS {
-        (0..SENDERS).filter(|&j| j != i).for_each(|j| fleet.delay(i, j, Duration::from_millis(1_500)));
+    for from in 0..SENDERS {
+        (0..SENDERS)
+            .filter(|&to| to != from)
+            .for_each(|to| fleet.delay(from, to, Duration::from_millis(1_500)));
     }
     // The notes of n2 reach no other sender, and n2 receives the notes of all.
-    (0..SENDERS).filter(|&j| j != 2).for_each(|j| fleet.cut_one_way(2, j));
+    (0..SENDERS).filter(|&to| to != 2).for_each(|to| fleet.cut_one_way(2, to));
     fleet.set_zone_down('b', true);
     wait_until_all_evacuated(&fleet, "b");
     fleet.set_zone_down('b', false);
     wait_until_all_returned(&fleet, "b");
-    let terms: Vec<_> = (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|z| z.1)).collect();
+    let terms: Vec<_> =
+        (0..SENDERS).filter_map(|i| zone_status(&fleet, i, "b").map(|status| status.1)).collect();
     assert!(terms.len() == SENDERS && terms.iter().all(|t| *t == terms[0]), "{terms:?}");
 }
 
 #[test]
 fn destination_that_still_serves_in_a_failing_zone_is_called_there_as_before() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_500);
     fleet.endpoint_state.lock().expect("not poisoned").down_destinations = Some([3, 4].into());
     fleet.set_zone_down('b', true);
@@ -430,16 +445,21 @@
     let since = Instant::now();
     wait_for_calls(&fleet, 3_000);
     let endpoint_state = fleet.endpoint_state.lock().expect("not poisoned");
-    let of =
-        |dest| endpoint_state.call_log.iter().filter(|c| c.0 >= since && (c.1, c.2) == ('b', dest)).count();
-    let (three, four, five) = (of(3), of(4), of(5));
+    let calls_for = |dest| {
+        endpoint_state
+            .call_log
+            .iter()
+            .filter(|call| call.0 >= since && (call.1, call.2) == ('b', dest))
+            .count()
+    };
+    let (three, four, five) = (calls_for(3), calls_for(4), calls_for(5));
     assert!(five > 100 && three + four < five / 2, "{three}, {four} and {five} calls of 3,000");
 }
 
 #[test]
 fn destination_with_endpoints_only_in_the_evacuated_zone_is_still_called_there() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet
         .platform
@@ -461,21 +481,22 @@
 #[test]
 fn evacuated_zone_that_leaves_the_list_and_is_listed_under_new_ids_is_returned_to_step_by_step() {
     let fleet = evacuating_fleet();
-    let _load = Load::on(&fleet, 0..SENDERS);
+    let _load = Load::start(&fleet, 0..SENDERS);
     wait_for_calls(&fleet, 1_000);
     fleet.set_zone_down('b', true);
     wait_until_all_evacuated(&fleet, "b");
-    let lines =
-        |name, phase| -> Vec<String> { (3..6).map(|d| fleet.list_entry('b', d, name, phase)).collect() };
-    fleet.platform.publish(50, &lines("s", "removed"));
+    let entries = |name, phase| -> Vec<String> {
+        (3..6).map(|dest| fleet.list_entry('b', dest, name, phase)).collect()
+    };
+    fleet.platform.publish(50, &entries("s", "removed"));
     wait_for_calls(&fleet, 500);
     fleet.set_zone_down('b', false);
     let back = Instant::now();
-    fleet.platform.publish(51, &lines("t", "up"));
+    fleet.platform.publish(51, &entries("t", "up"));
     // New ids are no evidence that the zone recovered: it gets trial calls, not all calls at once.
     wait_for_calls(&fleet, 300);
-    let called = zone_calls_since(&fleet, 'b', back);
-    assert!(called <= 60, "{called} of 300 calls");
+    let trial_calls = zone_calls_since(&fleet, 'b', back);
+    assert!(trial_calls <= 60, "{trial_calls} of 300 calls");
     wait_until_all_returned(&fleet, "b");
     let since = Instant::now();
     wait_for_calls(&fleet, 1_500);
--- a/crates/daemon/tests/layers.rs
+++ b/crates/daemon/tests/layers.rs
@@ -8,7 +8,7 @@
 
 fn packages() -> Vec<PathBuf> {
     let crates = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
-    let all = std::fs::read_dir(crates).expect("a folder").flatten().map(|e| e.path());
+    let all = std::fs::read_dir(crates).expect("the folder is readable").flatten().map(|e| e.path());
     all.filter(|p| p.join("Cargo.toml").exists()).collect()
 }
 
@@ -28,10 +28,10 @@
 
 /// Returns the imports between the files of a module group: a folder whose own file only declares them.
 fn imports_within(group: &Path) -> Imports {
-    let name = group.file_name().and_then(|n| n.to_str()).expect("a name");
+    let name = group.file_name().and_then(|n| n.to_str()).expect("the file name is UTF-8");
     let mut imports = modules(group);
     for (file, uses) in &mut imports {
-        let text = std::fs::read_to_string(group.join(format!("{file}.rs"))).expect("a file");
+        let text = std::fs::read_to_string(group.join(format!("{file}.rs"))).expect("the file is readable");
         let text = text.split("#[cfg(test)]").next().unwrap_or_default();
         let path = format!("crate::{name}::");
         let words = text.split(&path).skip(1).map(|rest| {
@@ -56,14 +56,14 @@
     let mut imports = Imports::new();
     let mut folders = vec![(folder.to_owned(), None::<String>)];
     while let Some((folder, module)) = folders.pop() {
-        for path in std::fs::read_dir(folder).expect("a folder").flatten().map(|e| e.path()) {
-            let stem = path.file_stem().and_then(|n| n.to_str()).expect("a name").to_owned();
+        for path in std::fs::read_dir(folder).expect("the folder is readable").flatten().map(|e| e.path()) {
+            let stem = path.file_stem().and_then(|n| n.to_str()).expect("the file name is UTF-8").to_owned();
             let name = module.clone().unwrap_or(stem);
             if path.is_dir() {
                 folders.push((path, Some(name)));
                 continue;
             }
-            let text = std::fs::read_to_string(&path).expect("a file");
+            let text = std::fs::read_to_string(&path).expect("the file is readable");
             // Imports of tests do not count.
             let text = text.split("#[cfg(test)]").next().unwrap_or_default();
             let words = text.split("crate::").skip(1).map(|rest| {
@@ -93,7 +93,10 @@
         files += imports.len();
         let left = cycles(imports);
         assert!(left.is_empty(), "{}: a cycle among {left:?}", package.display());
-        let folders = std::fs::read_dir(package.join("src")).expect("a folder").flatten().map(|e| e.path());
+        let folders = std::fs::read_dir(package.join("src"))
+            .expect("the folder is readable")
+            .flatten()
+            .map(|e| e.path());
         for group in folders.filter(|f| f.is_dir() && is_group(f)) {
             let imports = imports_within(&group);
             (files, groups) = (files + imports.len() - 1, groups + 1);
@@ -110,11 +113,11 @@
 fn decision_packages_import_no_store_and_no_sockets() {
     let mut uses = Imports::new();
     for package in packages() {
-        let text = std::fs::read_to_string(package.join("Cargo.toml")).expect("a file");
+        let text = std::fs::read_to_string(package.join("Cargo.toml")).expect("the file is readable");
         let name = text
             .lines()
             .find_map(|l| l.strip_prefix("name = "))
-            .expect("a name")
+            .expect("the manifest has a name")
             .trim_matches('"')
             .to_owned();
         let dependencies = text.split("[dev-dependencies]").next().unwrap_or_default();
