--- a/crates/recorder/examples/cost.rs
+++ b/crates/recorder/examples/cost.rs
@@ -11,7 +11,7 @@
 const LIMIT_BYTES: u64 = 16_000_000;
 const TICK_US: Micros = 5_000;
 const DESTINATIONS: u64 = 20;
-/// Turns played with one recorder before the next one follows.
+/// The number of turns with one sender before the next sender's turns.
 const TURNS_PER_ROUND: u64 = 2_000;
 
 fn settings() -> Settings {
@@ -57,21 +57,23 @@
 }
 
 /// A sender whose calls take 100 ms, with a recorder or without.
-struct Lane {
+struct MeasuredSender {
     name: &'static str,
     sender: Sender,
     recorder: Option<Recorder>,
     now: Micros,
+    /// The calls in flight, with the time at which each was started.
     in_flight: Vec<(Micros, MessageId)>,
     messages: u64,
+    /// The real time that all rounds took.
     elapsed: Duration,
 }
 
-impl Lane {
+impl MeasuredSender {
     fn new(name: &'static str, recorder: Option<Recorder>) -> Self {
-        let sender = Sender::new(settings(), 1).expect("sound");
+        let sender = Sender::new(settings(), 1).expect("the settings are valid");
         let (now, in_flight, elapsed) = (100_000_000, Vec::new(), Duration::ZERO);
-        let mut lane = Self { name, sender, recorder, now, in_flight, messages: 0, elapsed };
+        let mut measured = Self { name, sender, recorder, now, in_flight, messages: 0, elapsed };
         let entries = (0..DESTINATIONS).map(|n| ListEntry {
             endpoint: EndpointId(n),
             dest: DestinationId(n),
@@ -79,15 +81,17 @@
             kind: 0,
             phase: Phase::Live,
         });
-        lane.turn(vec![Event::List(ListUpdate::Whole(entries.collect()))]);
-        lane
+        measured.run_turn(vec![Event::List(ListUpdate::Whole(entries.collect()))]);
+        measured
     }
 
-    fn turn(&mut self, events: Vec<Event>) {
+    fn run_turn(&mut self, events: Vec<Event>) {
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
-        if let Some(r) = &mut self.recorder {
-            r.record_turn(self.now, self.now, &events, &actions, &self.sender).expect("recorded");
+        if let Some(recorder) = &mut self.recorder {
+            recorder
+                .record_turn(self.now, self.now, &events, &actions, &self.sender)
+                .expect("the turn is recorded");
         }
         for a in actions {
             if let Action::Send { id, .. } = a {
@@ -96,12 +100,12 @@
         }
     }
 
-    fn play(&mut self) {
+    fn run_round(&mut self) {
         let started = Instant::now();
         for n in 0..TURNS_PER_ROUND {
             self.now += TICK_US;
             let now = self.now;
-            let ended = self.in_flight.extract_if(.., |o| now >= o.0 + 100_000);
+            let ended = self.in_flight.extract_if(.., |call| now >= call.0 + 100_000);
             let end_event = |(_, id)| Event::Ended {
                 id,
                 attempt: 0,
@@ -123,13 +127,13 @@
                     expires_in: 6_000_000,
                 }));
             }
-            self.turn(events);
+            self.run_turn(events);
         }
         self.elapsed += started.elapsed();
     }
 }
 
-fn recorder(store: Box<dyn notchpoint_recorder::store::SegmentStore>) -> Option<Recorder> {
+fn start_recorder(store: Box<dyn notchpoint_recorder::store::SegmentStore>) -> Option<Recorder> {
     let (sender, classes) = ("n0".into(), vec!["status-update".into(), "order-payment".into()]);
     let options = Options { limit_bytes: LIMIT_BYTES, sender, classes, settings: settings(), seed: 1 };
     Recorder::start(options, store, &[], 100_000_000, 100_000_000).ok()
@@ -139,27 +143,27 @@
     let mut args = std::env::args().skip(1);
     let turns: u64 = args.next().and_then(|a| a.parse().ok()).unwrap_or(1_000_000);
     let folder = args.next().unwrap_or_else(|| "recording-cost".into());
-    let (store, existing) = FolderStore::open(Path::new(&folder)).expect("a folder");
+    let (store, existing) = FolderStore::open(Path::new(&folder)).expect("the folder can be opened");
     assert!(existing.is_empty(), "{folder} contains a recording already");
-    let mut lanes = [
-        Lane::new("off", None),
-        Lane::new("memory", recorder(Box::new(MemoryStore::default()))),
-        Lane::new("folder", recorder(Box::new(store))),
+    let mut senders = [
+        MeasuredSender::new("off", None),
+        MeasuredSender::new("memory", start_recorder(Box::new(MemoryStore::default()))),
+        MeasuredSender::new("folder", start_recorder(Box::new(store))),
     ];
     for _ in 0..turns / TURNS_PER_ROUND {
-        lanes.iter_mut().for_each(Lane::play);
+        senders.iter_mut().for_each(MeasuredSender::run_round);
     }
-    let off = lanes[0].elapsed;
+    let off = senders[0].elapsed;
     println!("recorder  us a message  more than off  bytes kept");
-    for l in &lanes {
-        let per_message = |d: Duration| d.as_secs_f64() * 1e6 / l.messages.max(1) as f64;
-        let kept = l.recorder.as_ref().map_or(0, Recorder::size);
+    for measured in &senders {
+        let per_message = |d: Duration| d.as_secs_f64() * 1e6 / measured.messages.max(1) as f64;
+        let kept = measured.recorder.as_ref().map_or(0, Recorder::size);
         println!(
             "{:<8} {:>13.2} {:>14.2} {kept:>11}",
-            l.name,
-            per_message(l.elapsed),
-            per_message(l.elapsed.saturating_sub(off))
+            measured.name,
+            per_message(measured.elapsed),
+            per_message(measured.elapsed.saturating_sub(off))
         );
     }
-    std::fs::remove_dir_all(&folder).expect("removed");
+    std::fs::remove_dir_all(&folder).expect("the folder is removed");
 }
--- a/crates/recorder/src/explain.rs
+++ b/crates/recorder/src/explain.rs
@@ -150,9 +150,9 @@
     pub points: Vec<RouteSample>,
     /// The window cuts of the selected destination.
     pub cuts: Vec<Cut>,
-    /// The held time of all messages, selected or not, by the module's count of waiting messages.
+    /// The held time of all messages, selected or not, computed from the module's count of waiting messages.
     pub held_by_count: Micros,
-    /// The same by the spans. If both are equal, the spans have neither gaps nor overlaps.
+    /// The same time, computed from the spans. If both are equal, the spans have neither gaps nor overlaps.
     pub held_by_spans: Micros,
     /// Steps of the Unix clock: the time on the module's clock, and the size in microseconds.
     pub clock_steps: Vec<(Micros, i64)>,
@@ -160,12 +160,15 @@
     pub gaps: Vec<(Micros, Micros)>,
 }
 
-/// An open message and its current span.
-struct Track {
+/// A message that has not ended, and its current span.
+struct OpenMessage {
+    /// The timeline up to the current span.
     timeline: MessageTimeline,
     state: MessageState,
     endpoint: Option<String>,
+    /// The start of the current span.
     from: Micros,
+    /// What began the current span.
     began: String,
 }
 
@@ -174,7 +177,7 @@
     query: Query,
     finished: Vec<Explanation>,
     current: Explanation,
-    open: BTreeMap<MessageId, Track>,
+    open: BTreeMap<MessageId, OpenMessage>,
     classes: Vec<String>,
     endpoints: BTreeMap<EndpointId, String>,
     waiting_count: usize,
@@ -222,8 +225,8 @@
         let last_turn_at = self.last_turn_at;
         for id in self.open.keys().copied().collect::<Vec<_>>() {
             self.end_span(id, last_turn_at, reason);
-            if let Some(track) = self.open.remove(&id) {
-                self.keep_if_selected(track.timeline);
+            if let Some(message) = self.open.remove(&id) {
+                self.keep_if_selected(message.timeline);
             }
         }
         let mut explanation = std::mem::take(&mut self.current);
@@ -234,7 +237,7 @@
         explanation.totals.sort_by_key(|t| std::cmp::Reverse(t.held));
         explanation.dests = std::mem::take(&mut self.held_by_dest).into_iter().collect();
         explanation.dests.sort_by_key(|d| std::cmp::Reverse(d.1));
-        explanation.timelines.sort_by_key(|c| c.spans.first().map_or(0, |s| s.from));
+        explanation.timelines.sort_by_key(|t| t.spans.first().map_or(0, |s| s.from));
         self.routes.clear();
         self.finished.push(explanation);
     }
@@ -272,35 +275,43 @@
     fn end_span(&mut self, id: MessageId, at: Micros, reason: &str) {
         let (from, to) = self.period();
         let is_selected_dest = |dest| self.query.dest.is_none_or(|d| d.0 == dest);
-        let Some(track) = self.open.get_mut(&id) else { return };
-        if at > track.from {
-            let (began, ended) = (std::mem::take(&mut track.began), reason.to_owned());
+        let Some(message) = self.open.get_mut(&id) else { return };
+        if at > message.from {
+            let (began, ended) = (std::mem::take(&mut message.began), reason.to_owned());
             let span = Span {
-                from: track.from,
+                from: message.from,
                 to: at,
-                state: track.state,
-                endpoint: track.endpoint.take(),
+                state: message.state,
+                endpoint: message.endpoint.take(),
                 began,
                 ended,
             };
-            track.timeline.spans.push(span);
-            if let MessageState::Held(guard) = track.state {
-                self.current.held_by_spans += at - track.from;
-                let selected_time = at.min(to).saturating_sub(track.from.max(from));
+            message.timeline.spans.push(span);
+            if let MessageState::Held(guard) = message.state {
+                self.current.held_by_spans += at - message.from;
+                let selected_time = at.min(to).saturating_sub(message.from.max(from));
                 let is_selected_id = self.query.message.is_none_or(|m| m == id);
-                if selected_time > 0 && is_selected_id && is_selected_dest(track.timeline.dest) {
+                if selected_time > 0 && is_selected_id && is_selected_dest(message.timeline.dest) {
                     let total = self.held.entry(guard).or_default();
                     total.0 += selected_time;
                     total.1.insert(id);
-                    *self.held_by_dest.entry(track.timeline.dest).or_default() += selected_time;
+                    *self.held_by_dest.entry(message.timeline.dest).or_default() += selected_time;
                 }
             }
         }
-        (track.from, track.began) = (at, reason.to_owned());
+        (message.from, message.began) = (at, reason.to_owned());
     }
 
     /// Starts the timeline of a message.
-    fn track(&mut self, id: MessageId, class: u32, dest: u64, at: Micros, began: &str, from_before: bool) {
+    fn begin_timeline(
+        &mut self,
+        id: MessageId,
+        class: u32,
+        dest: u64,
+        at: Micros,
+        began: &str,
+        from_before: bool,
+    ) {
         let timeline = MessageTimeline {
             id: format!("{:016x}", id.0),
             class: self.class_name(class),
@@ -310,15 +321,15 @@
             end: None,
         };
         let (state, endpoint, began) = (MessageState::Held(Guard::Order), None, began.to_owned());
-        self.open.insert(id, Track { timeline, state, endpoint, from: at, began });
+        self.open.insert(id, OpenMessage { timeline, state, endpoint, from: at, began });
     }
 
     /// Ends the timeline of a message.
-    fn end(&mut self, id: MessageId, at: Micros, how: &str) {
+    fn end_timeline(&mut self, id: MessageId, at: Micros, how: &str) {
         self.end_span(id, at, how);
-        if let Some(mut track) = self.open.remove(&id) {
-            track.timeline.end = Some(how.to_owned());
-            self.keep_if_selected(track.timeline);
+        if let Some(mut message) = self.open.remove(&id) {
+            message.timeline.end = Some(how.to_owned());
+            self.keep_if_selected(message.timeline);
         }
     }
 
@@ -400,7 +411,7 @@
                 continue;
             }
             if let Some((cut_at, outcome)) =
-                view.last_cut.filter(|c| old.as_ref().is_none_or(|o| o.last_cut != Some(*c)))
+                view.last_cut.filter(|cut| old.as_ref().is_none_or(|o| o.last_cut != Some(*cut)))
             {
                 let cause = describe_outcome(outcome);
                 let before = old.as_ref().map_or(view.window, |o| o.window);
@@ -501,7 +512,7 @@
         let holds: BTreeMap<MessageId, Guard> =
             sender.holds().into_iter().map(|(id, _, h)| (id, h.guard)).collect();
         for (id, class, dest, in_flight) in sender.open_messages() {
-            self.track(id, class, dest.0, header.at, "held before the recording begins", true);
+            self.begin_timeline(id, class, dest.0, header.at, "held before the recording begins", true);
             if let Some(t) = self.open.get_mut(&id) {
                 t.state = if in_flight {
                     MessageState::InFlight
@@ -519,7 +530,7 @@
         for e in &turn.events {
             match e {
                 Event::Taken(m) | Event::Resumed { message: m, .. } if !self.open.contains_key(&m.id) => {
-                    self.track(m.id, m.class, m.dest.0, turn.at, &describe_event(e), false);
+                    self.begin_timeline(m.id, m.class, m.dest.0, turn.at, &describe_event(e), false);
                 }
                 Event::Ended { id, outcome, is_final, .. } if *is_final || *outcome == Outcome::Served => {
                     let how = if *outcome == Outcome::Served {
@@ -527,16 +538,16 @@
                     } else {
                         "ended: no result is needed any more"
                     };
-                    self.end(*id, turn.at, how);
+                    self.end_timeline(*id, turn.at, how);
                 }
-                Event::Withdrawn(id) => self.end(*id, turn.at, "withdrawn"),
+                Event::Withdrawn(id) => self.end_timeline(*id, turn.at, "withdrawn"),
                 _ => {}
             }
         }
         for a in &turn.actions {
             match a {
-                Action::Refuse { id, .. } => self.end(*id, turn.at, "refused"),
-                Action::Fail { id } => self.end(*id, turn.at, "given up"),
+                Action::Refuse { id, .. } => self.end_timeline(*id, turn.at, "refused"),
+                Action::Fail { id } => self.end_timeline(*id, turn.at, "given up"),
                 _ => {}
             }
         }
--- a/crates/recorder/src/fleet.rs
+++ b/crates/recorder/src/fleet.rs
@@ -92,10 +92,15 @@
 /// The counts of a fleet.
 #[derive(Debug, Default)]
 pub struct FleetCounts {
+    /// By Unix second and the zone's index in the configuration.
     zones: BTreeMap<(u64, u32), ZoneCounts>,
+    /// By Unix second and destination.
     cells: BTreeMap<(u64, DestinationId), DestinationCounts>,
+    /// By Unix second.
     shared: BTreeMap<u64, SharedCounts>,
+    /// Senders whose recordings were read.
     senders: u32,
+    /// Counts that were dropped because there were too many cells.
     left_out: u64,
 }
 
@@ -107,11 +112,14 @@
     unix_offset: i128,
     /// Whether each kind bundles messages, by index.
     bundles: Vec<bool>,
+    /// The destination and the kind of each listed endpoint.
     endpoints: BTreeMap<EndpointId, (DestinationId, u32)>,
+    /// The destination of each open message.
     messages: BTreeMap<MessageId, DestinationId>,
     /// Calls in flight, by message and attempt: the destination, and whether the message is the first of its
     /// call. Only the first message of a bundle counts the end of the call.
     calls: BTreeMap<(MessageId, u32), (DestinationId, bool)>,
+    /// The number of attempts made for each open message.
     attempts: BTreeMap<MessageId, u32>,
 }
 
@@ -342,25 +350,27 @@
             "idle",
             "senders"
         );
-        for ((s, d), c) in self.cells.iter().filter(|((_, d), _)| dest.is_none_or(|only| only == *d)) {
+        for ((second, cell_dest), counts) in
+            self.cells.iter().filter(|((_, d), _)| dest.is_none_or(|only| only == *d))
+        {
             let _ = writeln!(
                 out,
                 "{:>4} {:>5} {:>6} {:>6} {:>8} {:>6} {:>6} {:>5} {:>6} {:>5} {:>5} {:>6} {:>6} {:>6} {:>7}",
-                s - first,
-                d.0,
-                c.accepted,
-                c.calls,
-                c.messages,
-                c.served,
-                c.full,
-                c.timed_out,
-                c.unconnected,
-                c.reset,
-                c.other,
-                c.ended,
-                c.closed,
-                c.idle_ended,
-                c.senders.len()
+                second - first,
+                cell_dest.0,
+                counts.accepted,
+                counts.calls,
+                counts.messages,
+                counts.served,
+                counts.full,
+                counts.timed_out,
+                counts.unconnected,
+                counts.reset,
+                counts.other,
+                counts.ended,
+                counts.closed,
+                counts.idle_ended,
+                counts.senders.len()
             );
         }
         let _ = writeln!(
@@ -368,19 +378,19 @@
             "{:>4} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6} {:>6}",
             "s", "asked", "failed", "whole", "changes", "entries", "notes", "bytes", "heard"
         );
-        for (s, c) in &self.shared {
+        for (second, counts) in &self.shared {
             let _ = writeln!(
                 out,
                 "{:>4} {:>6} {:>6} {:>6} {:>8} {:>8} {:>6} {:>6} {:>6}",
-                s - first,
-                c.list_requests,
-                c.unavailable,
-                c.full_lists,
-                c.changes,
-                c.entries,
-                c.notes,
-                c.note_bytes,
-                c.notes_received
+                second - first,
+                counts.list_requests,
+                counts.unavailable,
+                counts.full_lists,
+                counts.changes,
+                counts.entries,
+                counts.notes,
+                counts.note_bytes,
+                counts.notes_received
             );
         }
         if !self.zones.is_empty() {
@@ -390,15 +400,15 @@
                 "s", "zone", "left", "part", "whole", "tries"
             );
         }
-        for ((s, zone), z) in &self.zones {
+        for ((second, zone), counts) in &self.zones {
             let _ = writeln!(
                 out,
                 "{:>4} {zone:>5} {:>6} {:>6} {:>6} {:>6}",
-                s - first,
-                z.evacuated,
-                z.partial,
-                z.full,
-                z.probes
+                second - first,
+                counts.evacuated,
+                counts.partial,
+                counts.full,
+                counts.probes
             );
         }
         if self.left_out > 0 {
--- a/crates/recorder/src/format.rs
+++ b/crates/recorder/src/format.rs
@@ -391,7 +391,7 @@
     #[test]
     fn valid_record_of_another_version_is_not_reported_as_damaged() {
         let mut bytes = MAGIC.to_vec();
-        frame(&[77], &"a record of a later version", &mut bytes).expect("fits");
+        frame(&[77], &"a record of a later version", &mut bytes).expect("the record is not too long");
         assert_eq!(Recording::read(&bytes).damage, [Damage::UnknownFormat { offset: 0 }]);
         let last = bytes.len() - 1;
         bytes[last] ^= 1;
@@ -402,8 +402,9 @@
     fn borrowed_turn_has_the_same_encoding() {
         let (events, actions) = (vec![Event::Wake], vec![Action::Watch, Action::WakeAt(7)]);
         let (mut borrowed, mut owned) = (Vec::new(), Vec::new());
-        write_turn(300, 5, &events, &actions, &mut borrowed).expect("fits");
-        write_record(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut owned).expect("fits");
+        write_turn(300, 5, &events, &actions, &mut borrowed).expect("the record is not too long");
+        write_record(&Record::Turn(Turn { number: 300, at: 5, events, actions }), &mut owned)
+            .expect("the record is not too long");
         assert_eq!(borrowed, owned);
     }
 }
--- a/crates/recorder/src/plot.rs
+++ b/crates/recorder/src/plot.rs
@@ -16,7 +16,7 @@
 /// file stays small.
 const MAX_SAMPLES: usize = 4_000;
 
-/// A value of a sample, the maximum of its scale, and its colour.
+/// A line of a panel: the value of a sample, the maximum of the scale, and the color.
 type Line<'a> = (&'a dyn Fn(&RouteSample) -> f64, f64, &'a str);
 
 /// Maps times to horizontal positions.
@@ -98,7 +98,8 @@
     scale: &TimeScale,
     top: f64,
 ) {
-    let line = |f: &dyn Fn(&RouteSample) -> f64| samples.iter().map(|p| (p.at, f(p))).collect::<Vec<_>>();
+    let timed_values =
+        |value: &dyn Fn(&RouteSample) -> f64| samples.iter().map(|s| (s.at, value(s))).collect::<Vec<_>>();
     let highest = |p: &&RouteSample| p.window.max(f64::from(p.in_flight)).max(p.admitted_rate.unwrap_or(0.0));
     let max = samples.iter().map(highest).fold(1.0, f64::max).ceil();
     let max_held = samples.iter().map(|p| p.held).max().unwrap_or(0).max(1) as f64;
@@ -123,25 +124,25 @@
         (&|p| f64::from(p.in_flight), max, "#c2571a"),
         (&|p| p.window, max, "#1f5fa8"),
     ];
-    for (value, max, colour) in lines {
-        let path = step_path(&line(value), scale, top, max);
-        let _ = write!(svg, "<path d=\"{path}\" fill=\"none\" stroke=\"{colour}\" stroke-width=\"1.4\"/>");
+    for (value, max, color) in lines {
+        let path = step_path(&timed_values(value), scale, top, max);
+        let _ = write!(svg, "<path d=\"{path}\" fill=\"none\" stroke=\"{color}\" stroke-width=\"1.4\"/>");
     }
-    for c in explanation.cuts.iter().filter(|c| c.route.as_deref() == route) {
-        let x = scale.x(c.at);
+    for cut in explanation.cuts.iter().filter(|cut| cut.route.as_deref() == route) {
+        let x = scale.x(cut.at);
         let _ = write!(
             svg,
             "<path d=\"M{x:.1} {top}V{bottom}\" stroke=\"#b00020\" stroke-dasharray=\"3 3\"><title>{:.3} s: \
              {:.1} to {:.1}, {}</title></path>",
-            c.at.saturating_sub(explanation.begins) as f64 / 1e6,
-            c.from,
-            c.to,
-            escape_xml(&c.cause)
+            cut.at.saturating_sub(explanation.begins) as f64 / 1e6,
+            cut.from,
+            cut.to,
+            escape_xml(&cut.cause)
         );
     }
-    for (n, p) in samples.iter().enumerate() {
-        let Some(guard) = p.hold else { continue };
-        let (x, to) = (scale.x(p.at), samples.get(n + 1).map_or(scale.to, |q| q.at));
+    for (n, sample) in samples.iter().enumerate() {
+        let Some(guard) = sample.hold else { continue };
+        let (x, to) = (scale.x(sample.at), samples.get(n + 1).map_or(scale.to, |next| next.at));
         let width = (scale.x(to) - x).max(0.2);
         // Each guard has the same hue in all drawings.
         let hue = (guard as u32 * 47) % 360;
--- a/crates/recorder/src/ring.rs
+++ b/crates/recorder/src/ring.rs
@@ -118,15 +118,15 @@
         // The turns of one day with a small limit: 24 h at 200 turns per second of about 100 bytes each.
         let mut ring = Ring::new(1 << 20, &[]);
         let mut rng = 7u64;
-        ring.begin(2_000).expect("space");
+        ring.begin(2_000).expect("the state fits into the limit");
         let mut max_size = 0;
         for _ in 0..24 * 3_600 * 200u64 {
             rng = rng.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
             let length = 20 + (rng >> 33) % 180;
             if ring.is_full(length) {
-                ring.begin(2_000).expect("space");
+                ring.begin(2_000).expect("the state fits into the limit");
             }
-            let plan = ring.add(length).expect("a segment");
+            let plan = ring.add(length).expect("the turn fits into the limit");
             assert_eq!(Some(plan.segment), ring.segments.back().map(|s| s.0));
             max_size = max_size.max(ring.size());
         }
@@ -144,7 +144,7 @@
     #[test]
     fn segments_of_an_earlier_process_count_and_are_removed_first() {
         let mut ring = Ring::new(1_000, &[(3, 400), (4, 400)]);
-        let plan = ring.begin(250).expect("space");
+        let plan = ring.begin(250).expect("the state fits into the limit");
         assert_eq!(plan, Plan { remove: vec![3], segment: 5 });
         assert_eq!(ring.numbers().collect::<Vec<_>>(), [4, 5]);
     }
--- a/crates/recorder/src/text.rs
+++ b/crates/recorder/src/text.rs
@@ -28,14 +28,14 @@
         let _ = writeln!(out, "  at {at:.3} s the wall clock stepped by {:+.3} s", *by as f64 / 1e6);
     }
     let _ = writeln!(out, "held time: {:.3} s over all selected messages", seconds(held));
-    for t in &explanation.totals {
-        let share = 100.0 * t.held as f64 / held.max(1) as f64;
+    for total in &explanation.totals {
+        let share = 100.0 * total.held as f64 / held.max(1) as f64;
         let _ = writeln!(
             out,
             "  {:<10} {:>10.3} s {share:>5.1} %  {} messages",
-            format!("{:?}", t.guard),
-            seconds(t.held),
-            t.messages
+            format!("{:?}", total.guard),
+            seconds(total.held),
+            total.messages
         );
     }
     if explanation.dests.len() > 1 {
@@ -46,16 +46,16 @@
     }
     if !explanation.points.is_empty() {
         let _ = writeln!(out, "window cuts: {}", explanation.cuts.len());
-        for c in explanation.cuts.iter().take(MAX_LINES) {
+        for cut in explanation.cuts.iter().take(MAX_LINES) {
             let (at, route) =
-                (seconds(c.at.saturating_sub(explanation.begins)), c.route.as_deref().unwrap_or("all"));
-            let _ = writeln!(out, "  {at:>9.3} s  {route}: {:.1} to {:.1}: {}", c.from, c.to, c.cause);
+                (seconds(cut.at.saturating_sub(explanation.begins)), cut.route.as_deref().unwrap_or("all"));
+            let _ = writeln!(out, "  {at:>9.3} s  {route}: {:.1} to {:.1}: {}", cut.from, cut.to, cut.cause);
         }
         write_omitted(&mut out, explanation.cuts.len());
         write_rate_limits(&mut out, explanation);
     }
-    for c in explanation.timelines.iter().take(MAX_LINES) {
-        write_timeline(&mut out, explanation, c);
+    for timeline in explanation.timelines.iter().take(MAX_LINES) {
+        write_timeline(&mut out, explanation, timeline);
     }
     write_omitted(&mut out, explanation.timelines.len());
     out
@@ -66,7 +66,7 @@
     let estimates = explanation
         .points
         .iter()
-        .filter_map(|p| p.admitted_rate.map(|a| (p.route.as_deref().unwrap_or("all"), (p.at, a))));
+        .filter_map(|s| s.admitted_rate.map(|rate| (s.route.as_deref().unwrap_or("all"), (s.at, rate))));
     let last: std::collections::BTreeMap<&str, (u64, f64)> = estimates.collect();
     for (route, (at, rate)) in last.into_iter().take(MAX_LINES) {
         let at = seconds(at.saturating_sub(explanation.begins));
--- a/crates/recorder/tests/fleet.rs
+++ b/crates/recorder/tests/fleet.rs
@@ -11,8 +11,8 @@
 
 const UNIX: u64 = 1_700_000_000_000_000;
 
-/// Returns the recording of a sender: three messages served, one refused as full, one that failed to connect,
-/// a note, a failed watch and changes of a zone's share.
+/// Returns the recording of a sender whose Unix clock is this much ahead: three messages served, one refused
+/// as full, one that failed to connect, a note, a failed watch and changes of a zone's share.
 fn recording(name: &str, clock_offset: Micros) -> Vec<u8> {
     let settings = Settings { may_send_notes: true, senders: 3, ..settings() };
     let options = Options {
@@ -24,18 +24,18 @@
     };
     let mut recorder =
         Recorder::start(options, Box::new(MemoryStore::default()), &[], 100 * SEC, UNIX + clock_offset)
-            .expect("begun");
-    let mut sender = Sender::new(settings, 7).expect("sound");
+            .expect("the recorder starts");
+    let mut sender = Sender::new(settings, 7).expect("the settings are valid");
     let mut now = 100 * SEC;
     let mut turn = |at: Micros, events: Vec<Event>| {
         let mut actions = Vec::new();
         sender.handle(at, &events, &mut actions);
         recorder
             .record_turn(at, UNIX + clock_offset + at - 100 * SEC, &events, &actions, &sender)
-            .expect("recorded");
+            .expect("the turn is recorded");
     };
-    let known = |n| common::entry(n, 1, 0, Phase::Live);
-    turn(now, vec![Event::List(ListUpdate::Whole(vec![known(0), known(1)]))]);
+    let live = |n| common::entry(n, 1, 0, Phase::Live);
+    turn(now, vec![Event::List(ListUpdate::Whole(vec![live(0), live(1)]))]);
     let outcomes = [
         Outcome::Served,
         Outcome::Served,
@@ -66,11 +66,11 @@
         turn(now, vec![Event::Zone { zone: 3, share, probe, exempt: vec![DestinationId(1)] }]);
     }
     let mut bytes = Vec::new();
-    recorder.dump(&mut bytes).expect("written");
+    recorder.dump(&mut bytes).expect("the dump is written");
     bytes
 }
 
-/// Returns the sums of the counts of all cells.
+/// Returns the counts of destination 1, summed over all seconds.
 fn sums(fleet: &FleetCounts) -> DestinationCounts {
     fleet.by_destination().fold(DestinationCounts::default(), |mut sum, (_, dest, c)| {
         assert_eq!(dest, DestinationId(1));
@@ -99,16 +99,22 @@
     let both = sums(&fleet);
     assert_eq!((both.accepted, both.calls, both.served, both.ended), (10, 2 * one.calls, 6, 4));
     assert_eq!((fleet.senders(), both.senders.len()), (2, 2));
-    let zones: Vec<_> =
-        fleet.by_zone().map(|(_, zone, z)| (zone, z.evacuated, z.partial, z.full, z.probes)).collect();
+    let zones: Vec<_> = fleet
+        .by_zone()
+        .map(|(_, zone, counts)| (zone, counts.evacuated, counts.partial, counts.full, counts.probes))
+        .collect();
     let senders = u64::from(fleet.senders());
     assert_eq!(zones, [(3, senders, senders, senders, senders)]);
     let notes_received: u64 = fleet.shared().map(|(_, c)| c.notes_received).sum();
     let failed: u64 = fleet.shared().map(|(_, c)| c.unavailable).sum();
     let entries: u64 = fleet.shared().map(|(_, c)| c.entries).sum();
     assert_eq!((notes_received, failed, entries), (2, 2, 4));
-    let first = fleet.by_destination().next().expect("a cell");
-    assert_eq!((first.0, first.2.accepted), (UNIX / 1_000_000, 2), "both in the first second");
+    let first = fleet.by_destination().next().expect("a second with counts");
+    assert_eq!(
+        (first.0, first.2.accepted),
+        (UNIX / 1_000_000, 2),
+        "both senders accept a message in the first second"
+    );
     assert!(fleet.text(None).starts_with("2 senders, from Unix second 1700000000 on\n"));
     assert!(!fleet.text(Some(DestinationId(9))).contains("    1      2"), "only the selected destination");
 }
@@ -149,15 +155,15 @@
         settings: module_settings,
         seed: 7,
     };
-    let mut recorder =
-        Recorder::start(options, Box::new(MemoryStore::default()), &[], rig.now, UNIX).expect("begun");
+    let mut recorder = Recorder::start(options, Box::new(MemoryStore::default()), &[], rig.now, UNIX)
+        .expect("the recorder starts");
     let list = Event::List(ListUpdate::Whole(vec![common::entry(0, 1, 2, Phase::Live)]));
-    recorder.record_turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("recorded");
+    recorder.record_turn(rig.now, UNIX, &[list], &[], &rig.sender).expect("the turn is recorded");
     let sends: Vec<Action> = new_actions.into_iter().filter(|a| matches!(a, Action::Send { .. })).collect();
     let messages = sends.len() as u64;
-    recorder.record_turn(rig.now, UNIX, &[], &sends, &rig.sender).expect("recorded");
+    recorder.record_turn(rig.now, UNIX, &[], &sends, &rig.sender).expect("the turn is recorded");
     let mut bytes = Vec::new();
-    recorder.dump(&mut bytes).expect("written");
+    recorder.dump(&mut bytes).expect("the dump is written");
     let mut fleet = FleetCounts::default();
     fleet.add_recording(&bytes);
     let sum = sums(&fleet);
--- a/crates/recorder/tests/recording.rs
+++ b/crates/recorder/tests/recording.rs
@@ -1,5 +1,5 @@
-//! Random worlds that are recorded, replayed and explained, and recordings that are truncated, damaged or
-//! from another build.
+//! Random sequences of events that are recorded, replayed and explained, and recordings that are truncated,
+//! damaged or from another build.
 
 #[path = "../../policy/tests/common/mod.rs"]
 mod common;
@@ -32,7 +32,8 @@
     store: Box<dyn SegmentStore>,
     existing: &[(u64, u64)],
 ) -> Recorder {
-    Recorder::start(options(limit, settings.clone()), store, existing, 50 * SEC, UNIX).expect("begun")
+    Recorder::start(options(limit, settings.clone()), store, existing, 50 * SEC, UNIX)
+        .expect("the recorder starts")
 }
 
 /// Plays the steps and returns the recording.
@@ -41,7 +42,7 @@
         Rc::new(RefCell::new(start_recorder(limit, settings, Box::new(MemoryStore::default()), &[])));
     play(steps, settings, recorder.clone());
     let mut bytes = Vec::new();
-    recorder.borrow().dump(&mut bytes).expect("written");
+    recorder.borrow().dump(&mut bytes).expect("the dump is written");
     assert!(bytes.len() as u64 <= limit, "{} of {limit}", bytes.len());
     bytes
 }
@@ -51,7 +52,7 @@
         recorder
             .borrow_mut()
             .record_turn(at, UNIX + at - 50 * SEC, events, actions, sender)
-            .expect("recorded");
+            .expect("the turn is recorded");
     };
     let mut world = Checker::observed(settings.clone(), SEED, Some(Box::new(watch)));
     steps.iter().for_each(|s| world.step(s));
@@ -59,8 +60,8 @@
     world
 }
 
-fn explain(bytes: &[u8], question: Query) -> Vec<Explanation> {
-    let mut explainer = Explainer::new(question);
+fn explain(bytes: &[u8], query: Query) -> Vec<Explanation> {
+    let mut explainer = Explainer::new(query);
     let report = replay(&Recording::read(bytes), &mut explainer);
     assert!(report.is_equal(), "{report:?}");
     explainer.finish()
@@ -132,9 +133,13 @@
         turn.actions[index] = Action::Log("changed action".into());
         let mut changed = MAGIC.to_vec();
         let header = Record::Header(Box::new(recording.segments[0].header.clone()));
-        format::write_record(&header, &mut changed).expect("fits");
-        records.iter().for_each(|r| format::write_record(r, &mut changed).expect("fits"));
-        let found = replay(&Recording::read(&changed), &mut NoObserver).difference.expect("found");
+        format::write_record(&header, &mut changed).expect("the record is not too long");
+        records
+            .iter()
+            .for_each(|r| format::write_record(r, &mut changed).expect("the record is not too long"));
+        let found = replay(&Recording::read(&changed), &mut NoObserver)
+            .difference
+            .expect("the change is found");
         prop_assert_eq!((found.turn, found.action_index), (number, index));
         prop_assert_eq!(found.recorded, Some(Action::Log("changed action".into())));
     }
@@ -151,7 +156,7 @@
             prop_assert!(e.timelines.iter().all(is_contiguous));
             let held: Micros = e.timelines.iter().map(MessageTimeline::held).sum();
             prop_assert_eq!(held, e.held_by_spans);
-            prop_assert!(e.timelines.iter().all(|c| c.end.is_some()), "all have ended");
+            prop_assert!(e.timelines.iter().all(|t| t.end.is_some()), "all have ended");
         }
     }
 }
@@ -219,29 +224,33 @@
         assert!(alone.is_equal() && alone.segments == 1, "segment {n}: {alone:?}");
     }
     let all = explain(&bytes, all_messages());
-    assert!(all[0].timelines.iter().any(|c| c.from_before), "a message was held at the start");
+    assert!(all[0].timelines.iter().any(|t| t.from_before), "a message was held at the start");
     assert_eq!(all[0].held_by_spans, all[0].held_by_count);
 }
 
 #[test]
 fn killed_process_leaves_complete_records_and_the_next_continues_after_them() {
-    let (settings, folder) = (settings(), tempfile::tempdir().expect("a folder"));
+    let (settings, folder) = (settings(), tempfile::tempdir().expect("a temporary folder"));
     let steps = long_steps();
     for run in 0..3 {
-        let (store, existing) = FolderStore::open(folder.path()).expect("a folder");
+        let (store, existing) = FolderStore::open(folder.path()).expect("the folder can be opened");
         assert_eq!(existing.is_empty(), run == 0);
         let mut recorder = start_recorder(1 << 20, &settings, Box::new(store), &existing);
-        recorder.record_name(EndpointId(1), "s-1").expect("recorded");
+        recorder.record_name(EndpointId(1), "s-1").expect("the name is recorded");
         let recorder = Rc::new(RefCell::new(recorder));
         play(&steps[..90], &settings, recorder.clone());
         // A kill: the recorder is not closed, and the last record is incomplete.
         drop(recorder);
-        let last = std::fs::read_dir(folder.path()).expect("read").flatten().map(|e| e.path()).max();
+        let last = std::fs::read_dir(folder.path())
+            .expect("the folder is readable")
+            .flatten()
+            .map(|e| e.path())
+            .max();
         let last = last.expect("a segment");
-        let bytes = std::fs::read(&last).expect("read");
-        std::fs::write(&last, &bytes[..bytes.len() - 3]).expect("written");
+        let bytes = std::fs::read(&last).expect("the segment is readable");
+        std::fs::write(&last, &bytes[..bytes.len() - 3]).expect("the segment is written");
     }
-    let bytes = load(folder.path()).expect("read");
+    let bytes = load(folder.path()).expect("the recording is readable");
     let report = replay(&Recording::read(&bytes), &mut NoObserver);
     assert!(report.difference.is_none() && report.skipped.is_empty(), "{report:?}");
     assert_eq!((report.segments, report.damage.len()), (3, 3));
@@ -260,8 +269,9 @@
         let mut header = s.header.clone();
         (header.fingerprint, header.state_form) = (1, 2);
         other.extend(MAGIC);
-        format::write_record(&Record::Header(Box::new(header)), &mut other).expect("fits");
-        s.records().for_each(|r| format::write_record(&r, &mut other).expect("fits"));
+        format::write_record(&Record::Header(Box::new(header)), &mut other)
+            .expect("the record is not too long");
+        s.records().for_each(|r| format::write_record(&r, &mut other).expect("the record is not too long"));
     }
     let report = replay(&Recording::read(&other), &mut NoObserver);
     assert_eq!(report.other_builds, [1]);
@@ -297,32 +307,35 @@
 #[test]
 fn state_that_does_not_fit_into_the_limit_is_refused_with_the_reason() {
     let started = Recorder::start(options(100, settings()), Box::new(MemoryStore::default()), &[], 0, UNIX);
-    let reason = started.err().expect("too small").to_string();
+    let reason = started.err().expect("the limit is too small").to_string();
     assert!(reason.contains("needs a limit"), "{reason}");
 }
 
 /// A recorded sender with one destination that has one endpoint.
-struct Bench {
+struct RecordedSender {
     sender: Sender,
     recorder: Recorder,
     now: Micros,
     unix: u64,
-    next: u64,
+    /// The id of the next message.
+    next_id: u64,
 }
 
-impl Bench {
+impl RecordedSender {
     fn new(settings: Settings) -> Self {
         let recorder = start_recorder(8 << 20, &settings, Box::new(MemoryStore::default()), &[]);
-        let sender = Sender::new(settings, SEED).expect("sound");
-        let mut bench = Self { sender, recorder, now: 50 * SEC, unix: UNIX, next: 1 };
-        bench.handle(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
-        bench
+        let sender = Sender::new(settings, SEED).expect("the settings are valid");
+        let mut recorded = Self { sender, recorder, now: 50 * SEC, unix: UNIX, next_id: 1 };
+        recorded.handle(vec![Event::List(ListUpdate::Restored(vec![common::entry(0, 1, 0, Phase::Live)]))]);
+        recorded
     }
 
     fn handle(&mut self, events: Vec<Event>) -> Vec<Action> {
         let mut actions = Vec::new();
         self.sender.handle(self.now, &events, &mut actions);
-        self.recorder.record_turn(self.now, self.unix, &events, &actions, &self.sender).expect("recorded");
+        self.recorder
+            .record_turn(self.now, self.unix, &events, &actions, &self.sender)
+            .expect("the turn is recorded");
         actions
     }
 
@@ -332,8 +345,8 @@
     }
 
     fn accept(&mut self, class: u32) -> u64 {
-        let id = self.next;
-        self.next += 1;
+        let id = self.next_id;
+        self.next_id += 1;
         let (dest, expires_in) = (DestinationId(1), 20 * SEC);
         let message =
             Message { id: MessageId(id), class, tenant: None, key: None, dest, is_retry: false, expires_in };
@@ -346,32 +359,33 @@
         self.handle(vec![Event::Ended { id, attempt, outcome, is_final, allowance: None }]);
     }
 
-    fn explain(&self, question: Query) -> Explanation {
+    fn explain(&self, query: Query) -> Explanation {
         let mut bytes = Vec::new();
-        self.recorder.dump(&mut bytes).expect("written");
-        explain(&bytes, question).remove(0)
+        self.recorder.dump(&mut bytes).expect("the dump is written");
+        explain(&bytes, query).remove(0)
     }
 
+    /// Returns the states of a message in order, each with its duration.
     fn spans(&self, id: u64) -> Vec<(MessageState, Micros)> {
-        let e = self.explain(Query { message: Some(MessageId(id)), ..Query::default() });
-        e.timelines[0].spans.iter().map(|s| (s.state, s.to - s.from)).collect()
+        let explanation = self.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+        explanation.timelines[0].spans.iter().map(|s| (s.state, s.to - s.from)).collect()
     }
 }
 
 #[test]
 fn full_window_and_then_requested_wait_are_reported_in_order() {
-    let mut bench = Bench::new(settings());
-    let (first, second) = (bench.accept(common::IDEMPOTENT), bench.accept(common::IDEMPOTENT));
-    bench.wait(200 * MS);
-    bench.end(first, 0, Outcome::Full { wait: Some(SEC) });
-    bench.wait(300 * MS);
+    let mut recorded = RecordedSender::new(settings());
+    let (first, second) = (recorded.accept(common::IDEMPOTENT), recorded.accept(common::IDEMPOTENT));
+    recorded.wait(200 * MS);
+    recorded.end(first, 0, Outcome::Full { wait: Some(SEC) });
+    recorded.wait(300 * MS);
     for _ in 0..20 {
-        bench.wait(100 * MS);
+        recorded.wait(100 * MS);
     }
-    let spans = bench.spans(second);
+    let spans = recorded.spans(second);
     assert_eq!(spans[0], (MessageState::Held(Guard::Window), 200 * MS), "{spans:?}");
-    let all: Vec<MessageState> = spans.iter().map(|s| s.0).collect();
-    assert!(all.contains(&MessageState::Held(Guard::Wait)), "{spans:?}");
+    let states: Vec<MessageState> = spans.iter().map(|s| s.0).collect();
+    assert!(states.contains(&MessageState::Held(Guard::Wait)), "{spans:?}");
     let waited: Micros = spans.iter().filter(|s| s.0 == MessageState::Held(Guard::Wait)).map(|s| s.1).sum();
     assert!((SEC..2 * SEC).contains(&waited), "{spans:?}");
 }
@@ -383,124 +397,134 @@
     assert_eq!(later.later(earlier), later);
     // A guard that waits for an event may never release.
     assert_eq!(later.later(Hold::until_event(Guard::Window)).guard, Guard::Window);
-    let mut bench = Bench::new(settings());
-    let id = bench.accept(common::IDEMPOTENT);
+    let mut recorded = RecordedSender::new(settings());
+    let id = recorded.accept(common::IDEMPOTENT);
     // The message is paused for 300 ms after a failed connection; the destination requests a wait of two
     // seconds.
-    let other = bench.accept(common::IDEMPOTENT);
-    bench.end(id, 0, Outcome::ConnectFailed);
-    bench.wait(SEC);
-    let in_flight = bench.sender.open_messages().into_iter().find(|o| o.3).map(|o| o.0.0);
+    let other = recorded.accept(common::IDEMPOTENT);
+    recorded.end(id, 0, Outcome::ConnectFailed);
+    recorded.wait(SEC);
+    let in_flight = recorded.sender.open_messages().into_iter().find(|o| o.3).map(|o| o.0.0);
     if let Some(in_flight) = in_flight {
         let attempt = u32::from(in_flight == id);
-        bench.end(in_flight, attempt, Outcome::Full { wait: Some(2 * SEC) });
-        bench.wait(10 * MS);
-        let held: Vec<Guard> = bench.sender.holds().iter().map(|h| h.2.guard).collect();
+        recorded.end(in_flight, attempt, Outcome::Full { wait: Some(2 * SEC) });
+        recorded.wait(10 * MS);
+        let held: Vec<Guard> = recorded.sender.holds().iter().map(|h| h.2.guard).collect();
         assert!(held.iter().all(|g| *g == Guard::Wait), "{held:?} for {id} and {other}");
     }
 }
 
 #[test]
 fn whole_time_of_a_message_that_is_never_sent_is_explained() {
-    let mut bench = Bench::new(settings());
+    let mut recorded = RecordedSender::new(settings());
     // The destination leaves the endpoint list before the message is accepted.
-    bench.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
-    let id = bench.accept(common::AT_MOST_ONCE);
+    recorded.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    let id = recorded.accept(common::AT_MOST_ONCE);
     for _ in 0..250 {
-        bench.wait(100 * MS);
+        recorded.wait(100 * MS);
     }
-    let e = bench.explain(Query { message: Some(MessageId(id)), ..Query::default() });
-    let timeline = &e.timelines[0];
+    let explanation = recorded.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+    let timeline = &explanation.timelines[0];
     assert_eq!(timeline.end.as_deref(), Some("refused"));
     assert!(timeline.spans.iter().all(|s| s.state == MessageState::Held(Guard::Drained)), "{timeline:?}");
     assert!(timeline.held() >= 19 * SEC);
-    assert_eq!((e.totals.len(), e.totals[0].guard), (1, Guard::Drained));
+    assert_eq!((explanation.totals.len(), explanation.totals[0].guard), (1, Guard::Drained));
 }
 
 #[test]
 fn destination_that_leaves_the_list_is_the_reported_guard_from_then_on() {
-    let mut bench = Bench::new(settings());
-    let (first, second) = (bench.accept(common::IDEMPOTENT), bench.accept(common::AT_MOST_ONCE));
-    bench.wait(200 * MS);
-    bench.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
-    bench.wait(300 * MS);
-    bench.end(first, 0, Outcome::Served);
+    let mut recorded = RecordedSender::new(settings());
+    let (first, second) = (recorded.accept(common::IDEMPOTENT), recorded.accept(common::AT_MOST_ONCE));
+    recorded.wait(200 * MS);
+    recorded.handle(vec![Event::List(ListUpdate::Changes(vec![common::entry(0, 1, 0, Phase::Gone)]))]);
+    recorded.wait(300 * MS);
+    recorded.end(first, 0, Outcome::Served);
     for _ in 0..250 {
-        bench.wait(100 * MS);
+        recorded.wait(100 * MS);
     }
-    let e = bench.explain(Query { message: Some(MessageId(second)), ..Query::default() });
-    let spans = &e.timelines[0].spans;
+    let explanation = recorded.explain(Query { message: Some(MessageId(second)), ..Query::default() });
+    let spans = &explanation.timelines[0].spans;
     assert_eq!(spans[0].state, MessageState::Held(Guard::Window), "{spans:?}");
     assert_eq!(spans[1].state, MessageState::Held(Guard::Drained), "{spans:?}");
     assert_eq!(spans[1].from - spans[0].from, 200 * MS);
     assert!(spans[0].ended.contains("the list of endpoints changed"), "{}", spans[0].ended);
-    assert_eq!(e.timelines[0].end.as_deref(), Some("refused"));
+    assert_eq!(explanation.timelines[0].end.as_deref(), Some("refused"));
 }
 
 #[test]
 fn clock_step_is_reported_and_changes_no_span() {
-    let mut bench = Bench::new(settings());
-    let id = bench.accept(common::IDEMPOTENT);
-    bench.wait(SEC);
-    bench.unix -= 3_600 * SEC;
-    bench.wait(SEC);
-    bench.end(id, 0, Outcome::Served);
-    let e = bench.explain(Query { message: Some(MessageId(id)), ..Query::default() });
-    assert_eq!(e.clock_steps.len(), 1);
-    assert_eq!(e.clock_steps[0].1, -3_600_000_000);
-    assert_eq!(e.timelines[0].spans.iter().map(|s| s.to - s.from).sum::<Micros>(), 2 * SEC);
-    assert!(text::render(&e).contains("stepped by -3600.000 s"));
+    let mut recorded = RecordedSender::new(settings());
+    let id = recorded.accept(common::IDEMPOTENT);
+    recorded.wait(SEC);
+    recorded.unix -= 3_600 * SEC;
+    recorded.wait(SEC);
+    recorded.end(id, 0, Outcome::Served);
+    let explanation = recorded.explain(Query { message: Some(MessageId(id)), ..Query::default() });
+    assert_eq!(explanation.clock_steps.len(), 1);
+    assert_eq!(explanation.clock_steps[0].1, -3_600_000_000);
+    assert_eq!(explanation.timelines[0].spans.iter().map(|s| s.to - s.from).sum::<Micros>(), 2 * SEC);
+    assert!(text::render(&explanation).contains("stepped by -3600.000 s"));
 }
 
 #[test]
 fn window_cuts_have_causes_and_are_drawn() {
-    let mut bench = Bench::new(settings());
+    let mut recorded = RecordedSender::new(settings());
     for _ in 0..6 {
-        let id = bench.accept(common::IDEMPOTENT);
-        bench.wait(100 * MS);
-        bench.end(id, 0, Outcome::Served);
+        let id = recorded.accept(common::IDEMPOTENT);
+        recorded.wait(100 * MS);
+        recorded.end(id, 0, Outcome::Served);
     }
-    let id = bench.accept(common::IDEMPOTENT);
-    bench.wait(100 * MS);
-    bench.end(id, 0, Outcome::Full { wait: None });
-    bench.wait(SEC);
-    let e = bench.explain(Query { dest: Some(DestinationId(1)), ..Query::default() });
-    assert_eq!(e.cuts.len(), 1, "{:?}", e.cuts);
-    assert!(e.cuts[0].cause.contains("without a wait time") && e.cuts[0].to < e.cuts[0].from);
-    let svg = plot::draw(&e, 1);
+    let id = recorded.accept(common::IDEMPOTENT);
+    recorded.wait(100 * MS);
+    recorded.end(id, 0, Outcome::Full { wait: None });
+    recorded.wait(SEC);
+    let explanation = recorded.explain(Query { dest: Some(DestinationId(1)), ..Query::default() });
+    assert_eq!(explanation.cuts.len(), 1, "{:?}", explanation.cuts);
+    assert!(
+        explanation.cuts[0].cause.contains("without a wait time")
+            && explanation.cuts[0].to < explanation.cuts[0].from
+    );
+    let svg = plot::draw(&explanation, 1);
     assert!(svg.starts_with("<svg") && svg.ends_with("</svg>\n") && svg.contains("without a wait time"));
-    assert!(serde_json::to_string(&e).expect("json").contains("\"cuts\""));
+    assert!(
+        serde_json::to_string(&explanation).expect("an explanation can be serialized").contains("\"cuts\"")
+    );
 }
 
 #[test]
 fn ten_thousand_destinations_can_be_recorded_and_explained() {
-    struct Count(u64);
-    impl ReplayObserver for Count {
+    /// The numbers of waiting messages, summed over all turns.
+    struct WaitingCount(u64);
+    impl ReplayObserver for WaitingCount {
         fn on_segment(&mut self, _: &format::Header, _: &Sender, _: bool) {}
         fn on_turn(&mut self, _: &format::Turn, sender: &Sender) {
             self.0 += sender.waiting_count() as u64;
         }
     }
     let settings = Settings { slots: 64, max_held: 20_000, ..settings() };
-    let mut bench = Bench::new(settings);
+    let mut recorded = RecordedSender::new(settings);
     let entries = (0..10_000).map(|n| common::entry(n, u64::from(n) + 1, 0, Phase::Live)).collect();
-    bench.handle(vec![Event::List(ListUpdate::Whole(entries))]);
+    recorded.handle(vec![Event::List(ListUpdate::Whole(entries))]);
     let accepted = (0..2_000u64).map(|n| {
         let (dest, expires_in) = (DestinationId(1 + n * 5), 20 * SEC);
         let id = MessageId(1_000 + n);
         Event::Taken(Message { id, class: 0, tenant: None, key: None, dest, is_retry: false, expires_in })
     });
-    bench.handle(accepted.collect());
+    recorded.handle(accepted.collect());
     for _ in 0..5 {
-        bench.wait(100 * MS);
+        recorded.wait(100 * MS);
     }
     let mut bytes = Vec::new();
-    bench.recorder.dump(&mut bytes).expect("written");
+    recorded.recorder.dump(&mut bytes).expect("the dump is written");
     assert!(bytes.len() <= 8 << 20);
-    let mut count = Count(0);
-    assert!(replay(&Recording::read(&bytes), &mut count).is_equal());
-    assert!(count.0 > 5_000);
-    let e = bench.explain(all_messages());
-    assert_eq!(e.held_by_spans, e.held_by_count);
-    assert!(e.totals.iter().any(|t| t.guard == Guard::Slots && t.messages > 1_900), "{:?}", e.totals);
+    let mut waiting = WaitingCount(0);
+    assert!(replay(&Recording::read(&bytes), &mut waiting).is_equal());
+    assert!(waiting.0 > 5_000);
+    let explanation = recorded.explain(all_messages());
+    assert_eq!(explanation.held_by_spans, explanation.held_by_count);
+    assert!(
+        explanation.totals.iter().any(|t| t.guard == Guard::Slots && t.messages > 1_900),
+        "{:?}",
+        explanation.totals
+    );
 }
