--- a/crates/daemon/tests/sockets/world.rs
+++ b/crates/daemon/tests/sockets/world.rs
@@ -614,8 +614,8 @@
         Client::new(self.address).submit(class, id, dest, timeout_ms, body)
     }
 
-    /// Submits a message that expires before it can be sent, and waits for its notice. A request whose time is
-    /// over before the message is recorded is refused with 503; it is repeated.
+    /// Submits a message that expires before it can be sent, and waits for its notice. A request whose time
+    /// is over before the message is recorded is refused with 503; it is repeated.
     pub fn expire_message(&self, class: &str, id: u64) {
         wait_until("a message that is accepted and expires", || {
             let status = self.submit(class, id, 3, 1, b"x").status();
--- a/crates/limits/examples/curve.rs
+++ b/crates/limits/examples/curve.rs
@@ -1,6 +1,6 @@
 //! Compares the estimators with simpler rules: the window under random resets if every reset counts as
 //! congestion and if only those do that [`ConnectionFailures`] attributes to the destination; the calls that
-//! a rate limit admits from senders with a fixed backoff after a refusal and from senders paced by
+//! a rate limit admits from senders with a doubling backoff after a refusal and from senders paced by
 //! [`AdaptiveRate`]. It also measures the cost of an event in each estimator.
 //!
 //! `cargo run --release -p notchpoint-limits --example curve -- FOLDER` writes `resets.csv`, `resets.svg`,
@@ -56,7 +56,7 @@
     counts_refused: bool,
 }
 
-/// The fixed backoff: 250 ms after a refusal, doubling up to 2 s until a call is served.
+/// The doubling backoff: 250 ms after a refusal, doubling up to 2 s until a call is served.
 const BACKOFF_MS: u64 = 250;
 const BACKOFF_DOUBLINGS: u32 = 3;
 /// The limit is constant, then halved, then doubled again, for this long each.
@@ -121,12 +121,12 @@
         (30, 10.0, false),
     ];
     println!(
-        "senders  limit/s  refused count  how            of the limit used  calls refused  \
+        "senders  limit/s  refused count  how               of the limit used  calls refused  \
          in 10 s after: halved  doubled"
     );
     let mut shown = Vec::new();
     for (senders, per_s, counts_refused) in cases {
-        for (how, paced) in [("fixed backoff", false), ("AdaptiveRate", true)] {
+        for (how, paced) in [("doubling backoff", false), ("AdaptiveRate", true)] {
             let all = simulate_limit(Limit { senders, per_s, counts_refused }, paced);
             for (second, (admitted, refused)) in all.iter().enumerate() {
                 writeln!(
@@ -141,7 +141,7 @@
             let (admitted, refused) = (sum(0, phase, |x| x.0), sum(0, phase, |x| x.1));
             let share_after = |from: usize, limit: f64| sum(from, from + 10, |x| x.0) / 10.0 / limit;
             println!(
-                "{senders:>7}  {per_s:>7}  {:>13}  {how:<13}  {:>17.2}  {:>13.2}  {:>21.2}  {:>7.2}",
+                "{senders:>7}  {per_s:>7}  {:>13}  {how:<16}  {:>17.2}  {:>13.2}  {:>21.2}  {:>7.2}",
                 if counts_refused { "yes" } else { "no" },
                 admitted / phase as f64 / per_s,
                 refused / (admitted + refused),
